--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -14,7 +14,11 @@
 import type { Message } from './message.js';
 import { messageSchema, schemaOf } from './message.js';
 import type { ReplyMessage } from './rolloutMessages.js';
-import { CARE_INTERVAL_MILLISECONDS, SECOND_LOOK_MILLISECONDS, allowedSilence } from './silence.js';
+import {
+  LIVENESS_CHECK_INTERVAL_MILLISECONDS,
+  SILENCE_RECHECK_MILLISECONDS,
+  silenceTimeout,
+} from './livenessTimeouts.js';
 
 /** A message that expects a reply, before its `call` number is set. */
 export type CallMessage = Extract<Message, { call?: number }>;
@@ -35,7 +39,7 @@
 
 /** Heartbeats of a quiet connection within the silence that counts as its loss. */
 const HEARTBEATS_PER_TIMEOUT = 2.5;
-const care = new SharedInterval(CARE_INTERVAL_MILLISECONDS);
+const care = new SharedInterval(LIVENESS_CHECK_INTERVAL_MILLISECONDS);
 /** Default time for a call to be answered, in milliseconds. */
 const CALL_TIMEOUT_MILLISECONDS = 5_000;
 
@@ -263,14 +267,14 @@
   private get _allowedSilence(): number {
     const { identity, peerTimeoutMilliseconds } = this._options;
     if (!this._opened) return peerTimeoutMilliseconds;
-    return allowedSilence(identity.role, this.peer.role, peerTimeoutMilliseconds);
+    return silenceTimeout(identity.role, this.peer.role, peerTimeoutMilliseconds);
   }
 
   /** Looks whether the peer has been silent for too long, and sends what keeps a quiet connection alive. */
   private _careFor(now: number): void {
     const timeout = this._allowedSilence;
     if (now - this._lastHeardAt > timeout) this._onSilence();
-    const nextCareAt = now + CARE_INTERVAL_MILLISECONDS;
+    const nextCareAt = now + LIVENESS_CHECK_INTERVAL_MILLISECONDS;
     const isDue = nextCareAt - this._lastSentAt > timeout / HEARTBEATS_PER_TIMEOUT;
     if (this._opened && isDue) this._writeFrame(HEARTBEAT_FRAME);
   }
@@ -281,7 +285,7 @@
     this._secondLook ??= setTimeout(() => {
       this._secondLook = undefined;
       if (this._lastHeardAt === heardAt) this.close('silent for too long');
-    }, SECOND_LOOK_MILLISECONDS);
+    }, SILENCE_RECHECK_MILLISECONDS);
   }
 
   private _write(message: unknown): void {
--- a/src/serving/agentReports.ts
+++ b/src/serving/agentReports.ts
@@ -1,6 +1,6 @@
 /** What the agents that this entry asks tell of the entries that are connected to them. */
 import type { EntryAddress, EntryList } from '../protocol/boxMessages.js';
-import { noticedWithin } from '../protocol/silence.js';
+import { maximumDetectionMilliseconds } from '../protocol/livenessTimeouts.js';
 import type { Clock } from '../utils/clock.js';
 import type { LivenessEvidence } from './liveEntryLog.js';
 
@@ -30,7 +30,7 @@
 
   constructor(clock: Clock, peerTimeoutMilliseconds: number) {
     this._clock = clock;
-    this._longestSilence = noticedWithin(peerTimeoutMilliseconds);
+    this._longestSilence = maximumDetectionMilliseconds(peerTimeoutMilliseconds);
   }
 
   /** The agent on `box` has been asked; what it told before, on whatever connection, no longer counts. */
--- a/tests/controlConnection.spec.ts
+++ b/tests/controlConnection.spec.ts
@@ -14,7 +14,7 @@
   encodeFrame,
 } from '../src/protocol/frameCodec.js';
 import { messageSchema } from '../src/protocol/message.js';
-import { allowedSilence } from '../src/protocol/silence.js';
+import { silenceTimeout } from '../src/protocol/livenessTimeouts.js';
 import { until } from './fixtures/until.js';
 
 function options(box: string, key = 'the-shared-key'): ControlOptions {
@@ -108,9 +108,9 @@
 });
 
 test('should allow more silence between agents than to an entry, and the same at both ends', () => {
-  expect(allowedSilence('agent', 'agent', 300)).toEqual(600);
-  expect(allowedSilence('agent', 'entry', 300)).toEqual(300);
-  expect(allowedSilence('entry', 'agent', 300)).toEqual(300);
+  expect(silenceTimeout('agent', 'agent', 300)).toEqual(600);
+  expect(silenceTimeout('agent', 'entry', 300)).toEqual(300);
+  expect(silenceTimeout('entry', 'agent', 300)).toEqual(300);
 });
 
 test('should pass over a message of a type that it does not know', async () => {
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import type { EntryAddress } from '../src/protocol/boxMessages.js';
-import { noticedWithin } from '../src/protocol/silence.js';
+import { maximumDetectionMilliseconds } from '../src/protocol/livenessTimeouts.js';
 import { REMEMBERED_MILLISECONDS } from '../src/serving/entryDirectory.js';
 import { gatewaySettingsSchema } from '../src/settings/gatewaySettings.js';
 import { LONGEST_GATHER_MILLISECONDS } from '../src/staging/connectedEntries.js';
@@ -190,8 +190,8 @@
   const bound = contactMilliseconds.parse(undefined) + GRACE_MILLISECONDS;
   const timeout = peerTimeoutMilliseconds.parse(undefined);
   expect(timeout).toEqual(PEER_TIMEOUT_MILLISECONDS);
-  const told = noticedWithin(timeout) + LONGEST_GATHER_MILLISECONDS;
-  const longest = told + Math.max(noticedWithin(timeout), REMEMBERED_MILLISECONDS);
+  const told = maximumDetectionMilliseconds(timeout) + LONGEST_GATHER_MILLISECONDS;
+  const longest = told + Math.max(maximumDetectionMilliseconds(timeout), REMEMBERED_MILLISECONDS);
   expect(longest + ON_THE_WAY_MILLISECONDS).toBeLessThan(bound);
 });
 
