--- a/src/protocol/versionMargins.ts
+++ b/src/protocol/versionMargins.ts
@@ -11,9 +11,9 @@
  */
 
 /** Servers of older versions are avoided from then on, since others may begin too late if their server goes dark. */
-export const PREFERRED_MARGIN_MILLISECONDS = 3_000;
+export const AVOIDANCE_MARGIN_MILLISECONDS = 3_000;
 /** The request, and the reset behind it, may lie on the way: 2.7 s were seen on a link squeezed to a fifth. */
-export const SLOW_TAKE_BACK_MARGIN_MILLISECONDS = 2_000;
+export const SLOW_CANCEL_MARGIN_MILLISECONDS = 2_000;
 /** Servers that answer late, or are not heard, get nothing on an older version for longer than others. */
 export const SLOW_SEND_MARGIN_MILLISECONDS = 1_500;
 /**
@@ -26,4 +26,4 @@
  * connection: 190 ms after the reset in a case seen, and up to 500 ms where eight prompts of the mean size wait (45 ms each)
  * beside a large one.
  */
-export const TAKE_BACK_MARGIN_MILLISECONDS = 500;
+export const CANCEL_MARGIN_MILLISECONDS = 500;
--- a/src/serving/versionGate.ts
+++ b/src/serving/versionGate.ts
@@ -2,10 +2,10 @@
 import type { HeardVersion, WantedVersion } from '../protocol/boxMessages.js';
 import {
   LAST_SEND_MARGIN_MILLISECONDS,
-  PREFERRED_MARGIN_MILLISECONDS,
+  AVOIDANCE_MARGIN_MILLISECONDS,
   SLOW_SEND_MARGIN_MILLISECONDS,
-  SLOW_TAKE_BACK_MARGIN_MILLISECONDS,
-  TAKE_BACK_MARGIN_MILLISECONDS,
+  SLOW_CANCEL_MARGIN_MILLISECONDS,
+  CANCEL_MARGIN_MILLISECONDS,
 } from '../protocol/versionMargins.js';
 import type { Clock } from '../utils/clock.js';
 
@@ -106,13 +106,13 @@
    * taking back may take long.
    */
   lowestToBegin(model: string, slow = false): number {
-    const margin = slow ? SLOW_TAKE_BACK_MARGIN_MILLISECONDS : TAKE_BACK_MARGIN_MILLISECONDS;
+    const margin = slow ? SLOW_CANCEL_MARGIN_MILLISECONDS : CANCEL_MARGIN_MILLISECONDS;
     return this._dueAfter(model, this._bounds.switchMilliseconds - margin);
   }
 
   /** The lowest version that is not better avoided, since others may begin too late if their server goes dark. */
   preferred(model: string): number {
-    return this._dueAfter(model, this._bounds.switchMilliseconds - PREFERRED_MARGIN_MILLISECONDS);
+    return this._dueAfter(model, this._bounds.switchMilliseconds - AVOIDANCE_MARGIN_MILLISECONDS);
   }
 
   /** The newest version of a model; 0 when none is known. */
