--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -7,7 +7,7 @@
 import { StepError, errorText } from '../utils/stepError.js';
 import { withTimeout } from '../utils/timers.js';
 import { sameMac } from './authentication.js';
-import { LinkDelay } from './linkDelay.js';
+import { RoundTripEstimator } from './roundTripEstimator.js';
 import { FrameReader, HEARTBEAT_FRAME, encodeFrame } from './frameCodec.js';
 import type { Identity } from './handshake.js';
 import { PROTOCOL_VERSION, challengeSchema, handshakeMac, helloSchema, welcomeSchema } from './handshake.js';
@@ -65,7 +65,7 @@
   private _lastSentAt = 0;
   private _lastHeardAt = performance.now();
   private _closed = false;
-  private readonly _delay = new LinkDelay();
+  private readonly _delay = new RoundTripEstimator();
 
   private constructor(socket: net.Socket, options: ControlOptions) {
     super();
@@ -150,13 +150,13 @@
 
   /** Measures a round trip: what is sent may lie on a narrow link for seconds. */
   probe(): void {
-    if (this._delay.isFull) return;
-    this._write({ type: 'link-probe', number: this._delay.noteSent(performance.now()) });
+    if (this._delay.isAtProbeLimit) return;
+    this._write({ type: 'link-probe', number: this._delay.recordProbe(performance.now()) });
   }
 
   /** How long a round trip takes at the least, in milliseconds, by the latest probes; 0 while none has been answered. */
   get delayMilliseconds(): number {
-    return this._delay.milliseconds(performance.now());
+    return this._delay.estimateMilliseconds(performance.now());
   }
 
   /** Closes the connection at once. */
@@ -259,7 +259,7 @@
   private _dispatch(message: Message): void {
     if (message.type === 'reply') this._calls.get(message.call)?.(message);
     else if (message.type === 'link-probe') this._write({ type: 'link-echo', number: message.number });
-    else if (message.type === 'link-echo') this._delay.noteEcho(message.number, performance.now());
+    else if (message.type === 'link-echo') this._delay.recordEcho(message.number, performance.now());
     else this.emit('message', message);
   }
 
--- a/src/protocol/linkDelay.ts
+++ b/src/protocol/roundTripEstimator.ts
@@ -8,7 +8,7 @@
 const MOST_OPEN = 8;
 
 /** Monotonic milliseconds throughout. One per connection. */
-export class LinkDelay {
+export class RoundTripEstimator {
   /** When each unanswered probe was sent, by its number, the oldest first. */
   private readonly _open = new Map<number, number>();
   private _next = 0;
@@ -17,12 +17,12 @@
   private _measuredAt = Number.NEGATIVE_INFINITY;
 
   /** Whether so many probes wait for their answers that another one would say nothing. */
-  get isFull(): boolean {
+  get isAtProbeLimit(): boolean {
     return this._open.size >= MOST_OPEN;
   }
 
   /** Notes that a probe is sent; returns its number. */
-  noteSent(now: number): number {
+  recordProbe(now: number): number {
     const number = this._next++;
     this._open.set(number, now);
     this._lastSentAt = now;
@@ -30,7 +30,7 @@
   }
 
   /** Notes the answer to a probe. Answers come in the order of the probes. */
-  noteEcho(number: number, now: number): void {
+  recordEcho(number: number, now: number): void {
     const sentAt = this._open.get(number);
     if (sentAt === undefined) return;
     for (const earlier of [...this._open.keys()]) if (earlier <= number) this._open.delete(earlier);
@@ -42,7 +42,7 @@
    * The last round trip if it is fresh, or the time for which a probe has been waiting if that is longer. 0 for a peer that
    * has answered no probe yet: it may be of a version that knows none.
    */
-  milliseconds(now: number): number {
+  estimateMilliseconds(now: number): number {
     if (this._measuredAt === Number.NEGATIVE_INFINITY) return 0;
     const measured = now - this._measuredAt < FRESH_MILLISECONDS ? this._roundTrip : 0;
     const [oldest] = this._open.values();
