--- a/src/weights/originDrawer.ts
+++ b/src/weights/originFetcher.ts
@@ -11,7 +11,7 @@
 import type { TransferCounts } from './transferCounts.js';
 
 /** What a drawer works with. */
-export interface OriginDrawerOptions {
+export interface OriginFetcherOptions {
   customer: string;
   index: ManifestIndex;
   origin: Origin;
@@ -21,7 +21,7 @@
   logger: Logger;
   signal: AbortSignal;
   /** Whether the version has memory set aside. */
-  mayDraw: () => boolean;
+  mayFetch: () => boolean;
   isHeld: (chunk: number) => boolean;
   isInFlight: (chunk: number) => boolean;
   /** Marks a chunk as being drawn; the returned function ends it. */
@@ -37,11 +37,11 @@
  * While the origin is gone, the boxes that draw from it, a dozen at most, ask again so often: a version can be needed most
  * just when the origin returns, and each wait is time in which nothing may be served once the bound of the older one is over.
  */
-export const DRAW_RETRY = { firstMilliseconds: 50, longestMilliseconds: 400 };
+export const ORIGIN_RETRY_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 400 };
 
 /** Each grant allows one attempt that takes bytes, so that the origin budget holds whatever fails. */
-export class OriginDrawer {
-  private readonly _options: OriginDrawerOptions;
+export class OriginFetcher {
+  private readonly _options: OriginFetcherOptions;
   private _open: number[] = [];
   private readonly _failed = new Set<number>();
   /** Chunks that are drawn even while they are fetched from a neighbour. */
@@ -52,7 +52,7 @@
   /** Whether the turn of {@link _current} has passed to another box: it is not asked for again. */
   private _currentPassed = false;
 
-  constructor(options: OriginDrawerOptions) {
+  constructor(options: OriginFetcherOptions) {
     this._options = options;
   }
 
@@ -80,7 +80,7 @@
    * Gives up draws that have not begun, but for `chunks` and urgent ones: while the origin was gone their turn has passed to
    * other boxes. If each box went on with all that was ever its turn, the origin would send them several times when it is back.
    */
-  keep(chunks: readonly number[]): void {
+  keepOnly(chunks: readonly number[]): void {
     const kept = new Set([...chunks, ...this._urgent]);
     this._open = this._open.filter((chunk) => chunk === this._current || kept.has(chunk));
     this._currentPassed = this._current !== undefined && !kept.has(this._current);
@@ -88,18 +88,18 @@
 
   /** Draws what is open, if the version has room. */
   resume(): void {
-    if (this._options.mayDraw()) void this._drawAll();
+    if (this._options.mayFetch()) void this._drawAll();
   }
 
   /** Gives up all draws that have not begun, so that they can be granted to another box. */
-  dropWaiting(): void {
+  dropPending(): void {
     this._open.splice(1);
   }
 
   private async _drawAll(): Promise<void> {
     if (this._drawing) return;
     this._drawing = true;
-    const backoff = new Backoff(DRAW_RETRY, this._options.random);
+    const backoff = new Backoff(ORIGIN_RETRY_BACKOFF, this._options.random);
     while (this._open.length > 0 && !this._options.signal.aborted) {
       const chunk = this._open[0];
       this._currentPassed = false;
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -5,7 +5,7 @@
 import type { ExchangeServices } from './exchangeServices.js';
 import { HaveAnnouncer } from './haveAnnouncer.js';
 import type { ManifestIndex } from './manifestIndex.js';
-import { OriginDrawer } from './originDrawer.js';
+import { OriginFetcher } from './originFetcher.js';
 import { PeerFetcher } from './peerFetcher.js';
 import { PeerView } from './peerView.js';
 import { topologyPolicy } from './topologies.js';
@@ -35,7 +35,7 @@
   private readonly _index: ManifestIndex;
   private readonly _picker: ChunkPicker;
   private readonly _onChange: () => void;
-  private readonly _drawer: OriginDrawer;
+  private readonly _drawer: OriginFetcher;
   private readonly _fetcher: PeerFetcher;
   private readonly _brought = new Set<number>();
   private readonly _refreshTimer = setInterval(() => this._refresh(), REFRESH_MILLISECONDS);
@@ -138,7 +138,7 @@
 
   /** Gives up all draws that have not begun, so that the coordinator can grant them to another box. */
   dropDraws(): void {
-    this._drawer.dropWaiting();
+    this._drawer.dropPending();
   }
 
   /** Takes a verified chunk that was found on this box. */
@@ -146,14 +146,14 @@
     this._store(chunk, data, true);
   }
 
-  /** Queues draws from the origin; see {@link OriginDrawer.grant}. */
+  /** Queues draws from the origin; see {@link OriginFetcher.grant}. */
   grant(chunks: readonly number[], urgent = false): void {
     this._drawer.grant(chunks, urgent);
   }
 
-  /** Gives up draws that are the turn of other boxes now; see {@link OriginDrawer.keep}. */
+  /** Gives up draws that are the turn of other boxes now; see {@link OriginFetcher.keepOnly}. */
   keepDraws(chunks: readonly number[]): void {
-    this._drawer.keep(chunks);
+    this._drawer.keepOnly(chunks);
   }
 
   onPeerUp(box: string): void {
@@ -198,9 +198,9 @@
     this._fetcher.stop();
   }
 
-  private _createDrawer(): OriginDrawer {
+  private _createDrawer(): OriginFetcher {
     const { origin, bounds, random, logger } = this._services;
-    return new OriginDrawer({
+    return new OriginFetcher({
       customer: this._plan.customer,
       index: this._index,
       origin,
@@ -209,7 +209,7 @@
       random,
       logger,
       signal: this._stopped.signal,
-      mayDraw: () => this.problem === '',
+      mayFetch: () => this.problem === '',
       isHeld: (chunk) => this.held.has(chunk),
       isInFlight: (chunk) => this._picker.isInFlight(chunk),
       begin: (chunk) => {
--- a/tests/originDrawer.spec.ts
+++ b/tests/originFetcher.spec.ts
@@ -7,7 +7,7 @@
 import { RateLimiter } from '../src/utils/rateLimiter.js';
 import { Logger } from '../src/telemetry/logger.js';
 import { ManifestIndex } from '../src/weights/manifestIndex.js';
-import { DRAW_RETRY, OriginDrawer } from '../src/weights/originDrawer.js';
+import { ORIGIN_RETRY_BACKOFF, OriginFetcher } from '../src/weights/originFetcher.js';
 import { until } from './fixtures/until.js';
 
 const CHUNK = Buffer.from('chunk');
@@ -17,12 +17,12 @@
 class Outage {
   readonly drawn: number[] = [];
   isDown = true;
-  readonly drawer: OriginDrawer;
+  readonly drawer: OriginFetcher;
   private readonly _ended = new AbortController();
 
   constructor() {
     const chunks = Array.from({ length: CHUNKS }, () => ({ digest: sha256Hex(CHUNK), size: CHUNK.length }));
-    this.drawer = new OriginDrawer({
+    this.drawer = new OriginFetcher({
       customer: '',
       index: new ManifestIndex({ model: 'm', version: '1', chunks }),
       origin: {
@@ -39,7 +39,7 @@
       random: new SeededRandom(1),
       logger: new Logger('test'),
       signal: this._ended.signal,
-      mayDraw: () => true,
+      mayFetch: () => true,
       isHeld: (chunk) => this.drawn.includes(chunk),
       isInFlight: () => false,
       begin: () => () => undefined,
@@ -64,7 +64,7 @@
   const outage = new Outage();
   outage.drawer.grant([0, 1, 2]);
   outage.drawer.grant([3], true);
-  outage.drawer.keep([2]);
+  outage.drawer.keepOnly([2]);
   outage.isDown = false;
   await until(() => outage.drawer.open.length === 0);
   expect([...outage.drawn].sort()).toEqual([2, 3]);
@@ -72,5 +72,5 @@
 });
 
 test('should ask an origin that is gone again within half a second', () => {
-  expect(DRAW_RETRY.longestMilliseconds).toBeLessThan(500);
+  expect(ORIGIN_RETRY_BACKOFF.longestMilliseconds).toBeLessThan(500);
 });
