--- a/src/agent/agentDaemon.ts
+++ b/src/agent/agentDaemon.ts
@@ -168,7 +168,7 @@
   async stop(): Promise<void> {
     this._leaving = true;
     this._gate.leave();
-    for (const version of this._hosts.versions()) version.exchange.dropDraws();
+    for (const version of this._hosts.versions()) version.exchange.dropPendingOriginFetches();
     this._reporter.sendNow();
     this._logger.state('agent.leaving', { inFlight: this._queue.running, queued: this._queue.waiting });
     const deadline = performance.now() + this._settings.drainMilliseconds;
--- a/src/rollout/drawGranter.ts
+++ b/src/rollout/drawGranter.ts
@@ -171,7 +171,7 @@
     const members = live.filter((box) => box.expected).map((box) => box.link!.member);
     if (members.length === 0) return new Map();
     const { distribution, weight } = this._options.specification;
-    return topologyPolicy(distribution).initialDraws(chunks, members, weight);
+    return topologyPolicy(distribution).initialOriginFetches(chunks, members, weight);
   }
 
   /** The baseline in which each box draws all that it lacks. */
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -198,7 +198,7 @@
     const due = unseen.filter(
       (chunk) => drawerOf(order, chunk, this._progress.silentFor(order, chunk, now)) === box,
     );
-    this.exchange.keepDraws(due);
+    this.exchange.keepOnlyOriginFetches(due);
     const open = new Set(this.exchange.openDraws);
     const fresh = due.filter((chunk) => !open.has(chunk));
     if (fresh.length === 0) return;
--- a/src/weights/chainTopology.ts
+++ b/src/weights/chainTopology.ts
@@ -15,7 +15,7 @@
     return { neighbours, importers: () => undefined };
   }
 
-  initialDraws(missing: readonly number[], members: readonly Member[]): Map<string, number[]> {
+  initialOriginFetches(missing: readonly number[], members: readonly Member[]): Map<string, number[]> {
     return new Map([[inRow(members)[0].box, [...missing]]]);
   }
 }
--- a/src/weights/directTopology.ts
+++ b/src/weights/directTopology.ts
@@ -7,7 +7,7 @@
     return { neighbours: [], importers: () => [] };
   }
 
-  initialDraws(missing: readonly number[], members: readonly Member[]): Map<string, number[]> {
+  initialOriginFetches(missing: readonly number[], members: readonly Member[]): Map<string, number[]> {
     return new Map(members.map((member) => [member.box, [...missing]]));
   }
 }
--- a/src/weights/exchangeTopology.ts
+++ b/src/weights/exchangeTopology.ts
@@ -36,7 +36,7 @@
     return { neighbours, importers: (chunk) => rotated(gateways, chunk % gateways.length) };
   }
 
-  initialDraws(
+  initialOriginFetches(
     missing: readonly number[],
     members: readonly Member[],
     weight: number,
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -137,7 +137,7 @@
   }
 
   /** Gives up all draws that have not begun, so that the coordinator can grant them to another box. */
-  dropDraws(): void {
+  dropPendingOriginFetches(): void {
     this._drawer.dropPending();
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** Gives up draws that are the turn of other boxes now; see {@link OriginFetcher.keepOnly}. */
-  keepDraws(chunks: readonly number[]): void {
+  keepOnlyOriginFetches(chunks: readonly number[]): void {
     this._drawer.keepOnly(chunks);
   }
 
--- a/src/weights/topology.ts
+++ b/src/weights/topology.ts
@@ -25,5 +25,9 @@
    * Which box draws which of the `missing` chunks from the origin. Rollouts share the origin's link by the number of
    * boxes that draw at the same time, which grows with `weight`.
    */
-  initialDraws(missing: readonly number[], members: readonly Member[], weight: number): Map<string, number[]>;
+  initialOriginFetches(
+    missing: readonly number[],
+    members: readonly Member[],
+    weight: number,
+  ): Map<string, number[]>;
 }
--- a/tests/exchangeTopology.spec.ts
+++ b/tests/exchangeTopology.spec.ts
@@ -54,7 +54,7 @@
 });
 
 test('should draw each missing chunk once, spread evenly over a few boxes of every data centre', () => {
-  const draws = policy.initialDraws(
+  const draws = policy.initialOriginFetches(
     Array.from({ length: 90 }, (_none, index) => index),
     members(8),
     1,
@@ -77,6 +77,6 @@
 
 test('should let a rollout of twice the weight draw on twice the boxes', () => {
   const missing = Array.from({ length: 90 }, (_none, index) => index);
-  expect(policy.initialDraws(missing, members(8), 2).size).toEqual(18);
-  expect(policy.initialDraws(missing, members(8), 0.1).size).toEqual(6);
+  expect(policy.initialOriginFetches(missing, members(8), 2).size).toEqual(18);
+  expect(policy.initialOriginFetches(missing, members(8), 0.1).size).toEqual(6);
 });
