--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -101,7 +101,7 @@
 
   /** Part of the chunks that have left the origin and are here or at a neighbour, from 0 to 1. */
   get seenShare(): number {
-    return 1 - this.exchange.unseenChunks().length / this.index.chunkCount;
+    return 1 - this.exchange.unavailableChunks().length / this.index.chunkCount;
   }
 
   /** Milliseconds that a whole copy takes at the rate at which the box may take chunks. */
@@ -192,7 +192,7 @@
     const isNew = this._startedAt - this.namedAt < NEW_VERSION_MILLISECONDS;
     if (!isNew && now - this._startedAt < HEARING_MILLISECONDS) return;
     const order = this._reachable(this._order);
-    const unseen = this.exchange.unseenChunks();
+    const unseen = this.exchange.unavailableChunks();
     this._progress.update(order, unseen, now);
     const { box } = this._options.services;
     const due = unseen.filter(
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -5,7 +5,7 @@
 import type { PeerView } from './peerView.js';
 
 /** A decision of the picker. */
-export interface Pick {
+export interface ChunkPick {
   chunk: number;
   peer: PeerView;
 }
@@ -62,7 +62,7 @@
   }
 
   /** Notes that `peer` holds `chunk`. */
-  noteHeld(peer: PeerView, chunk: number): void {
+  markHeld(peer: PeerView, chunk: number): void {
     if (!peer.held.add(chunk)) return;
     if (!peer.crossDataCentre) this._dataCentreHolders[chunk]++;
     else if (this._remoteSince[chunk] === Number.POSITIVE_INFINITY)
@@ -79,17 +79,17 @@
   }
 
   /** Marks a chunk as being fetched or drawn. */
-  begin(chunk: number): void {
+  markInFlight(chunk: number): void {
     this._inFlight.add(chunk);
   }
 
-  /** Ends {@link ChunkPicker.begin}. */
-  end(chunk: number): void {
+  /** Ends {@link ChunkPicker.markInFlight}. */
+  clearInFlight(chunk: number): void {
     this._inFlight.delete(chunk);
   }
 
   /** Whether any neighbour is known to hold the chunk. */
-  isSeen(chunk: number): boolean {
+  isAvailable(chunk: number): boolean {
     for (const peer of this._peers.values()) if (peer.held.has(chunk)) return true;
     return false;
   }
@@ -104,7 +104,7 @@
   }
 
   /** Returns the next fetch, or undefined when there is nothing to fetch now. */
-  next(): Pick | undefined {
+  next(): ChunkPick | undefined {
     const wanted = this._wanted();
     for (const chunk of wanted) {
       const peer = this._bestHolder(chunk);
--- a/src/weights/peerFetcher.ts
+++ b/src/weights/peerFetcher.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
 import { errorText } from '../utils/stepError.js';
-import type { ChunkPicker, Pick } from './chunkPicker.js';
+import type { ChunkPicker, ChunkPick } from './chunkPicker.js';
 import type { TransferBounds } from './chunkSource.js';
 import { CorruptChunkError, receiveChunk } from './chunkSource.js';
 import type { ManifestIndex } from './manifestIndex.js';
@@ -81,11 +81,11 @@
     }, IDLE_RETRY_MILLISECONDS);
   }
 
-  private async _fetch({ chunk, peer }: Pick): Promise<void> {
+  private async _fetch({ chunk, peer }: ChunkPick): Promise<void> {
     const { picker, store, logger, rollout } = this._options;
     this._fetching++;
     peer.inFlight++;
-    picker.begin(chunk);
+    picker.markInFlight(chunk);
     logger.decision('chunk.fetch', { rollout, chunk, peer: peer.box });
     try {
       store(chunk, await this._receive(chunk, peer), peer.crossDataCentre);
@@ -94,7 +94,7 @@
     } finally {
       this._fetching--;
       peer.inFlight--;
-      picker.end(chunk);
+      picker.clearInFlight(chunk);
       this.fill();
     }
   }
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -93,10 +93,10 @@
   }
 
   /** Chunks that are neither here nor at any neighbour, nor on their way. */
-  unseenChunks(): number[] {
+  unavailableChunks(): number[] {
     return this.held
       .missing()
-      .filter((chunk) => !this._picker.isInFlight(chunk) && !this._picker.isSeen(chunk));
+      .filter((chunk) => !this._picker.isInFlight(chunk) && !this._picker.isAvailable(chunk));
   }
 
   /** Missing chunks that only one neighbour is known to hold, and that neighbour. */
@@ -184,7 +184,7 @@
     if (!view) return;
     view.uploadQueue = uploadQueue;
     for (const chunk of chunks) {
-      if (chunk < this.held.size) this._picker.noteHeld(view, chunk);
+      if (chunk < this.held.size) this._picker.markHeld(view, chunk);
     }
     this._fetcher.fill();
   }
@@ -213,8 +213,8 @@
       isHeld: (chunk) => this.held.has(chunk),
       isInFlight: (chunk) => this._picker.isInFlight(chunk),
       begin: (chunk) => {
-        this._picker.begin(chunk);
-        return () => this._picker.end(chunk);
+        this._picker.markInFlight(chunk);
+        return () => this._picker.clearInFlight(chunk);
       },
       store: (chunk, data) => this._store(chunk, data, true),
       onChange: this._onChange,
--- a/tests/chunkPicker.spec.ts
+++ b/tests/chunkPicker.spec.ts
@@ -35,7 +35,7 @@
     const view = new PeerView(box, crossDataCentre, CHUNKS);
     view.connected = true;
     picker.addPeer(view);
-    for (const chunk of chunks) picker.noteHeld(view, chunk);
+    for (const chunk of chunks) picker.markHeld(view, chunk);
     return view;
   };
   return { picker, clock, held, peer };
@@ -52,7 +52,7 @@
   const { picker, held, peer } = stage();
   peer('a', [0, 1]);
   held.add(0);
-  picker.begin(1);
+  picker.markInFlight(1);
   expect(picker.next()).toEqual(undefined);
 });
 
