--- a/src/agent/agentDaemon.ts
+++ b/src/agent/agentDaemon.ts
@@ -225,7 +225,7 @@
   }
 
   private _onPlan(): void {
-    this._peers.want(this._hosts.neighbours().map((neighbour) => neighbour.member));
+    this._peers.setPeers(this._hosts.neighbours().map((neighbour) => neighbour.member));
     this._swarm.replayEarlyJoins();
   }
 
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -277,7 +277,7 @@
     const connected = connectedPeers(this._settings.box, members);
     const boxes = connected.map(({ box }) => box);
     this._group = switchGroup(this._settings.box, members);
-    this._peers.want(connected);
+    this._peers.setPeers(connected);
     this._messages.keep(boxes);
     this._stages.updateMembers();
     this._notices.list(boxes);
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -239,7 +239,7 @@
   /** The order without lost peers, unless so many are lost that they have yet to be connected. */
   private _reachable(order: readonly string[]): readonly string[] {
     const { peers } = this._options.services;
-    const lost = new Set([...this._peers].filter((box) => peers.isLost(box)));
+    const lost = new Set([...this._peers].filter((box) => peers.isUnreachable(box)));
     const reachable = this._peers.size - lost.size + 1;
     if (reachable * 2 <= this._peers.size + 1) return order;
     return withSubstitutes(order, lost);
--- a/src/weights/agentPeers.ts
+++ b/src/weights/agentPeers.ts
@@ -49,7 +49,7 @@
   }
 
   /** Whether a peer that is wanted cannot be reached, though its first connection has had its time. */
-  isLost(box: string): boolean {
+  isUnreachable(box: string): boolean {
     return !this._connections.has(box) && !this._awaited.has(box);
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** Keeps exactly these peers connected. */
-  want(members: readonly Member[]): void {
+  setPeers(members: readonly Member[]): void {
     const added = members.filter(({ box }) => !this._wanted.has(box));
     this._wanted.clear();
     for (const member of members) this._wanted.set(member.box, member);
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -142,7 +142,7 @@
     const crossDataCentre = this._dataCentreHolders[chunk] === 0;
     let best: PeerView | undefined;
     for (const peer of this._peers.values()) {
-      if (peer.crossDataCentre !== crossDataCentre || !peer.held.has(chunk) || !peer.usable(now)) continue;
+      if (peer.crossDataCentre !== crossDataCentre || !peer.held.has(chunk) || !peer.isUsable(now)) continue;
       if (peer.inFlight >= this._options.fetchesPerPeer) continue;
       if (!best || loadOf(peer) < loadOf(best)) best = peer;
     }
--- a/src/weights/peerFetcher.ts
+++ b/src/weights/peerFetcher.ts
@@ -133,7 +133,7 @@
     const { counts, logger, rollout } = this._options;
     counts.corruptChunks++;
     peer.countCorruptChunk();
-    if (peer.setAside) logger.state('peer.set-aside', { rollout, peer: peer.box });
+    if (peer.isExcluded) logger.state('peer.set-aside', { rollout, peer: peer.box });
   }
 }
 
--- a/src/weights/peerView.ts
+++ b/src/weights/peerView.ts
@@ -23,12 +23,12 @@
   }
 
   /** Whether to ask the peer for a chunk at `now` (monotonic milliseconds). */
-  usable(now: number): boolean {
-    return this.connected && !this.setAside && now >= this._avoidUntil;
+  isUsable(now: number): boolean {
+    return this.connected && !this.isExcluded && now >= this._avoidUntil;
   }
 
   /** Whether the peer has sent too many corrupt chunks. */
-  get setAside(): boolean {
+  get isExcluded(): boolean {
     return this._corruptChunks > CORRUPT_CHUNKS_ALLOWED;
   }
 
