--- a/src/protocol/boxMessages.ts
+++ b/src/protocol/boxMessages.ts
@@ -2,8 +2,8 @@
 import { z } from 'zod';
 import { countSchema, nameSchema } from './names.js';
 
-const MAXIMUM_LIST = 10_000;
-const MAXIMUM_NAME = 200;
+const MAXIMUM_LIST_LENGTH = 10_000;
+const MAXIMUM_NAME_LENGTH = 200;
 
 /** An entry that callers may use. */
 export const entryAddressSchema = z.object({
@@ -41,9 +41,9 @@
 export const entryPresenceSchema = z.object({
   type: z.literal('entry-presence'),
   entry: entryAddressSchema,
-  wanted: z.array(wantedVersionSchema).max(MAXIMUM_LIST),
+  wanted: z.array(wantedVersionSchema).max(MAXIMUM_LIST_LENGTH),
   /** The newest versions that the entry has heard of; absent where a sender does not tell them. */
-  heard: z.array(heardVersionSchema).max(MAXIMUM_LIST).optional(),
+  heard: z.array(heardVersionSchema).max(MAXIMUM_LIST_LENGTH).optional(),
   /** Where weights are read, as host:port; '' while unknown. */
   origin: z.string(),
   /** Whether the entry sends requests to the backend server of the box, and wants to hear its status. */
@@ -61,7 +61,7 @@
   type: z.literal('agent-list'),
   /** Revision of service discovery; an older list changes nothing. */
   revision: countSchema,
-  agents: z.array(agentAddressSchema).max(MAXIMUM_LIST),
+  agents: z.array(agentAddressSchema).max(MAXIMUM_LIST_LENGTH),
 });
 export type AgentList = z.infer<typeof agentListSchema>;
 
@@ -89,9 +89,9 @@
   type: z.literal('entry-list'),
   /** Whether these are all entries; else those that have changed since the last list on the connection. */
   whole: z.boolean(),
-  entries: z.array(entryAddressSchema).max(MAXIMUM_LIST),
+  entries: z.array(entryAddressSchema).max(MAXIMUM_LIST_LENGTH),
   /** Boxes of entries that are no longer connected. */
-  gone: z.array(nameSchema).max(MAXIMUM_LIST),
+  gone: z.array(nameSchema).max(MAXIMUM_LIST_LENGTH),
 });
 export type EntryList = z.infer<typeof entryListSchema>;
 
@@ -101,12 +101,12 @@
  */
 export const versionsHeardSchema = z.object({
   type: z.literal('versions-heard'),
-  versions: z.array(heardVersionSchema).max(MAXIMUM_LIST),
+  versions: z.array(heardVersionSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
 /** What a backend server asks of all entries, as its answers have told. */
 export const serverNoticeSchema = z.object({
-  server: z.string().max(MAXIMUM_NAME),
+  server: z.string().max(MAXIMUM_NAME_LENGTH),
   /** When the server started, in Unix milliseconds by its own clock; 0 where it is not told. */
   startedAt: countSchema,
   /** Requests a second that it takes from all entries together; null where it names no limit. */
@@ -123,7 +123,7 @@
  */
 export const serverNoticesSchema = z.object({
   type: z.literal('server-notices'),
-  notices: z.array(serverNoticeSchema).max(MAXIMUM_LIST),
+  notices: z.array(serverNoticeSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
 /** Asks the other end of a connection for a {@link linkEchoSchema}; answered by the connection itself. */
--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -39,7 +39,7 @@
 
 /** Heartbeats of a quiet connection within the silence that counts as its loss. */
 const HEARTBEATS_PER_TIMEOUT = 2.5;
-const care = new SharedInterval(LIVENESS_CHECK_INTERVAL_MILLISECONDS);
+const livenessChecks = new SharedInterval(LIVENESS_CHECK_INTERVAL_MILLISECONDS);
 /** Default time for a call to be answered, in milliseconds. */
 const CALL_TIMEOUT_MILLISECONDS = 5_000;
 
@@ -60,12 +60,12 @@
   private _opened = false;
   private _started = false;
   private _nextCall = 1;
-  private readonly _endCare: () => void;
-  private _secondLook: NodeJS.Timeout | undefined;
+  private readonly _stopLivenessChecks: () => void;
+  private _silenceRecheck: NodeJS.Timeout | undefined;
   private _lastSentAt = 0;
-  private _lastHeardAt = performance.now();
+  private _lastReceivedAt = performance.now();
   private _closed = false;
-  private readonly _delay = new RoundTripEstimator();
+  private readonly _roundTrip = new RoundTripEstimator();
 
   private constructor(socket: net.Socket, options: ControlOptions) {
     super();
@@ -75,21 +75,24 @@
     socket.on('data', (bytes: Buffer) => this._onData(bytes));
     socket.on('error', (error) => this.close(errorText(error)));
     socket.on('close', () => this.close('closed by peer'));
-    this._endCare = care.add(() => this._careFor(performance.now()));
+    this._stopLivenessChecks = livenessChecks.add(() => this._checkLiveness(performance.now()));
   }
 
   /** Connects to a listening peer and proves both ends. */
   static async connect(address: string, port: number, options: ControlOptions): Promise<ControlConnection> {
     const peer = `${address}:${port}`;
     const connection = new ControlConnection(net.connect({ host: address, port }), options);
-    await connection._bounded(connection._openAsClient(), peer);
+    await connection._openWithTimeout(connection._openAsClient(), peer);
     return connection;
   }
 
   /** Takes an accepted socket and proves both ends. */
   static async accept(socket: net.Socket, options: ControlOptions): Promise<ControlConnection> {
     const connection = new ControlConnection(socket, options);
-    await connection._bounded(connection._openAsServer(), `${socket.remoteAddress}:${socket.remotePort}`);
+    await connection._openWithTimeout(
+      connection._openAsServer(),
+      `${socket.remoteAddress}:${socket.remotePort}`,
+    );
     return connection;
   }
 
@@ -99,7 +102,7 @@
 
   /** Milliseconds since anything came from the peer; after the end of the connection as well. */
   get silentMilliseconds(): number {
-    return performance.now() - this._lastHeardAt;
+    return performance.now() - this._lastReceivedAt;
   }
 
   /** Delivers messages from now on; those that came before are delivered first. */
@@ -150,21 +153,21 @@
 
   /** Measures a round trip: what is sent may lie on a narrow link for seconds. */
   probe(): void {
-    if (this._delay.isAtProbeLimit) return;
-    this._write({ type: 'link-probe', number: this._delay.recordProbe(performance.now()) });
+    if (this._roundTrip.isAtProbeLimit) return;
+    this._write({ type: 'link-probe', number: this._roundTrip.recordProbe(performance.now()) });
   }
 
   /** How long a round trip takes at the least, in milliseconds, by the latest probes; 0 while none has been answered. */
   get delayMilliseconds(): number {
-    return this._delay.estimateMilliseconds(performance.now());
+    return this._roundTrip.estimateMilliseconds(performance.now());
   }
 
   /** Closes the connection at once. */
   close(reason: string): void {
     if (this._closed) return;
     this._closed = true;
-    clearTimeout(this._secondLook);
-    this._endCare();
+    clearTimeout(this._silenceRecheck);
+    this._stopLivenessChecks();
     this._socket.destroy();
     this.emit('close', reason);
   }
@@ -173,7 +176,7 @@
     return new StepError(`control.${type}`, reason, { peer: this.peer?.box });
   }
 
-  private async _bounded(opening: Promise<void>, peer: string): Promise<void> {
+  private async _openWithTimeout(opening: Promise<void>, peer: string): Promise<void> {
     const timeout = this._options.peerTimeoutMilliseconds;
     this.setMaxListeners(0);
     try {
@@ -228,7 +231,7 @@
 
   private _onData(bytes: Buffer): void {
     ControlConnection.totalBytes += bytes.length;
-    this._lastHeardAt = performance.now();
+    this._lastReceivedAt = performance.now();
     try {
       for (const frame of this._reader.push(bytes)) this._onFrame(frame);
     } catch (error) {
@@ -259,32 +262,32 @@
   private _dispatch(message: Message): void {
     if (message.type === 'reply') this._calls.get(message.call)?.(message);
     else if (message.type === 'link-probe') this._write({ type: 'link-echo', number: message.number });
-    else if (message.type === 'link-echo') this._delay.recordEcho(message.number, performance.now());
+    else if (message.type === 'link-echo') this._roundTrip.recordEcho(message.number, performance.now());
     else this.emit('message', message);
   }
 
   /** Silence after which the peer counts as gone, in milliseconds. */
-  private get _allowedSilence(): number {
+  private get _silenceTimeout(): number {
     const { identity, peerTimeoutMilliseconds } = this._options;
     if (!this._opened) return peerTimeoutMilliseconds;
     return silenceTimeout(identity.role, this.peer.role, peerTimeoutMilliseconds);
   }
 
   /** Looks whether the peer has been silent for too long, and sends what keeps a quiet connection alive. */
-  private _careFor(now: number): void {
-    const timeout = this._allowedSilence;
-    if (now - this._lastHeardAt > timeout) this._onSilence();
-    const nextCareAt = now + LIVENESS_CHECK_INTERVAL_MILLISECONDS;
-    const isDue = nextCareAt - this._lastSentAt > timeout / HEARTBEATS_PER_TIMEOUT;
+  private _checkLiveness(now: number): void {
+    const timeout = this._silenceTimeout;
+    if (now - this._lastReceivedAt > timeout) this._onSilence();
+    const nextCheckAt = now + LIVENESS_CHECK_INTERVAL_MILLISECONDS;
+    const isDue = nextCheckAt - this._lastSentAt > timeout / HEARTBEATS_PER_TIMEOUT;
     if (this._opened && isDue) this._writeFrame(HEARTBEAT_FRAME);
   }
 
   /** When this process itself was paused, what the peer sent meanwhile is still to be read: look once more. */
   private _onSilence(): void {
-    const heardAt = this._lastHeardAt;
-    this._secondLook ??= setTimeout(() => {
-      this._secondLook = undefined;
-      if (this._lastHeardAt === heardAt) this.close('silent for too long');
+    const lastReceivedAt = this._lastReceivedAt;
+    this._silenceRecheck ??= setTimeout(() => {
+      this._silenceRecheck = undefined;
+      if (this._lastReceivedAt === lastReceivedAt) this.close('silent for too long');
     }, SILENCE_RECHECK_MILLISECONDS);
   }
 
--- a/src/protocol/controlGauges.ts
+++ b/src/protocol/controlGauges.ts
@@ -2,11 +2,11 @@
 import { ControlConnection } from './controlConnection.js';
 
 /** Where figures are shown. */
-interface GaugeBoard {
+interface GaugeRegistry {
   gauge(name: string, read: () => number): void;
 }
 
-export function addControlGauges(metrics: GaugeBoard): void {
+export function addControlGauges(metrics: GaugeRegistry): void {
   metrics.gauge('control_messages_sent', () => ControlConnection.framesSent);
   metrics.gauge('control_messages_received', () => ControlConnection.framesReceived);
   metrics.gauge('control_bytes', () => ControlConnection.totalBytes);
--- a/src/protocol/frameCodec.ts
+++ b/src/protocol/frameCodec.ts
@@ -15,7 +15,7 @@
  * Items of so many bytes are compressed. One that reads the store sends a configuration of 0.7 MB to each of a hundred
  * entries: 560 Mbit, through a link of as little as 28 Mbit/s, while it has to be in force everywhere within seconds.
  */
-const COMPRESSED_FROM_BYTES = 16 * 1024;
+const COMPRESSION_THRESHOLD_BYTES = 16 * 1024;
 /** Configurations repeat themselves so much that a closer search saves next to nothing and costs several times as much. */
 const COMPRESSION_LEVEL = 1;
 
@@ -30,11 +30,11 @@
   const body = encoder.encode(message);
   if (body.length > MAXIMUM_FRAME_BYTES)
     throw new StepError('frame.encode', `${body.length} bytes is over the limit`);
-  const isCompressed = body.length >= COMPRESSED_FROM_BYTES;
-  const sent = isCompressed ? deflateRawSync(body, { level: COMPRESSION_LEVEL }) : body;
-  const frame = Buffer.allocUnsafe(LENGTH_BYTES + sent.length);
-  frame.writeUInt32BE(isCompressed ? COMPRESSED_BIT + sent.length : sent.length, 0);
-  sent.copy(frame, LENGTH_BYTES);
+  const isCompressed = body.length >= COMPRESSION_THRESHOLD_BYTES;
+  const payload = isCompressed ? deflateRawSync(body, { level: COMPRESSION_LEVEL }) : body;
+  const frame = Buffer.allocUnsafe(LENGTH_BYTES + payload.length);
+  frame.writeUInt32BE(isCompressed ? COMPRESSED_BIT + payload.length : payload.length, 0);
+  payload.copy(frame, LENGTH_BYTES);
   return frame;
 }
 
@@ -62,22 +62,22 @@
 
   private _nextBody(): FrameBody | undefined {
     if (this._pendingBytes < LENGTH_BYTES) return undefined;
-    if (this._pending[0].length < LENGTH_BYTES) this._join();
-    const told = this._pending[0].readUInt32BE(0);
-    const isCompressed = told >= COMPRESSED_BIT;
-    const length = isCompressed ? told - COMPRESSED_BIT : told;
+    if (this._pending[0].length < LENGTH_BYTES) this._concatenatePending();
+    const lengthField = this._pending[0].readUInt32BE(0);
+    const isCompressed = lengthField >= COMPRESSED_BIT;
+    const length = isCompressed ? lengthField - COMPRESSED_BIT : lengthField;
     if (length > MAXIMUM_FRAME_BYTES)
       throw new StepError('frame.decode', `${length} bytes is over the limit`);
     if (this._pendingBytes < LENGTH_BYTES + length) return undefined;
-    this._join();
-    const all = this._pending[0];
-    const rest = all.subarray(LENGTH_BYTES + length);
+    this._concatenatePending();
+    const buffered = this._pending[0];
+    const rest = buffered.subarray(LENGTH_BYTES + length);
     this._pending = rest.length > 0 ? [rest] : [];
     this._pendingBytes = rest.length;
-    return { bytes: all.subarray(LENGTH_BYTES, LENGTH_BYTES + length), isCompressed };
+    return { bytes: buffered.subarray(LENGTH_BYTES, LENGTH_BYTES + length), isCompressed };
   }
 
-  private _join(): void {
+  private _concatenatePending(): void {
     if (this._pending.length > 1) this._pending = [Buffer.concat(this._pending)];
   }
 
--- a/src/protocol/names.ts
+++ b/src/protocol/names.ts
@@ -1,16 +1,14 @@
 /** Checked names and small shared shapes of the wire. */
 import { z } from 'zod';
 
-const NAME_ALLOWED = '1 to 63 of a-z, 0-9 and -, not starting with -';
-const VERSION_ALLOWED = '1 to 63 of A-Z, a-z, 0-9, ., _ and -';
+const NAME_RULE = '1 to 63 of a-z, 0-9 and -, not starting with -';
+const VERSION_RULE = '1 to 63 of A-Z, a-z, 0-9, ., _ and -';
 
 /** Names of customers, configurations, models, boxes and data centres: short, and safe in a URL path. */
-export const nameSchema = z.string(NAME_ALLOWED).regex(/^[a-z0-9][a-z0-9-]{0,62}$/, NAME_ALLOWED);
+export const nameSchema = z.string(NAME_RULE).regex(/^[a-z0-9][a-z0-9-]{0,62}$/, NAME_RULE);
 
 /** Versions of a model or template. */
-export const versionSchema = z
-  .string(VERSION_ALLOWED)
-  .regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, VERSION_ALLOWED);
+export const versionSchema = z.string(VERSION_RULE).regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, VERSION_RULE);
 
 /** A SHA-256 in lower-case hex. */
 export const digestSchema = z.string().regex(/^[0-9a-f]{64}$/, 'must be 64 hex digits');
--- a/src/protocol/recordMessages.ts
+++ b/src/protocol/recordMessages.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import { countSchema } from './names.js';
 
-const MAXIMUM_LIST = 100_000;
+const MAXIMUM_LIST_LENGTH = 100_000;
 
 /** Revisions of the store by kind of record. */
 const revisionsSchema = z.record(z.string(), countSchema);
@@ -29,8 +29,8 @@
   kind: z.string(),
   revision: countSchema,
   whole: z.boolean(),
-  objects: z.array(objectSchema).max(MAXIMUM_LIST),
-  gone: z.array(z.string()).max(MAXIMUM_LIST),
+  objects: z.array(objectSchema).max(MAXIMUM_LIST_LENGTH),
+  gone: z.array(z.string()).max(MAXIMUM_LIST_LENGTH),
 });
 export type RecordChanges = z.infer<typeof recordChangesSchema>;
 
@@ -52,7 +52,7 @@
         retainedMilliseconds: z.number().nonnegative(),
       }),
     )
-    .max(MAXIMUM_LIST),
+    .max(MAXIMUM_LIST_LENGTH),
 });
 export type RecordsRetained = z.infer<typeof recordsRetainedSchema>;
 
--- a/src/protocol/roundTripEstimator.ts
+++ b/src/protocol/roundTripEstimator.ts
@@ -1,39 +1,40 @@
 /** How long a message and its answer take on a connection, by numbered probes. */
 
 /** A round trip that was measured longer ago says nothing of the link now. */
-const FRESH_MILLISECONDS = 1_500;
+const MAXIMUM_MEASUREMENT_AGE_MILLISECONDS = 1_500;
 /** Longest time since the last probe that counts: probes come more often, and a process that was paused has sent none meanwhile. */
-const LONGEST_GAP_MILLISECONDS = 300;
+const MAXIMUM_PROBE_GAP_MILLISECONDS = 300;
 /** Probes that are waited for; more say nothing that the oldest does not say. */
-const MOST_OPEN = 8;
+const MAXIMUM_OUTSTANDING_PROBES = 8;
 
 /** Monotonic milliseconds throughout. One per connection. */
 export class RoundTripEstimator {
   /** When each unanswered probe was sent, by its number, the oldest first. */
-  private readonly _open = new Map<number, number>();
-  private _next = 0;
+  private readonly _outstanding = new Map<number, number>();
+  private _nextNumber = 0;
   private _lastSentAt = 0;
   private _roundTrip = 0;
   private _measuredAt = Number.NEGATIVE_INFINITY;
 
   /** Whether so many probes wait for their answers that another one would say nothing. */
   get isAtProbeLimit(): boolean {
-    return this._open.size >= MOST_OPEN;
+    return this._outstanding.size >= MAXIMUM_OUTSTANDING_PROBES;
   }
 
   /** Notes that a probe is sent; returns its number. */
   recordProbe(now: number): number {
-    const number = this._next++;
-    this._open.set(number, now);
+    const number = this._nextNumber++;
+    this._outstanding.set(number, now);
     this._lastSentAt = now;
     return number;
   }
 
   /** Notes the answer to a probe. Answers come in the order of the probes. */
   recordEcho(number: number, now: number): void {
-    const sentAt = this._open.get(number);
+    const sentAt = this._outstanding.get(number);
     if (sentAt === undefined) return;
-    for (const earlier of [...this._open.keys()]) if (earlier <= number) this._open.delete(earlier);
+    for (const earlier of [...this._outstanding.keys()])
+      if (earlier <= number) this._outstanding.delete(earlier);
     this._roundTrip = now - sentAt;
     this._measuredAt = now;
   }
@@ -44,9 +45,9 @@
    */
   estimateMilliseconds(now: number): number {
     if (this._measuredAt === Number.NEGATIVE_INFINITY) return 0;
-    const measured = now - this._measuredAt < FRESH_MILLISECONDS ? this._roundTrip : 0;
-    const [oldest] = this._open.values();
-    const waitedUntil = Math.min(now, this._lastSentAt + LONGEST_GAP_MILLISECONDS);
+    const measured = now - this._measuredAt < MAXIMUM_MEASUREMENT_AGE_MILLISECONDS ? this._roundTrip : 0;
+    const [oldest] = this._outstanding.values();
+    const waitedUntil = Math.min(now, this._lastSentAt + MAXIMUM_PROBE_GAP_MILLISECONDS);
     return Math.max(measured, oldest === undefined ? 0 : waitedUntil - oldest);
   }
 }
