--- a/src/weights/agentPeers.ts
+++ b/src/weights/agentPeers.ts
@@ -17,12 +17,12 @@
   onPeerMessage(box: string, message: Message): void;
 }
 
-const REDIAL = { firstMilliseconds: 50, longestMilliseconds: 2_000 };
+const REDIAL_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 2_000 };
 /**
  * How long the first connection to a peer may take before the peer counts as lost: processes that start together meet within 0.2 s.
  * While it counted from the first moment, others drew its chunks as well, in 1 of 12 starts of four boxes on a busy machine.
  */
-const FIRST_CONNECTION_MILLISECONDS = 500;
+const FIRST_CONNECTION_TIMEOUT_MILLISECONDS = 500;
 
 /** Dials wanted peers whose box sorts after ours; the others dial us. */
 export class AgentPeers {
@@ -34,7 +34,7 @@
   private readonly _connections = new Map<string, ControlConnection>();
   private readonly _dialing = new Set<string>();
   /** Peers whose first connection is on its way, with the timers that end this. */
-  private readonly _awaited = new Map<string, NodeJS.Timeout>();
+  private readonly _firstConnectionTimers = new Map<string, NodeJS.Timeout>();
   private readonly _stopped = new AbortController();
 
   constructor(options: ControlOptions, random: Random, logger: Logger, listener: AgentPeersListener) {
@@ -50,7 +50,7 @@
 
   /** Whether a peer that is wanted cannot be reached, though its first connection has had its time. */
   isUnreachable(box: string): boolean {
-    return !this._connections.has(box) && !this._awaited.has(box);
+    return !this._connections.has(box) && !this._firstConnectionTimers.has(box);
   }
 
   /** Sends to a connected peer; dropped otherwise. */
@@ -72,7 +72,7 @@
     const added = members.filter(({ box }) => !this._wanted.has(box));
     this._wanted.clear();
     for (const member of members) this._wanted.set(member.box, member);
-    for (const { box } of added) this._await(box);
+    for (const { box } of added) this._awaitFirstConnection(box);
     for (const member of members) this._dial(member);
   }
 
@@ -81,7 +81,7 @@
     const { box } = connection.peer;
     this._connections.get(box)?.close('replaced by a newer connection');
     this._connections.set(box, connection);
-    this._endAwaiting(box);
+    this._clearFirstConnectionTimer(box);
     connection.on('message', (message) => this._listener.onPeerMessage(box, message));
     connection.once('close', (reason) => this._onClose(box, connection, reason));
     this._listener.onPeerUp(box);
@@ -90,7 +90,7 @@
 
   close(): void {
     this._stopped.abort();
-    for (const box of [...this._awaited.keys()]) this._endAwaiting(box);
+    for (const box of [...this._firstConnectionTimers.keys()]) this._clearFirstConnectionTimer(box);
     for (const connection of this._connections.values()) connection.close('shutting down');
   }
 
@@ -103,27 +103,30 @@
     if (member) this._dial(member);
   }
 
-  private _await(box: string): void {
-    if (this._connections.has(box) || this._awaited.has(box)) return;
-    const timer = setTimeout(() => this._endAwaiting(box), FIRST_CONNECTION_MILLISECONDS);
-    this._awaited.set(box, timer);
+  private _awaitFirstConnection(box: string): void {
+    if (this._connections.has(box) || this._firstConnectionTimers.has(box)) return;
+    const timer = setTimeout(
+      () => this._clearFirstConnectionTimer(box),
+      FIRST_CONNECTION_TIMEOUT_MILLISECONDS,
+    );
+    this._firstConnectionTimers.set(box, timer);
   }
 
-  private _endAwaiting(box: string): void {
-    clearTimeout(this._awaited.get(box));
-    this._awaited.delete(box);
+  private _clearFirstConnectionTimer(box: string): void {
+    clearTimeout(this._firstConnectionTimers.get(box));
+    this._firstConnectionTimers.delete(box);
   }
 
   private _dial(member: Member): void {
     const { box } = member;
-    const dialsUs = compareText(this._options.identity.box, box) > 0;
-    if (dialsUs || this._connections.has(box) || this._dialing.has(box)) return;
+    const peerDials = compareText(this._options.identity.box, box) > 0;
+    if (peerDials || this._connections.has(box) || this._dialing.has(box)) return;
     this._dialing.add(box);
     void this._dialUntilConnected(member).finally(() => this._dialing.delete(box));
   }
 
   private async _dialUntilConnected(member: Member): Promise<void> {
-    const backoff = new Backoff(REDIAL, this._random);
+    const backoff = new Backoff(REDIAL_BACKOFF, this._random);
     while (this._wanted.has(member.box) && !this._stopped.signal.aborted) {
       try {
         this.attach(await ControlConnection.connect(member.address, member.controlPort, this._options));
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -32,13 +32,13 @@
   private readonly _options: ChunkPickerOptions;
   private readonly _peers = new Map<string, PeerView>();
   private readonly _inFlight = new Set<number>();
-  private readonly _dataCentreHolders: Uint16Array;
-  private readonly _remoteSince: Float64Array;
+  private readonly _holdersInDataCentre: Uint16Array;
+  private readonly _firstRemoteHolderAt: Float64Array;
 
   constructor(options: ChunkPickerOptions) {
     this._options = options;
-    this._dataCentreHolders = new Uint16Array(options.held.size);
-    this._remoteSince = new Float64Array(options.held.size).fill(Number.POSITIVE_INFINITY);
+    this._holdersInDataCentre = new Uint16Array(options.held.size);
+    this._firstRemoteHolderAt = new Float64Array(options.held.size).fill(Number.POSITIVE_INFINITY);
   }
 
   addPeer(peer: PeerView): void {
@@ -64,9 +64,9 @@
   /** Notes that `peer` holds `chunk`. */
   markHeld(peer: PeerView, chunk: number): void {
     if (!peer.held.add(chunk)) return;
-    if (!peer.crossDataCentre) this._dataCentreHolders[chunk]++;
-    else if (this._remoteSince[chunk] === Number.POSITIVE_INFINITY)
-      this._remoteSince[chunk] = this._options.clock.now();
+    if (!peer.crossDataCentre) this._holdersInDataCentre[chunk]++;
+    else if (this._firstRemoteHolderAt[chunk] === Number.POSITIVE_INFINITY)
+      this._firstRemoteHolderAt[chunk] = this._options.clock.now();
   }
 
   /** Forgets what a disconnected peer held. */
@@ -74,7 +74,7 @@
     this._peers.delete(peer.box);
     if (peer.crossDataCentre) return;
     for (let chunk = 0; chunk < peer.held.size; chunk++) {
-      if (peer.held.has(chunk)) this._dataCentreHolders[chunk]--;
+      if (peer.held.has(chunk)) this._holdersInDataCentre[chunk]--;
     }
   }
 
@@ -105,8 +105,8 @@
 
   /** Returns the next fetch, or undefined when there is nothing to fetch now. */
   next(): ChunkPick | undefined {
-    const wanted = this._wanted();
-    for (const chunk of wanted) {
+    const candidates = this._candidates();
+    for (const chunk of candidates) {
       const peer = this._bestHolder(chunk);
       if (peer) return { chunk, peer };
     }
@@ -114,32 +114,32 @@
   }
 
   /** Chunks worth fetching: imports first, then rarest first; equals in random order. */
-  private _wanted(): number[] {
+  private _candidates(): number[] {
     const { held, random } = this._options;
     const wanted: { chunk: number; order: number }[] = [];
     for (let chunk = 0; chunk < held.size; chunk++) {
       if (held.has(chunk) || this._inFlight.has(chunk)) continue;
-      const holders = this._dataCentreHolders[chunk];
+      const holders = this._holdersInDataCentre[chunk];
       if (holders > 0 || this._mayImport(chunk)) wanted.push({ chunk, order: holders + random.fraction() });
     }
     return wanted.sort((a, b) => a.order - b.order).map((item) => item.chunk);
   }
 
   private _mayImport(chunk: number): boolean {
-    if (this._remoteSince[chunk] === Number.POSITIVE_INFINITY) return false;
+    if (this._firstRemoteHolderAt[chunk] === Number.POSITIVE_INFINITY) return false;
     const importers = this._options.importers(chunk);
     if (importers === undefined) return true;
     const position = importers.indexOf(this._options.box);
     if (position < 0) return false;
-    const before = importers.slice(0, position).filter((box) => this._peers.has(box)).length;
-    const waited = this._options.clock.now() - this._remoteSince[chunk];
-    return waited >= before * this._options.importStepMilliseconds;
+    const connectedBefore = importers.slice(0, position).filter((box) => this._peers.has(box)).length;
+    const waited = this._options.clock.now() - this._firstRemoteHolderAt[chunk];
+    return waited >= connectedBefore * this._options.importStepMilliseconds;
   }
 
   /** The least loaded usable holder; other data centres only when no neighbour of the own data centre holds the chunk. */
   private _bestHolder(chunk: number): PeerView | undefined {
     const now = this._options.clock.now();
-    const crossDataCentre = this._dataCentreHolders[chunk] === 0;
+    const crossDataCentre = this._holdersInDataCentre[chunk] === 0;
     let best: PeerView | undefined;
     for (const peer of this._peers.values()) {
       if (peer.crossDataCentre !== crossDataCentre || !peer.held.has(chunk) || !peer.isUsable(now)) continue;
--- a/src/weights/chunkSource.ts
+++ b/src/weights/chunkSource.ts
@@ -31,7 +31,7 @@
   peer: string,
 ): Promise<Buffer> {
   const abort = new AbortController();
-  const stalled = setTimeout(() => abort.abort(), bounds.stallMilliseconds);
+  const stallTimer = setTimeout(() => abort.abort(), bounds.stallMilliseconds);
   const data = Buffer.allocUnsafeSlow(description.size);
   const hash = createHash('sha256');
   let received = 0;
@@ -44,13 +44,13 @@
       received += piece.length;
       hash.update(piece);
       await bounds.incoming.acquire(piece.length);
-      stalled.refresh();
+      stallTimer.refresh();
     }
   } catch (error) {
     if (abort.signal.aborted) throw new StepError('chunk.receive', 'stalled', { peer, cause: error });
     throw error;
   } finally {
-    clearTimeout(stalled);
+    clearTimeout(stallTimer);
   }
   if (received < data.length) throw new StepError('chunk.receive', 'ended early', { peer });
   if (hash.digest('hex') !== description.digest)
--- a/src/weights/chunkStore.ts
+++ b/src/weights/chunkStore.ts
@@ -57,10 +57,10 @@
   retain(owner: string, customer: string, chunks: readonly ChunkDescription[]): RetainOutcome {
     if (this._owners.has(owner)) return 'retained';
     const wanted = new Map(chunks.map((chunk) => [keyOf(customer, chunk.digest), chunk.size]));
-    const fresh = [...wanted].filter(([key]) => !this._retained.has(key));
-    const freshBytes = fresh.reduce((sum, [, size]) => sum + size, 0);
-    if (this._retainedBytes + freshBytes > this.limitBytes) return 'full';
-    this._retainedBytes += freshBytes;
+    const added = [...wanted].filter(([key]) => !this._retained.has(key));
+    const addedBytes = added.reduce((sum, [, size]) => sum + size, 0);
+    if (this._retainedBytes + addedBytes > this.limitBytes) return 'full';
+    this._retainedBytes += addedBytes;
     this._owners.set(owner, [...wanted.keys()]);
     for (const [key, size] of wanted) {
       const retained = this._retained.get(key) ?? { size, owners: 0 };
@@ -74,10 +74,10 @@
   release(owner: string): void {
     const keys = this._owners.get(owner) ?? [];
     this._owners.delete(owner);
-    for (const key of keys) this._letGo(key);
+    for (const key of keys) this._dropOwnerOf(key);
   }
 
-  private _letGo(key: string): void {
+  private _dropOwnerOf(key: string): void {
     const retained = this._retained.get(key)!;
     retained.owners--;
     if (retained.owners > 0) return;
--- a/src/weights/exchangeTopology.ts
+++ b/src/weights/exchangeTopology.ts
@@ -9,9 +9,9 @@
 /** Boxes per data centre that exchange with other data centres. */
 const GATEWAYS_PER_DATA_CENTRE = 8;
 /** Boxes that draw from the origin at the same time, over all data centres, for a rollout of weight 1. */
-const DRAWERS = 9;
+const ORIGIN_FETCHERS = 9;
 /** What a box draws leaves it once for each data centre; so many drawers a data centre let their outgoing links keep up. */
-const LEAST_DRAWERS_PER_DATA_CENTRE = 2;
+const MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE = 2;
 /** Up to this many boxes, all boxes of a data centre know each other. */
 const FULL_MESH_BOXES = 16;
 
@@ -30,7 +30,7 @@
     const isGateway = own.gateways.some((member) => member.box === box);
     const neighbours = [
       ...dataCentreNeighbours(own, box),
-      ...(isGateway ? crossNeighbours(dataCentres, own) : []),
+      ...(isGateway ? crossDataCentreNeighbours(dataCentres, own) : []),
     ];
     const gateways = own.gateways.map((member) => member.box);
     return { neighbours, importers: (chunk) => rotated(gateways, chunk % gateways.length) };
@@ -41,7 +41,7 @@
     members: readonly Member[],
     weight: number,
   ): Map<string, number[]> {
-    const drawers = drawersOf(dataCentreLayouts(members), weight);
+    const drawers = chooseOriginFetchers(dataCentreLayouts(members), weight);
     const draws = new Map<string, number[]>();
     missing.forEach((chunk, position) => {
       const { box } = drawers[position % drawers.length];
@@ -66,8 +66,11 @@
 }
 
 /** Takes gateways in turn from each data centre. */
-function drawersOf(dataCentres: readonly DataCentreLayout[], weight: number): Member[] {
-  const wanted = Math.max(LEAST_DRAWERS_PER_DATA_CENTRE * dataCentres.length, Math.round(DRAWERS * weight));
+function chooseOriginFetchers(dataCentres: readonly DataCentreLayout[], weight: number): Member[] {
+  const wanted = Math.max(
+    MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE * dataCentres.length,
+    Math.round(ORIGIN_FETCHERS * weight),
+  );
   const drawers: Member[] = [];
   for (let rank = 0; rank < GATEWAYS_PER_DATA_CENTRE && drawers.length < wanted; rank++) {
     for (const { gateways } of dataCentres) {
@@ -95,7 +98,10 @@
   return [...chosen].map((index) => ({ member: members[index], crossDataCentre: false }));
 }
 
-function crossNeighbours(dataCentres: readonly DataCentreLayout[], own: DataCentreLayout): Neighbour[] {
+function crossDataCentreNeighbours(
+  dataCentres: readonly DataCentreLayout[],
+  own: DataCentreLayout,
+): Neighbour[] {
   const others = dataCentres.filter((layout) => layout !== own).flatMap((layout) => layout.gateways);
   return others.map((member) => ({ member, crossDataCentre: true }));
 }
--- a/src/weights/haveAnnouncer.ts
+++ b/src/weights/haveAnnouncer.ts
@@ -1,11 +1,11 @@
 /** Gathers newly held chunks and tells the neighbours about several at once. */
 
 /** How long new chunks are gathered. */
-const GATHER_MILLISECONDS = 20;
+const BATCH_MILLISECONDS = 20;
 
 export class HaveAnnouncer {
   private readonly _announce: (chunks: number[]) => void;
-  private _fresh: number[] = [];
+  private _pending: number[] = [];
   private _timer: NodeJS.Timeout | undefined;
 
   constructor(announce: (chunks: number[]) => void) {
@@ -14,8 +14,8 @@
 
   /** Adds a chunk to the next announcement. */
   add(chunk: number): void {
-    this._fresh.push(chunk);
-    this._timer ??= setTimeout(() => this._flush(), GATHER_MILLISECONDS);
+    this._pending.push(chunk);
+    this._timer ??= setTimeout(() => this._flush(), BATCH_MILLISECONDS);
   }
 
   stop(): void {
@@ -24,8 +24,8 @@
 
   private _flush(): void {
     this._timer = undefined;
-    const chunks = this._fresh;
-    this._fresh = [];
+    const chunks = this._pending;
+    this._pending = [];
     this._announce(chunks);
   }
 }
