--- a/src/weights/originFetcher.ts
+++ b/src/weights/originFetcher.ts
@@ -31,7 +31,7 @@
 }
 
 /** How a draw ended. `not-sent` cost the origin nothing and may be tried again under the same grant. */
-type DrawEnd = 'done' | 'failed' | 'not-sent';
+type FetchOutcome = 'done' | 'failed' | 'not-sent';
 
 /**
  * While the origin is gone, the boxes that draw from it, a dozen at most, ask again so often: a version can be needed most
@@ -46,11 +46,11 @@
   private readonly _failed = new Set<number>();
   /** Chunks that are drawn even while they are fetched from a neighbour. */
   private readonly _urgent = new Set<number>();
-  private _drawing = false;
+  private _isFetching = false;
   /** The chunk that is on its way from the origin. */
   private _current: number | undefined;
   /** Whether the turn of {@link _current} has passed to another box: it is not asked for again. */
-  private _currentPassed = false;
+  private _isCurrentReassigned = false;
 
   constructor(options: OriginFetcherOptions) {
     this._options = options;
@@ -83,12 +83,12 @@
   keepOnly(chunks: readonly number[]): void {
     const kept = new Set([...chunks, ...this._urgent]);
     this._open = this._open.filter((chunk) => chunk === this._current || kept.has(chunk));
-    this._currentPassed = this._current !== undefined && !kept.has(this._current);
+    this._isCurrentReassigned = this._current !== undefined && !kept.has(this._current);
   }
 
   /** Draws what is open, if the version has room. */
   resume(): void {
-    if (this._options.mayFetch()) void this._drawAll();
+    if (this._options.mayFetch()) void this._fetchAll();
   }
 
   /** Gives up all draws that have not begun, so that they can be granted to another box. */
@@ -96,33 +96,33 @@
     this._open.splice(1);
   }
 
-  private async _drawAll(): Promise<void> {
-    if (this._drawing) return;
-    this._drawing = true;
+  private async _fetchAll(): Promise<void> {
+    if (this._isFetching) return;
+    this._isFetching = true;
     const backoff = new Backoff(ORIGIN_RETRY_BACKOFF, this._options.random);
     while (this._open.length > 0 && !this._options.signal.aborted) {
       const chunk = this._open[0];
-      this._currentPassed = false;
-      const waits = this._options.isInFlight(chunk) && !this._urgent.has(chunk);
-      const end = waits ? 'not-sent' : await this._draw(chunk);
+      this._isCurrentReassigned = false;
+      const mustWait = this._options.isInFlight(chunk) && !this._urgent.has(chunk);
+      const end = mustWait ? 'not-sent' : await this._fetch(chunk);
       if (end === 'not-sent') {
-        if (this._currentPassed) this._close(chunk);
+        if (this._isCurrentReassigned) this._removeOpen(chunk);
         await pause(backoff.nextWait(), this._options.signal);
         continue;
       }
-      this._close(chunk);
+      this._removeOpen(chunk);
       if (end === 'failed') this._failed.add(chunk);
       backoff.reset();
       this._options.onChange();
     }
-    this._drawing = false;
+    this._isFetching = false;
   }
 
-  private _close(chunk: number): void {
+  private _removeOpen(chunk: number): void {
     this._open = this._open.filter((open) => open !== chunk);
   }
 
-  private async _draw(chunk: number): Promise<DrawEnd> {
+  private async _fetch(chunk: number): Promise<FetchOutcome> {
     const { index, bounds, counts, logger, isHeld, begin, store } = this._options;
     if (isHeld(chunk)) return 'done';
     const before = counts.originBytes;
--- a/src/weights/peerFetcher.ts
+++ b/src/weights/peerFetcher.ts
@@ -49,7 +49,7 @@
 
   /** Starts as many fetches as there are slots and chunks worth fetching. */
   fill(): void {
-    while (this._mayFetch()) {
+    while (this._canStartFetch()) {
       const pick = this._options.mayFetch() ? this._options.picker.next() : undefined;
       if (!pick) {
         this._retryWhenIdle();
@@ -68,7 +68,7 @@
     clearTimeout(this._idleTimer);
   }
 
-  private _mayFetch(): boolean {
+  private _canStartFetch(): boolean {
     const { isComplete, signal } = this._options;
     return this._fetching < this._options.bounds.fetchesAtOnce && !isComplete() && !signal.aborted;
   }
--- a/src/weights/peerView.ts
+++ b/src/weights/peerView.ts
@@ -2,7 +2,7 @@
 import { Bitset } from '../utils/bitset.js';
 
 /** Corrupt chunks after which a peer is set aside for the rest of the rollout. */
-const CORRUPT_CHUNKS_ALLOWED = 2;
+const MAXIMUM_CORRUPT_CHUNKS = 2;
 
 export class PeerView {
   readonly box: string;
@@ -29,7 +29,7 @@
 
   /** Whether the peer has sent too many corrupt chunks. */
   get isExcluded(): boolean {
-    return this._corruptChunks > CORRUPT_CHUNKS_ALLOWED;
+    return this._corruptChunks > MAXIMUM_CORRUPT_CHUNKS;
   }
 
   /** Passes over the peer until `time`. */
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -14,9 +14,9 @@
 
 const FETCHES_PER_PEER = 1;
 /** How often a version that found no room looks for it again. */
-const ROOM_RETRY_MILLISECONDS = 500;
+const MEMORY_RETRY_MILLISECONDS = 500;
 /** How often neighbours in other data centres are told everything. */
-const REFRESH_MILLISECONDS = 2_000;
+const CROSS_DATA_CENTRE_REFRESH_MILLISECONDS = 2_000;
 
 /** Fetches what is missing until the version is complete, and answers neighbours throughout. */
 export class RolloutExchange {
@@ -35,15 +35,15 @@
   private readonly _index: ManifestIndex;
   private readonly _picker: ChunkPicker;
   private readonly _onChange: () => void;
-  private readonly _drawer: OriginFetcher;
-  private readonly _fetcher: PeerFetcher;
-  private readonly _brought = new Set<number>();
-  private readonly _refreshTimer = setInterval(() => this._refresh(), REFRESH_MILLISECONDS);
+  private readonly _originFetcher: OriginFetcher;
+  private readonly _peerFetcher: PeerFetcher;
+  private readonly _imported = new Set<number>();
+  private readonly _refreshTimer = setInterval(() => this._refresh(), CROSS_DATA_CENTRE_REFRESH_MILLISECONDS);
   private readonly _announcer = new HaveAnnouncer((chunks) => this._announce(chunks));
   private readonly _stopped = new AbortController();
   private _topology: Topology;
-  private _members: Map<string, Neighbour>;
-  private _roomTimer: NodeJS.Timeout | undefined;
+  private _neighbours: Map<string, Neighbour>;
+  private _memoryTimer: NodeJS.Timeout | undefined;
 
   /** `onChange` is called whenever the number of held chunks or the problem changes. */
   constructor(services: ExchangeServices, plan: PlanMessage, index: ManifestIndex, onChange: () => void) {
@@ -54,7 +54,7 @@
     this._onChange = onChange;
     this.held = new Bitset(index.chunkCount);
     this._topology = this._topologyFor(plan);
-    this._members = byBox(this._topology.neighbours);
+    this._neighbours = byBox(this._topology.neighbours);
     this._picker = new ChunkPicker({
       held: this.held,
       clock: services.clock,
@@ -64,8 +64,8 @@
       importStepMilliseconds: services.bounds.importStepMilliseconds,
       fetchesPerPeer: FETCHES_PER_PEER,
     });
-    this._drawer = this._createDrawer();
-    this._fetcher = this._createFetcher();
+    this._originFetcher = this._createOriginFetcher();
+    this._peerFetcher = this._createPeerFetcher();
   }
 
   get complete(): boolean {
@@ -74,22 +74,22 @@
 
   /** Whether chunks are on their way from other boxes. */
   get isFetching(): boolean {
-    return this._fetcher.fetching > 0;
+    return this._peerFetcher.fetching > 0;
   }
 
   /** Chunks that are on their way from other boxes. */
   get fetching(): number {
-    return this._fetcher.fetching;
+    return this._peerFetcher.fetching;
   }
 
   /** Granted draws that have not ended, in order. */
   get openDraws(): readonly number[] {
-    return this._drawer.open;
+    return this._originFetcher.open;
   }
 
   /** Draws that took bytes and failed; each needs a new grant. */
   get failedDraws(): number[] {
-    return this._drawer.failed;
+    return this._originFetcher.failed;
   }
 
   /** Chunks that are neither here nor at any neighbour, nor on their way. */
@@ -110,16 +110,16 @@
   }
 
   get neighbours(): Neighbour[] {
-    return [...this._members.values()];
+    return [...this._neighbours.values()];
   }
 
   /** Sets memory aside, takes over what the store holds already and opens the exchange. */
   start(): void {
-    if (this._stopped.signal.aborted || !this._findRoom()) return;
+    if (this._stopped.signal.aborted || !this._reserveMemory()) return;
     this._adoptStoredChunks();
     this.updateMembers(this._plan);
-    this._drawer.resume();
-    this._fetcher.fill();
+    this._originFetcher.resume();
+    this._peerFetcher.fill();
     this._onChange();
   }
 
@@ -130,7 +130,7 @@
     for (const peer of [...this._picker.peers()]) {
       if (!wanted.has(peer.box)) this._picker.removePeer(peer);
     }
-    this._members = wanted;
+    this._neighbours = wanted;
     for (const { member } of wanted.values()) {
       if (this._services.peers.isConnected(member.box)) this.onPeerUp(member.box);
     }
@@ -138,7 +138,7 @@
 
   /** Gives up all draws that have not begun, so that the coordinator can grant them to another box. */
   dropPendingOriginFetches(): void {
-    this._drawer.dropPending();
+    this._originFetcher.dropPending();
   }
 
   /** Takes a verified chunk that was found on this box. */
@@ -148,16 +148,16 @@
 
   /** Queues draws from the origin; see {@link OriginFetcher.grant}. */
   grant(chunks: readonly number[], urgent = false): void {
-    this._drawer.grant(chunks, urgent);
+    this._originFetcher.grant(chunks, urgent);
   }
 
   /** Gives up draws that are the turn of other boxes now; see {@link OriginFetcher.keepOnly}. */
   keepOnlyOriginFetches(chunks: readonly number[]): void {
-    this._drawer.keepOnly(chunks);
+    this._originFetcher.keepOnly(chunks);
   }
 
   onPeerUp(box: string): void {
-    const neighbour = this._members.get(box);
+    const neighbour = this._neighbours.get(box);
     if (!neighbour || this._picker.peer(box)?.connected) return;
     const view = new PeerView(box, neighbour.crossDataCentre, this.held.size);
     view.connected = true;
@@ -186,7 +186,7 @@
     for (const chunk of chunks) {
       if (chunk < this.held.size) this._picker.markHeld(view, chunk);
     }
-    this._fetcher.fill();
+    this._peerFetcher.fill();
   }
 
   /** Ends all transfers; what is stored stays until the store is told otherwise. */
@@ -194,11 +194,11 @@
     this._stopped.abort();
     this._announcer.stop();
     clearInterval(this._refreshTimer);
-    clearTimeout(this._roomTimer);
-    this._fetcher.stop();
+    clearTimeout(this._memoryTimer);
+    this._peerFetcher.stop();
   }
 
-  private _createDrawer(): OriginFetcher {
+  private _createOriginFetcher(): OriginFetcher {
     const { origin, bounds, random, logger } = this._services;
     return new OriginFetcher({
       customer: this._plan.customer,
@@ -221,7 +221,7 @@
     });
   }
 
-  private _createFetcher(): PeerFetcher {
+  private _createPeerFetcher(): PeerFetcher {
     const { client, bounds, clock, random, logger, mayFetch = () => true } = this._services;
     return new PeerFetcher({
       mayFetch,
@@ -235,7 +235,7 @@
       random,
       logger,
       signal: this._stopped.signal,
-      member: (box) => this._members.get(box)?.member,
+      member: (box) => this._neighbours.get(box)?.member,
       isComplete: () => this.complete,
       store: (chunk, data, crossDataCentre) => this._store(chunk, data, crossDataCentre),
     });
@@ -246,7 +246,7 @@
   }
 
   /** A version that does not fit waits until another one has been dropped. */
-  private _findRoom(): boolean {
+  private _reserveMemory(): boolean {
     const { store } = this._services;
     if (store.retain(this.rollout, this._plan.customer, this._plan.manifest.chunks) === 'retained') {
       this.problem = '';
@@ -254,7 +254,7 @@
     }
     const needed = this._index.totalBytes;
     this.problem = `staging memory: needs ${needed} bytes, ${store.retainedBytes} of ${store.limitBytes} are taken`;
-    this._roomTimer = setTimeout(() => this.start(), ROOM_RETRY_MILLISECONDS);
+    this._memoryTimer = setTimeout(() => this.start(), MEMORY_RETRY_MILLISECONDS);
     this._onChange();
     return false;
   }
@@ -271,7 +271,7 @@
     if (this._stopped.signal.aborted) return;
     this._services.store.put(this._plan.customer, this._index.chunk(chunk).digest, data);
     if (!this.held.add(chunk)) return;
-    if (brought) this._brought.add(chunk);
+    if (brought) this._imported.add(chunk);
     this._announcer.add(chunk);
     this._onChange();
   }
@@ -279,13 +279,13 @@
   /** Other data centres hear of a chunk only from the boxes that brought it into this one: each fetches it once. */
   private _announce(chunks: number[]): void {
     const brought = chunks.filter(
-      (chunk) => this._brought.has(chunk) || this._topology.importers(chunk) === undefined,
+      (chunk) => this._imported.has(chunk) || this._topology.importers(chunk) === undefined,
     );
-    this._tell(false, chunks);
-    this._tell(true, brought);
+    this._sendHave(false, chunks);
+    this._sendHave(true, brought);
   }
 
-  private _tell(crossDataCentre: boolean, chunks: number[]): void {
+  private _sendHave(crossDataCentre: boolean, chunks: number[]): void {
     if (chunks.length === 0) return;
     const { peers, uploads } = this._services;
     // a neighbour that holds them has no use for a further holder
--- a/src/weights/swarmMessageHandler.ts
+++ b/src/weights/swarmMessageHandler.ts
@@ -5,12 +5,12 @@
 import { LRUCache } from 'lru-cache';
 
 /** Joins of rollouts whose plan has not reached this box yet. */
-const EARLY_JOINS = 4_096;
+const MAXIMUM_EARLY_JOINS = 4_096;
 
 /** Keeps joins that come before the plan, so that no neighbour is missed. */
 export class SwarmMessageHandler implements AgentPeersListener {
   private readonly _exchanges: () => RolloutExchange[];
-  private readonly _earlyJoins = new LRUCache<string, Uint8Array>({ max: EARLY_JOINS });
+  private readonly _earlyJoins = new LRUCache<string, Uint8Array>({ max: MAXIMUM_EARLY_JOINS });
 
   constructor(exchanges: () => RolloutExchange[]) {
     this._exchanges = exchanges;
--- a/src/weights/uploadQueue.ts
+++ b/src/weights/uploadQueue.ts
@@ -12,7 +12,7 @@
 /** Most urgent first. */
 const PRIORITIES: readonly UploadPriority[] = ['other-data-centre', 'early', 'usual'];
 /** Chunks that may wait for a slot. Usual ones are asked for elsewhere: other boxes of the data centre hold them too. */
-const MOST_WAITING: Record<UploadPriority, number> = { 'other-data-centre': 6, early: 6, usual: 2 };
+const MAXIMUM_WAITING: Record<UploadPriority, number> = { 'other-data-centre': 6, early: 6, usual: 2 };
 const BLOCK_BYTES = 64 * 1024;
 
 /** What is asked for, and by whom. */
@@ -28,7 +28,7 @@
 }
 
 /** Chunks of which it is remembered how often they were sent. */
-const REMEMBERED_CHUNKS = 4_096;
+const MAXIMUM_COUNTED_CHUNKS = 4_096;
 
 /** Paces and bounds what the box sends: the most urgent first, then chunks that were sent less often, which spread sooner. */
 export class UploadQueue {
@@ -76,13 +76,13 @@
       const piece = data.subarray(start, start + this._blockBytes);
       await this._outgoing.acquire(piece.length);
       this.bytesSent += piece.length;
-      if (!response.write(piece)) await this._drained(response);
+      if (!response.write(piece)) await this._waitForDrain(response);
     }
     response.end();
   }
 
   /** Waits for room; cuts a receiver that takes nothing for too long, so that it cannot hold a slot. */
-  private async _drained(response: http.ServerResponse): Promise<void> {
+  private async _waitForDrain(response: http.ServerResponse): Promise<void> {
     const stalled = setTimeout(() => response.destroy(), this._stallMilliseconds);
     await untilDrained(response);
     clearTimeout(stalled);
@@ -90,8 +90,8 @@
 
   /** Requests of one priority find room beside those of others. */
   private _isFullFor({ priority }: UploadRequest): boolean {
-    const alike = this._waiting.filter(({ request }) => request.priority === priority);
-    return alike.length >= MOST_WAITING[priority];
+    const waitingAlike = this._waiting.filter(({ request }) => request.priority === priority);
+    return waitingAlike.length >= MAXIMUM_WAITING[priority];
   }
 
   private async _takeSlot(request: UploadRequest): Promise<void> {
@@ -118,7 +118,8 @@
   private _rank({ request }: WaitingUpload): number {
     const timesSent = this._timesSent.get(request.chunk) ?? 0;
     return (
-      PRIORITIES.indexOf(request.priority) * REMEMBERED_CHUNKS + Math.min(timesSent, REMEMBERED_CHUNKS - 1)
+      PRIORITIES.indexOf(request.priority) * MAXIMUM_COUNTED_CHUNKS +
+      Math.min(timesSent, MAXIMUM_COUNTED_CHUNKS - 1)
     );
   }
 
@@ -126,7 +127,7 @@
     const timesSent = this._timesSent.get(chunk) ?? 0;
     this._timesSent.delete(chunk);
     this._timesSent.set(chunk, timesSent + 1);
-    if (this._timesSent.size <= REMEMBERED_CHUNKS) return;
+    if (this._timesSent.size <= MAXIMUM_COUNTED_CHUNKS) return;
     const [oldest] = this._timesSent.keys();
     this._timesSent.delete(oldest);
   }
