--- a/tests/chunkPicker.spec.ts
+++ b/tests/chunkPicker.spec.ts
@@ -8,9 +8,9 @@
 import { SeededRandom } from '../src/utils/random.js';
 
 const CHUNKS = 8;
-const STEP = 1_000;
+const IMPORT_STEP_MILLISECONDS = 1_000;
 
-interface Stage {
+interface PickerFixture {
   picker: ChunkPicker;
   clock: ManualClock;
   held: Bitset;
@@ -18,7 +18,7 @@
 }
 
 /** A box 'self'; importers of every chunk are 'first', then 'self'. */
-function stage(importers: readonly string[] | undefined = ['first', 'self']): Stage {
+function createPicker(importers: readonly string[] | undefined = ['first', 'self']): PickerFixture {
   const clock = new ManualClock();
   const held = new Bitset(CHUNKS);
   const random = new SeededRandom(1);
@@ -28,7 +28,7 @@
     clock,
     random,
     importers: () => importers,
-    importStepMilliseconds: STEP,
+    importStepMilliseconds: IMPORT_STEP_MILLISECONDS,
     fetchesPerPeer: 1,
   });
   const peer = (box: string, chunks: number[], crossDataCentre = false): PeerView => {
@@ -42,14 +42,14 @@
 }
 
 test('should pick the chunk that the fewest neighbours hold', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   peer('a', [0, 1, 2]);
   peer('b', [0, 1]);
   expect(picker.next()?.chunk).toEqual(2);
 });
 
 test('should pick nothing that is held or being fetched', () => {
-  const { picker, held, peer } = stage();
+  const { picker, held, peer } = createPicker();
   peer('a', [0, 1]);
   held.add(0);
   picker.markInFlight(1);
@@ -57,57 +57,57 @@
 });
 
 test('should not ask a peer beyond its share of fetches', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   peer('a', [0]).inFlight = 1;
   expect(picker.next()).toEqual(undefined);
 });
 
 test('should leave a chunk of another data centre to the gateway whose turn it is', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   peer('first', []);
   peer('far', [4], true);
   expect(picker.next()).toEqual(undefined);
 });
 
 test('should step in for a gateway that does not fetch', () => {
-  const { picker, clock, peer } = stage();
+  const { picker, clock, peer } = createPicker();
   peer('first', []);
   peer('far', [4], true);
-  clock.advance(STEP);
+  clock.advance(IMPORT_STEP_MILLISECONDS);
   expect(picker.next()?.peer.box).toEqual('far');
 });
 
 test('should step in at once for a gateway that is not connected', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   peer('far', [4], true);
   expect(picker.next()?.peer.box).toEqual('far');
 });
 
 test('should never fetch from another data centre what a neighbour of its own holds', () => {
-  const { picker, clock, peer } = stage(['self']);
+  const { picker, clock, peer } = createPicker(['self']);
   peer('far', [4], true);
   const near = peer('near', [4]);
   near.inFlight = 1;
-  clock.advance(STEP * 10);
+  clock.advance(IMPORT_STEP_MILLISECONDS * 10);
   expect(picker.next()).toEqual(undefined);
 });
 
 test('should forget what a lost neighbour held', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   const lost = peer('a', [0]);
   picker.removePeer(lost);
   expect(picker.next()).toEqual(undefined);
 });
 
 test('should set a peer aside after repeated corrupt chunks', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   const bad = peer('bad', [0]);
   for (let count = 0; count < 3; count++) bad.countCorruptChunk();
   expect(picker.next()).toEqual(undefined);
 });
 
 test('should name the neighbours that lack a chunk, and no others', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   peer('has-both', [0, 1]);
   peer('has-one', [0]);
   peer('elsewhere', [], true);
--- a/tests/originFetcher.spec.ts
+++ b/tests/originFetcher.spec.ts
@@ -14,15 +14,15 @@
 const CHUNKS = 4;
 
 /** An origin that is down until the test lets it up, and a drawer before it. */
-class Outage {
-  readonly drawn: number[] = [];
+class OriginOutage {
+  readonly stored: number[] = [];
   isDown = true;
-  readonly drawer: OriginFetcher;
+  readonly fetcher: OriginFetcher;
   private readonly _ended = new AbortController();
 
   constructor() {
     const chunks = Array.from({ length: CHUNKS }, () => ({ digest: sha256Hex(CHUNK), size: CHUNK.length }));
-    this.drawer = new OriginFetcher({
+    this.fetcher = new OriginFetcher({
       customer: '',
       index: new ManifestIndex({ model: 'm', version: '1', chunks }),
       origin: {
@@ -40,10 +40,10 @@
       logger: new Logger('test'),
       signal: this._ended.signal,
       mayFetch: () => true,
-      isHeld: (chunk) => this.drawn.includes(chunk),
+      isHeld: (chunk) => this.stored.includes(chunk),
       isInFlight: () => false,
       begin: () => () => undefined,
-      store: (chunk) => void this.drawn.push(chunk),
+      store: (chunk) => void this.stored.push(chunk),
       onChange: () => undefined,
     });
   }
@@ -61,13 +61,13 @@
 }
 
 test('should draw after an outage only what is its turn then, and what is urgent', async () => {
-  const outage = new Outage();
-  outage.drawer.grant([0, 1, 2]);
-  outage.drawer.grant([3], true);
-  outage.drawer.keepOnly([2]);
+  const outage = new OriginOutage();
+  outage.fetcher.grant([0, 1, 2]);
+  outage.fetcher.grant([3], true);
+  outage.fetcher.keepOnly([2]);
   outage.isDown = false;
-  await until(() => outage.drawer.open.length === 0);
-  expect([...outage.drawn].sort()).toEqual([2, 3]);
+  await until(() => outage.fetcher.open.length === 0);
+  expect([...outage.stored].sort()).toEqual([2, 3]);
   outage.end();
 });
 
