--- a/src/protocol/authentication.ts
+++ b/src/protocol/authentication.ts
@@ -1,10 +1,10 @@
 /**
- * Proof that a process belongs to the system, from a key that all of them share.
- * It does not hide what is sent; TLS would (see docs/OPERATIONS.md).
+ * Authenticates the processes of the system to each other with a key that all of them share.
+ * Traffic is not encrypted; that takes TLS (see docs/OPERATIONS.md).
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
-/** Returns the hex MAC of the joined `parts` under `key`. */
+/** Returns the HMAC-SHA-256 of the joined `parts` under `key`, in hex. */
 export function macOf(key: string, ...parts: string[]): string {
   return createHmac('sha256', key).update(parts.join('\n')).digest('hex');
 }
--- a/src/protocol/boxMessages.ts
+++ b/src/protocol/boxMessages.ts
@@ -1,23 +1,23 @@
-/** What entries and the agents of backend servers tell each other when backend servers are reached directly. */
+/** Messages between entries and agents, and between agents, where entries send requests to backend servers directly. */
 import { z } from 'zod';
 import { countSchema, nameSchema } from './names.js';
 
 const MAXIMUM_LIST_LENGTH = 10_000;
 const MAXIMUM_NAME_LENGTH = 200;
 
-/** An entry that callers may use. */
+/** An entry that accepts requests from callers. */
 export const entryAddressSchema = z.object({
   box: nameSchema,
   dataCentre: z.string(),
-  /** Where callers connect, as host:port. */
+  /** Address for callers, as host:port. */
   address: z.string(),
-  /** Where control connections are accepted, as host:port. */
+  /** Address for control connections, as host:port. */
   control: z.string(),
   leaving: z.boolean(),
 });
 export type EntryAddress = z.infer<typeof entryAddressSchema>;
 
-/** A version that an operator wants in service, and for how long this has been known. */
+/** The version that an operator wants in service, and how long the sender has known of it. */
 export const wantedVersionSchema = z.object({
   model: z.string(),
   version: countSchema,
@@ -25,7 +25,7 @@
 });
 export type WantedVersion = z.infer<typeof wantedVersionSchema>;
 
-/** A version that some process has heard of, and how long ago the first one did whose word has come to the sender. */
+/** A known version, and how long ago the first process learned of it, as far as the sender knows. */
 export const heardVersionSchema = z.object({
   model: z.string(),
   version: countSchema,
@@ -33,43 +33,45 @@
 });
 export type HeardVersion = z.infer<typeof heardVersionSchema>;
 
-/** A box whose agent exchanges chunks. */
+/** The address of an agent that exchanges chunks with others. */
 export const agentAddressSchema = z.object({ box: nameSchema, dataCentre: z.string(), address: z.string() });
 export type AgentAddress = z.infer<typeof agentAddressSchema>;
 
-/** Sent by an entry to each agent when it connects and on every change. */
+/** Sent by an entry to each agent on connecting and on every change. */
 export const entryPresenceSchema = z.object({
   type: z.literal('entry-presence'),
   entry: entryAddressSchema,
   wanted: z.array(wantedVersionSchema).max(MAXIMUM_LIST_LENGTH),
-  /** The newest versions that the entry has heard of; absent where a sender does not tell them. */
+  /** The newest versions that the entry knows of; absent from senders that do not report them. */
   heard: z.array(heardVersionSchema).max(MAXIMUM_LIST_LENGTH).optional(),
-  /** Where weights are read, as host:port; '' while unknown. */
+  /** Address of the weight origin, as host:port; '' while unknown. */
   origin: z.string(),
-  /** Whether the entry sends requests to the backend server of the box, and wants to hear its status. */
+  /** Whether the entry sends requests to the agent's backend server, and so wants its status. */
   hearsStatus: z.boolean(),
-  /** Whether the agent is to tell which entries are connected to it. */
+  /** Whether the agent should send the list of the entries that are connected to it. */
   hearsEntries: z.boolean(),
 });
 export type EntryPresence = z.infer<typeof entryPresenceSchema>;
 
-/** Sent by an agent to a few entries of its choice, and taken back when it chooses others. */
+/** Sent by an agent to a few entries that it has chosen; `wanted` is false when it has chosen others instead. */
 export const agentListQuerySchema = z.object({ type: z.literal('agent-list-query'), wanted: z.boolean() });
 
-/** Sent by the entries that an agent has asked for it: the agents beside the backend servers of the same service. */
+/** The answer to `agent-list-query`, sent again on every change: the agents of the same service. */
 export const agentListSchema = z.object({
   type: z.literal('agent-list'),
-  /** Revision of service discovery; an older list changes nothing. */
+  /** Revision of service discovery; receivers ignore a list older than the one they have. */
   revision: countSchema,
   agents: z.array(agentAddressSchema).max(MAXIMUM_LIST_LENGTH),
 });
 export type AgentList = z.infer<typeof agentListSchema>;
 
-/** What the backend server of a box does with respect to versions. */
+/** State of a backend server with respect to versions. */
 export const servingStateSchema = z.enum(['serving', 'preparing', 'switching', 'empty']);
 export type ServingState = z.infer<typeof servingStateSchema>;
 
-/** Sent by an agent on every change to the entries that want it. Load is a hint. */
+/**
+ * Status of a backend server, sent by its agent on every change to the entries that want it. Load may be out of date.
+ */
 export const boxStatusSchema = z.object({
   type: z.literal('box-status'),
   state: servingStateSchema,
@@ -77,61 +79,63 @@
   version: countSchema,
   running: countSchema,
   queued: countSchema,
-  /** Whether chunks come so slowly that the link of the box must be narrow, for requests as well. */
+  /** Whether chunks arrive so slowly that requests too must be expected to take long on the link of the box. */
   slowLink: z.boolean(),
-  /** When the backend server started, in Unix milliseconds by its own clock; absent where it does not tell. */
+  /** Start of the backend server in Unix milliseconds by its own clock; absent where the server does not report it. */
   startedAt: countSchema.optional(),
 });
 export type BoxStatus = z.infer<typeof boxStatusSchema>;
 
-/** Sent by an agent, on every change, to the entries that want it: the entries that are connected to the agent. */
+/** The entries that are connected to an agent, sent by it on every change to the entries that want this list. */
 export const entryListSchema = z.object({
   type: z.literal('entry-list'),
-  /** Whether these are all entries; else those that have changed since the last list on the connection. */
+  /** Whether `entries` holds all entries, or only those that changed since the last list on this connection. */
   whole: z.boolean(),
   entries: z.array(entryAddressSchema).max(MAXIMUM_LIST_LENGTH),
-  /** Boxes of entries that are no longer connected. */
+  /** Boxes whose entries are no longer connected. */
   gone: z.array(nameSchema).max(MAXIMUM_LIST_LENGTH),
 });
 export type EntryList = z.infer<typeof entryListSchema>;
 
 /**
- * Sent by an agent to the entries that hear its status, when it hears of a version, or that it was heard of earlier than it
- * knew: an entry whose own source is late, or has missed a version, learns of it by any entry that is connected to the agent.
+ * Sent by an agent to the entries that receive its status, when it learns of a version or of an earlier time at which a
+ * version was known. An entry whose own source is late or has missed a version so learns of it from any other entry
+ * that is connected to the same agent.
  */
 export const versionsHeardSchema = z.object({
   type: z.literal('versions-heard'),
   versions: z.array(heardVersionSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
-/** What a backend server asks of all entries, as its answers have told. */
+/** What a backend server asks of all entries in its answers: a limit on requests, or that they stop sending. */
 export const serverNoticeSchema = z.object({
   server: z.string().max(MAXIMUM_NAME_LENGTH),
-  /** When the server started, in Unix milliseconds by its own clock; 0 where it is not told. */
+  /** Start of the server in Unix milliseconds by its own clock; 0 when unknown. */
   startedAt: countSchema,
-  /** Requests a second that it takes from all entries together; null where it names no limit. */
+  /** Requests per second that the server accepts from all entries together; null without a limit. */
   limitPerSecond: z.number().nonnegative().nullable(),
   leaving: z.boolean(),
-  /** Since the answer that told it. */
+  /** Time since the answer that carried the notice. */
   heardMilliseconds: z.number().nonnegative(),
 });
 export type ServerNotice = z.infer<typeof serverNoticeSchema>;
 
 /**
- * Sent by an entry to the agents that tell entries of each other, when answers tell it a change, and passed on by these to all
- * entries: one that has not asked the server yet, or has started again, heeds it as well.
+ * Sent by an entry, when an answer of a server changes what the server asks for, to the agents that send it lists of
+ * entries. These agents forward the notices to all entries, so that they also reach an entry that has not sent the
+ * server a request yet or has restarted.
  */
 export const serverNoticesSchema = z.object({
   type: z.literal('server-notices'),
   notices: z.array(serverNoticeSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
-/** Asks the other end of a connection for a {@link linkEchoSchema}; answered by the connection itself. */
+/** Asks the peer for a {@link linkEchoSchema}; `ControlConnection` answers it itself. */
 export const linkProbeSchema = z.object({ type: z.literal('link-probe'), number: countSchema });
-/** Answers the probe of the same number. */
+/** Answers the probe with the same number. */
 export const linkEchoSchema = z.object({ type: z.literal('link-echo'), number: countSchema });
 
-/** Sent between agents: whether the sender is about to switch, and what it holds. */
+/** Sent between agents: how far the sender is in staging a version and switching to it. */
 export const switchStateSchema = z.object({
   type: z.literal('switch-state'),
   version: countSchema,
--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -1,4 +1,4 @@
-/** One authenticated control connection between two processes of the system. */
+/** An authenticated control connection between two processes of the system. */
 import { randomBytes } from 'node:crypto';
 import { EventEmitter } from 'node:events';
 import net from 'node:net';
@@ -20,7 +20,7 @@
   silenceTimeout,
 } from './livenessTimeouts.js';
 
-/** A message that expects a reply, before its `call` number is set. */
+/** A message that expects a reply when its `call` number is set. */
 export type CallMessage = Extract<Message, { call?: number }>;
 type WithoutCall<T> = T extends unknown ? Omit<T, 'call'> : never;
 
@@ -28,7 +28,7 @@
 export interface ControlOptions {
   key: string;
   identity: Identity;
-  /** Silence after which a peer counts as gone, in milliseconds; heartbeats go out more often. */
+  /** Silence after which a peer counts as lost, in milliseconds. Heartbeats are sent more often. */
   peerTimeoutMilliseconds: number;
 }
 
@@ -37,13 +37,13 @@
   close: [string];
 }
 
-/** Heartbeats of a quiet connection within the silence that counts as its loss. */
+/** Number of heartbeats that an idle connection sends within the silence timeout. */
 const HEARTBEATS_PER_TIMEOUT = 2.5;
 const livenessChecks = new SharedInterval(LIVENESS_CHECK_INTERVAL_MILLISECONDS);
-/** Default time for a call to be answered, in milliseconds. */
+/** Default time to wait for the reply to a call, in milliseconds. */
 const CALL_TIMEOUT_MILLISECONDS = 5_000;
 
-/** An open connection; `peer` is proven. Emits `message` and, once, `close` with the reason. */
+/** An open connection to the authenticated `peer`. Emits `message` and, once, `close` with the reason. */
 export class ControlConnection extends EventEmitter<ControlEvents> {
   /** Bytes that all connections of this process have sent and received. */
   static totalBytes = 0;
@@ -78,7 +78,7 @@
     this._stopLivenessChecks = livenessChecks.add(() => this._checkLiveness(performance.now()));
   }
 
-  /** Connects to a listening peer and proves both ends. */
+  /** Connects to a listening peer and authenticates both ends. */
   static async connect(address: string, port: number, options: ControlOptions): Promise<ControlConnection> {
     const peer = `${address}:${port}`;
     const connection = new ControlConnection(net.connect({ host: address, port }), options);
@@ -86,7 +86,7 @@
     return connection;
   }
 
-  /** Takes an accepted socket and proves both ends. */
+  /** Opens a connection on an accepted socket and authenticates both ends. */
   static async accept(socket: net.Socket, options: ControlOptions): Promise<ControlConnection> {
     const connection = new ControlConnection(socket, options);
     await connection._openWithTimeout(
@@ -100,12 +100,12 @@
     return this._closed;
   }
 
-  /** Milliseconds since anything came from the peer; after the end of the connection as well. */
+  /** Milliseconds since anything was received from the peer. Keeps counting after the connection is closed. */
   get silentMilliseconds(): number {
     return performance.now() - this._lastReceivedAt;
   }
 
-  /** Delivers messages from now on; those that came before are delivered first. */
+  /** Starts to emit messages, beginning with those that have been received already. */
   start(): void {
     this._started = true;
     const backlog = this._backlog;
@@ -113,18 +113,18 @@
     for (const frame of backlog) this._receive(frame);
   }
 
-  /** Sends a message; dropped when the connection is closed. */
+  /** Sends a message, or drops it when the connection is closed. */
   send(message: Message): void {
     this._write(message);
   }
 
-  /** Sends one message on several connections, encoded once. */
+  /** Encodes a message once and sends it on several connections. */
   static broadcast(connections: Iterable<ControlConnection>, message: Message): void {
     const frame = encodeFrame(message);
     for (const connection of connections) if (!connection._closed) connection._writeFrame(frame);
   }
 
-  /** Sends a message and waits for its reply. Rejects when the connection closes or the time is up. */
+  /** Sends a message and waits for its reply. Rejects when the connection closes or the call times out. */
   async call(
     message: WithoutCall<CallMessage>,
     timeoutMilliseconds = CALL_TIMEOUT_MILLISECONDS,
@@ -146,23 +146,26 @@
     }
   }
 
-  /** Answers a message that carried a `call`. */
+  /** Replies to a message that has a `call` number. */
   reply(call: number, reply: Omit<ReplyMessage, 'type' | 'call'>): void {
     this._write({ type: 'reply', call, ...reply });
   }
 
-  /** Measures a round trip: what is sent may lie on a narrow link for seconds. */
+  /** Sends a probe that measures the round trip: on a slow link messages can be queued for seconds. */
   probe(): void {
     if (this._roundTrip.isAtProbeLimit) return;
     this._write({ type: 'link-probe', number: this._roundTrip.recordProbe(performance.now()) });
   }
 
-  /** How long a round trip takes at the least, in milliseconds, by the latest probes; 0 while none has been answered. */
+  /**
+   * A lower bound of the current round-trip time by the latest probes, in milliseconds; 0 while none has been
+   * answered.
+   */
   get delayMilliseconds(): number {
     return this._roundTrip.estimateMilliseconds(performance.now());
   }
 
-  /** Closes the connection at once. */
+  /** Closes the connection immediately; messages that are still buffered may be lost. */
   close(reason: string): void {
     if (this._closed) return;
     this._closed = true;
@@ -194,7 +197,7 @@
     const hello = await this._nextHandshakeFrame(helloSchema);
     const expected = handshakeMac(this._options.key, nonce, hello.identity);
     if (hello.protocol !== PROTOCOL_VERSION)
-      throw new StepError('control.open', `protocol ${hello.protocol} not spoken`);
+      throw new StepError('control.open', `unsupported protocol version ${hello.protocol}`);
     if (!sameMac(hello.mac, expected))
       throw new StepError('control.open', 'wrong shared key', { peer: hello.identity.box });
     this.peer = hello.identity;
@@ -248,7 +251,7 @@
     else this._backlog.push(frame);
   }
 
-  /** Messages of a type that this version does not know are passed over, so that a mixed fleet works. */
+  /** Ignores messages of unknown types, so that processes of different releases can work together. */
   private _receive(frame: unknown): void {
     const type = (frame as { type?: unknown } | null)?.type;
     const schema = typeof type === 'string' ? schemaOf(type) : messageSchema;
@@ -266,14 +269,14 @@
     else this.emit('message', message);
   }
 
-  /** Silence after which the peer counts as gone, in milliseconds. */
+  /** Silence after which the peer counts as lost, in milliseconds. */
   private get _silenceTimeout(): number {
     const { identity, peerTimeoutMilliseconds } = this._options;
     if (!this._opened) return peerTimeoutMilliseconds;
     return silenceTimeout(identity.role, this.peer.role, peerTimeoutMilliseconds);
   }
 
-  /** Looks whether the peer has been silent for too long, and sends what keeps a quiet connection alive. */
+  /** Checks for a silent peer, and sends a heartbeat if nothing else has been sent for a while. */
   private _checkLiveness(now: number): void {
     const timeout = this._silenceTimeout;
     if (now - this._lastReceivedAt > timeout) this._onSilence();
@@ -282,7 +285,7 @@
     if (this._opened && isDue) this._writeFrame(HEARTBEAT_FRAME);
   }
 
-  /** When this process itself was paused, what the peer sent meanwhile is still to be read: look once more. */
+  /** If this process was paused, data from the peer may be waiting unread, so checks once more before closing. */
   private _onSilence(): void {
     const lastReceivedAt = this._lastReceivedAt;
     this._silenceRecheck ??= setTimeout(() => {
--- a/src/protocol/controlGauges.ts
+++ b/src/protocol/controlGauges.ts
@@ -1,7 +1,6 @@
-/** What all control connections of a process carry, as figures on its metrics address. */
+/** Metrics of the traffic on all control connections of a process. */
 import { ControlConnection } from './controlConnection.js';
 
-/** Where figures are shown. */
 interface GaugeRegistry {
   gauge(name: string, read: () => number): void;
 }
--- a/src/protocol/controlServer.ts
+++ b/src/protocol/controlServer.ts
@@ -1,10 +1,10 @@
-/** Accepts control connections. */
+/** A server for control connections. */
 import net from 'node:net';
 import { errorText } from '../utils/stepError.js';
 import type { ControlOptions } from './controlConnection.js';
 import { ControlConnection } from './controlConnection.js';
 
-/** Listens for control connections and hands each proven one to `onConnection`. */
+/** Listens for control connections and passes each authenticated one to `onConnection`. */
 export class ControlServer {
   private readonly _server: net.Server;
   private readonly _connections = new Set<ControlConnection>();
--- a/src/protocol/frameCodec.ts
+++ b/src/protocol/frameCodec.ts
@@ -1,31 +1,32 @@
 /**
- * Length-framed CBOR: four bytes of length, then one CBOR item; a frame of length 0 is a heartbeat. The highest bit of the
- * length says that the item is compressed.
+ * Length-prefixed CBOR: four bytes of length, then one CBOR item. A frame of length 0 is a heartbeat. The highest bit of
+ * the length marks a compressed item.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Decoder, Encoder } from 'cbor-x';
 import { StepError } from '../utils/stepError.js';
 
-/** The longest frame that either side accepts, in bytes. */
+/** Largest body of a frame that either side accepts, before and after decompression. */
 export const MAXIMUM_FRAME_BYTES = 8 * 1024 * 1024;
 const LENGTH_BYTES = 4;
-/** Far above any length that is accepted. */
+/** Flag in the length field; far above {@link MAXIMUM_FRAME_BYTES}. */
 const COMPRESSED_BIT = 0x8000_0000;
 /**
- * Items of so many bytes are compressed. One that reads the store sends a configuration of 0.7 MB to each of a hundred
- * entries: 560 Mbit, through a link of as little as 28 Mbit/s, while it has to be in force everywhere within seconds.
+ * Items of at least this size are compressed. An entry that reads the store sends a configuration of 0.7 MB to each of a
+ * hundred entries. Uncompressed, that is 560 Mbit over a link that may have only 28 Mbit/s, and the configuration must
+ * be in force everywhere within seconds.
  */
 const COMPRESSION_THRESHOLD_BYTES = 16 * 1024;
-/** Configurations repeat themselves so much that a closer search saves next to nothing and costs several times as much. */
+/** Configurations are so repetitive that higher levels save almost nothing and cost several times the CPU time. */
 const COMPRESSION_LEVEL = 1;
 
 const encoder = new Encoder({ useRecords: false, tagUint8Array: false });
 const decoder = new Decoder({ useRecords: false });
 
-/** Keeps a quiet connection known to be alive. */
+/** Sent on an idle connection to show that the sender is alive. */
 export const HEARTBEAT_FRAME = Buffer.alloc(LENGTH_BYTES);
 
-/** Encodes one message as a frame. */
+/** Encodes one message as a frame. Throws if the message is too large. */
 export function encodeFrame(message: unknown): Buffer {
   const body = encoder.encode(message);
   if (body.length > MAXIMUM_FRAME_BYTES)
@@ -38,18 +39,18 @@
   return frame;
 }
 
-/** What a frame carries. */
+/** The body of a frame as received. */
 interface FrameBody {
   bytes: Buffer;
   isCompressed: boolean;
 }
 
-/** Cuts a byte stream into frames and decodes them. */
+/** Splits a byte stream into frames and decodes them. */
 export class FrameReader {
   private _pending: Buffer[] = [];
   private _pendingBytes = 0;
 
-  /** Takes bytes off the wire and returns the messages that they complete. Throws on a bad frame. */
+  /** Adds received bytes and returns the messages that they complete. Throws on an invalid frame. */
   push(bytes: Buffer): unknown[] {
     this._pending.push(bytes);
     this._pendingBytes += bytes.length;
--- a/src/protocol/handshake.ts
+++ b/src/protocol/handshake.ts
@@ -3,10 +3,10 @@
 import { macOf } from './authentication.js';
 import { nameSchema, roleSchema } from './names.js';
 
-/** The version of the control protocol; peers with another one are refused. */
+/** The version of the control protocol; a server refuses clients of any other. */
 export const PROTOCOL_VERSION = 3;
 
-/** Who stands at one end of a connection. */
+/** The process at one end of a connection. */
 export const identitySchema = z.object({ role: roleSchema, box: nameSchema, dataCentre: nameSchema });
 export type Identity = z.infer<typeof identitySchema>;
 
@@ -26,7 +26,7 @@
   mac: z.string(),
 });
 
-/** Returns the MAC by which `identity` answers a nonce. */
+/** Returns the MAC that proves `identity` in answer to the peer's nonce. */
 export function handshakeMac(key: string, nonce: string, identity: Identity): string {
   return macOf(key, 'control', nonce, identity.role, identity.box, identity.dataCentre);
 }
--- a/src/protocol/headers.ts
+++ b/src/protocol/headers.ts
@@ -1,4 +1,4 @@
-/** HTTP header names, in the lower case that Node uses, and what they may hold. */
+/** Names of HTTP headers, in lower case as in Node.js, and types of their values. */
 
 export const HEADER = {
   requestId: 'larklatch-request-id',
@@ -10,7 +10,7 @@
   ticket: 'larklatch-ticket',
   idempotencyKey: 'idempotency-key',
   retryAfter: 'retry-after',
-  // between entry and agent
+  // Used between entries and agents only.
   customer: 'larklatch-customer',
   configuration: 'larklatch-configuration',
   slot: 'larklatch-slot',
@@ -24,8 +24,8 @@
   queued: 'larklatch-queued',
 } as const;
 
-/** What a caller may conclude from an answer. */
+/** Whether the request was executed, as reported to the caller. */
 export type Outcome = 'answered' | 'not-run' | 'unknown';
 
-/** Urgency of one request among those of the same customer. */
+/** Priority of a request among those of the same customer. */
 export type Priority = 'high' | 'normal' | 'low';
--- a/src/protocol/livenessTimeouts.ts
+++ b/src/protocol/livenessTimeouts.ts
@@ -1,23 +1,29 @@
-/** How long a control connection may be silent. Pure. */
+/** Timeouts after which a silent control connection counts as lost. */
 import type { Identity } from './handshake.js';
 
 /**
- * Between agents silence counts as a loss later by this factor: they learn from entries who has gone, and each is connected
- * to many others. With 144 agents of which each has 28 peers, their heartbeats were a third of all.
+ * The silence timeout between two agents is longer by this factor. Agents learn from entries which boxes are gone, and
+ * each agent is connected to many others: with 144 agents of 28 peers each, their heartbeats were a third of all.
  */
 const AGENT_PAIR_TIMEOUT_FACTOR = 2;
 
-/** How often a process looks after all its connections: one timer, since one for each wakes it hundreds of times a second. */
+/**
+ * Interval at which a process checks all its connections. They share one timer, since a timer for each would wake the
+ * process hundreds of times per second.
+ */
 export const LIVENESS_CHECK_INTERVAL_MILLISECONDS = 200;
-/** How long a silent connection has to show what already lies in its buffer. */
+/** Time to read data that is already in the socket's buffer before a silent connection is closed. */
 export const SILENCE_RECHECK_MILLISECONDS = 50;
 
-/** Longest time from the last word of a peer to the end of its connection, in milliseconds, while this process runs. */
+/**
+ * Returns the longest time from the last data of a peer to the close of its connection, unless this process is
+ * paused.
+ */
 export function maximumDetectionMilliseconds(silenceMilliseconds: number): number {
   return silenceMilliseconds + LIVENESS_CHECK_INTERVAL_MILLISECONDS + SILENCE_RECHECK_MILLISECONDS;
 }
 
-/** Milliseconds of silence after which the peer counts as gone; the same at both ends of a connection. */
+/** Returns the silence in milliseconds after which the peer counts as lost; the same at both ends of a connection. */
 export function silenceTimeout(
   own: Identity['role'],
   peer: Identity['role'],
--- a/src/protocol/manifest.ts
+++ b/src/protocol/manifest.ts
@@ -6,7 +6,7 @@
 export const chunkSchema = z.object({ digest: digestSchema, size: z.number().int().positive() });
 export type ChunkDescription = z.infer<typeof chunkSchema>;
 
-/** All chunks of a version in order; the model's bytes are their concatenation. Source: the origin. */
+/** All chunks of a version in order; concatenated, they are the bytes of the model. Provided by the origin. */
 export const manifestSchema = z.object({
   model: z.string().min(1).max(63),
   version: versionSchema,
--- a/src/protocol/message.ts
+++ b/src/protocol/message.ts
@@ -1,4 +1,4 @@
-/** The union of all control messages and its validator. */
+/** The union of all control messages, and their validation. */
 import { z } from 'zod';
 import {
   agentListQuerySchema,
@@ -78,12 +78,12 @@
 /** The message of a given type. */
 export type MessageOf<Type extends Message['type']> = Extract<Message, { type: Type }>;
 
-/** The schema of each type: looking it up costs a message less than going through the union. */
+/** Schemas by message type: a lookup is faster than validating against the union. */
 const schemaByType = new Map<string, (typeof messageSchema.options)[number]>(
   messageSchema.options.map((option) => [option.shape.type.value, option]),
 );
 
-/** The schema of messages of that type; undefined when this version of the protocol has none. */
+/** Returns the schema of messages of `type`, or undefined when the type is unknown to this release. */
 export function schemaOf(type: string): (typeof messageSchema.options)[number] | undefined {
   return schemaByType.get(type);
 }
--- a/src/protocol/names.ts
+++ b/src/protocol/names.ts
@@ -1,13 +1,13 @@
-/** Checked names and small shared shapes of the wire. */
+/** Schemas of names and other small values that many messages share. */
 import { z } from 'zod';
 
 const NAME_RULE = '1 to 63 of a-z, 0-9 and -, not starting with -';
 const VERSION_RULE = '1 to 63 of A-Z, a-z, 0-9, ., _ and -';
 
-/** Names of customers, configurations, models, boxes and data centres: short, and safe in a URL path. */
+/** A name of a customer, configuration, model, box or data centre: short, and safe in a URL path. */
 export const nameSchema = z.string(NAME_RULE).regex(/^[a-z0-9][a-z0-9-]{0,62}$/, NAME_RULE);
 
-/** Versions of a model or template. */
+/** A version of a model or template. */
 export const versionSchema = z.string(VERSION_RULE).regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, VERSION_RULE);
 
 /** A SHA-256 in lower-case hex. */
@@ -16,6 +16,6 @@
 /** An index or a count. */
 export const countSchema = z.number().int().nonnegative();
 
-/** What a process of the system is. */
+/** The kind of a process of the system. */
 export const roleSchema = z.enum(['entry', 'agent']);
 export type Role = z.infer<typeof roleSchema>;
--- a/src/protocol/recordMessages.ts
+++ b/src/protocol/recordMessages.ts
@@ -1,29 +1,30 @@
-/** Records of the platform's store as entries pass them on to each other. */
+/** Messages by which entries share records of the platform's store. */
 import { z } from 'zod';
 import { countSchema } from './names.js';
 
 const MAXIMUM_LIST_LENGTH = 100_000;
 
-/** Revisions of the store by kind of record. */
+/** A store revision for each kind of record. */
 const revisionsSchema = z.record(z.string(), countSchema);
 
 /**
- * Values are JSON texts, absent where there is none: the runtime writes and reads these ten times as fast as nested items of a
- * message. A configuration of 1,850 routes took 51 ms to encode and 32 to decode in a process that had just started, and
- * takes 4 and 10; all entries do that at each change, and hear of nothing else meanwhile.
+ * A record. Its value is sent as JSON text, and absent where there is none, because JSON is encoded and decoded several
+ * times as fast as nested CBOR items. In a process that has just started, a configuration of 1,850 routes takes 4 ms to
+ * encode and 10 ms to decode; as CBOR it took 51 ms and 32 ms. All entries do this on each change, and their event loops
+ * are blocked meanwhile.
  */
 const objectSchema = z.object({ name: z.string(), revision: countSchema, json: z.string().optional() });
 
-/** Asks an entry for its copies: for how current they are, and for their changes too if `wantsChanges`. */
+/** Subscribes to an entry's copies of the records: to how current they are and, if `wantsChanges`, to their changes. */
 export const recordSubscribeSchema = z.object({
   type: z.literal('record-subscribe'),
   wantsChanges: z.boolean(),
-  /** What the asking entry holds; copies of the same revision are not sent again. */
+  /** Revisions that the sender holds; records of a kind are not sent again if the revision is the same. */
   revisions: revisionsSchema,
 });
 export type RecordSubscribe = z.infer<typeof recordSubscribeSchema>;
 
-/** All objects of a kind if `whole`, else those that have changed, as of `revision`. */
+/** Objects of a kind as of `revision`: all of them if `whole`, otherwise those that have changed. */
 export const recordChangesSchema = z.object({
   type: z.literal('record-changes'),
   kind: z.string(),
@@ -35,19 +36,19 @@
 export type RecordChanges = z.infer<typeof recordChangesSchema>;
 
 /**
- * Records that the sender keeps in force since the store was rolled back. Either side sends them where the other has fewer, so that an
- * entry that has just started does not serve by the snapshot.
+ * Records that the sender keeps in force although the store has been rolled back to a state without them. Either side
+ * sends them when the other retains fewer, so that an entry that has just started does not apply the rolled-back state.
  */
 export const recordsRetainedSchema = z.object({
   type: z.literal('records-retained'),
   kind: z.string(),
-  /** Of the sender's copy. */
+  /** Revision of the sender's copy. */
   revision: countSchema,
   records: z
     .array(
       z.object({
         object: objectSchema,
-        /** Whether it had been deleted. */
+        /** Whether the record had been deleted before the store was rolled back. */
         gone: z.boolean(),
         retainedMilliseconds: z.number().nonnegative(),
       }),
@@ -56,21 +57,21 @@
 });
 export type RecordsRetained = z.infer<typeof recordsRetainedSchema>;
 
-/** How current the sender's copies are; sent now and then and with each change. */
+/** How current the sender's copies are; sent periodically and with each change. */
 export const recordStampSchema = z.object({
   type: z.literal('record-stamp'),
   /** Whether the receiver has been sent all changes up to these revisions. */
   withChanges: z.boolean(),
-  /** Milliseconds since the store last confirmed the copies; null when it never has. */
+  /** Time since the store last confirmed the copies; null when it never has. */
   confirmedMilliseconds: z.number().nonnegative().nullable(),
-  /** Milliseconds since the store was regained after an outage; null when it was never lost. */
+  /** Time since the store became reachable again after an outage; null when there was none. */
   regainedMilliseconds: z.number().nonnegative().nullable(),
-  /** Whether the sender has lost the store, and nothing has confirmed its copies since. */
+  /** Whether the sender has lost the store and its copies have not been confirmed since. */
   lost: z.boolean(),
   revisions: revisionsSchema,
-  /** The newest change of each kind that the sender knows. A copy that was confirmed later may lack nothing of it. */
+  /** Revision of the newest change to each kind that the sender knows. A copy confirmed later must include it. */
   newestChanges: revisionsSchema,
-  /** How many records of each kind the sender retains since the store was rolled back. */
+  /** Number of records of each kind that the sender retains since the store was rolled back. */
   retained: z.record(z.string(), countSchema).default({}),
 });
 export type RecordStamp = z.infer<typeof recordStampSchema>;
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -1,8 +1,8 @@
-/** Replicated records: what every entry keeps of the object API. */
+/** Messages that replicate the objects of the object API between entries. */
 import { z } from 'zod';
 import { countSchema } from './names.js';
 
-/** One object of the object API as it travels between entries. `value` is null once deleted. */
+/** An object of the object API as entries replicate it. `value` is null once the object is deleted. */
 export const recordSchema = z.object({
   key: z.string().min(3).max(300),
   revision: countSchema,
@@ -11,10 +11,10 @@
 });
 export type ReplicatedRecord = z.infer<typeof recordSchema>;
 
-/** How many buckets an anti-entropy digest has. */
+/** Number of buckets of an anti-entropy digest. */
 export const DIGEST_BUCKETS = 64;
 
-/** Sends records that the peer may lack; answered when `call` is present. */
+/** Sends records that the peer may lack; the peer replies if `call` is present. */
 export const recordsMessageSchema = z.object({
   type: z.literal('records'),
   call: countSchema.optional(),
@@ -27,12 +27,12 @@
   buckets: z.array(countSchema).length(DIGEST_BUCKETS),
 });
 
-/** Asks which revision of `key` the peer holds. */
+/** Asks for the revision of `key` that the peer holds. */
 export const revisionQuerySchema = z.object({
   type: z.literal('revision-query'),
   call: countSchema,
   key: z.string(),
 });
 
-/** Tells the peers what they cannot see in the object API. */
+/** State of an entry that is not in the object API. */
 export const entryStateSchema = z.object({ type: z.literal('entry-state'), leaving: z.boolean() });
--- a/src/protocol/reportMessages.ts
+++ b/src/protocol/reportMessages.ts
@@ -1,4 +1,4 @@
-/** What an agent tells the entries about its box. */
+/** Reports from an agent to the entries about its box. */
 import { z } from 'zod';
 import { countSchema, nameSchema } from './names.js';
 
@@ -6,7 +6,7 @@
 export const stageStateSchema = z.enum(['staging', 'staged', 'loaded', 'active']);
 export type StageState = z.infer<typeof stageStateSchema>;
 
-/** One configuration on the box. `activeVersion` is '' when the box serves none. */
+/** State of one configuration on the box. `activeVersion` is '' when the box serves none. */
 export const serviceReportSchema = z.object({
   customer: nameSchema,
   configuration: nameSchema,
@@ -21,16 +21,17 @@
   crossDataCentreBytes: countSchema,
   peerBytes: countSchema,
   corruptChunks: countSchema,
+  /** Granted fetches from the origin (draws) that have not ended. */
   openDraws: countSchema,
-  /** Draws that took bytes from the origin and failed; each needs a new grant. */
+  /** Chunks whose fetch from the origin failed after bytes were received; each needs a new grant. */
   failedDraws: z.array(countSchema).max(100_000),
-  /** Hash of the ledger slots that the agent was given, see ledgerHash. */
+  /** Hash of the ledger slots that are assigned to the agent; see ledgerHash. */
   ledgerHash: countSchema,
   problem: z.string(),
 });
 export type ServiceReport = z.infer<typeof serviceReportSchema>;
 
-/** The state of a box. Load is a hint; versions are what routing trusts. */
+/** The state of a box. Routing relies on the versions; load may be out of date. */
 export const reportMessageSchema = z.object({
   type: z.literal('report'),
   box: nameSchema,
@@ -45,7 +46,7 @@
 });
 export type ReportMessage = z.infer<typeof reportMessageSchema>;
 
-/** Load alone, which changes far more often than the rest. A hint. */
+/** The load alone, which changes far more often than the rest of a report. It may be out of date. */
 export const loadMessageSchema = z.object({
   type: z.literal('load'),
   inFlight: countSchema,
@@ -53,5 +54,5 @@
 });
 export type LoadMessage = z.infer<typeof loadMessageSchema>;
 
-/** Asks the agent to send its report now and on every change. */
+/** Asks an agent to send its report now and on every change. */
 export const subscribeMessageSchema = z.object({ type: z.literal('subscribe') });
--- a/src/protocol/rolloutMessages.ts
+++ b/src/protocol/rolloutMessages.ts
@@ -1,9 +1,9 @@
-/** Orders from a rollout coordinator to agents. Every order carries the coordinator's epoch. */
+/** Orders from a rollout coordinator to agents. Every order has the coordinator's epoch. */
 import { z } from 'zod';
 import { manifestSchema } from './manifest.js';
 import { countSchema, digestSchema, nameSchema, versionSchema } from './names.js';
 
-/** A box of a rollout and where its agent listens. */
+/** A box that takes part in a rollout, and the address of its agent. */
 export const memberSchema = z.object({
   box: nameSchema,
   dataCentre: nameSchema,
@@ -13,11 +13,11 @@
 });
 export type Member = z.infer<typeof memberSchema>;
 
-/** How chunks reach the boxes: see docs/decisions/0001-distribution.md. */
+/** How chunks are distributed to the boxes; see docs/decisions/0001-distribution.md. */
 export const distributionSchema = z.enum(['direct', 'chain', 'exchange']);
 export type Distribution = z.infer<typeof distributionSchema>;
 
-/** What the backend server behind the service is. */
+/** The kind of the backend servers of a service. */
 export const serviceKindSchema = z.enum(['model', 'plain']);
 export type ServiceKind = z.infer<typeof serviceKindSchema>;
 
@@ -28,7 +28,7 @@
   epoch: countSchema,
 };
 
-/** Tells an agent what to stage, with whom, and how. Repeating it is harmless. */
+/** Tells an agent which version to stage, how, and with which other boxes. Idempotent. */
 export const planMessageSchema = z.object({
   type: z.literal('plan'),
   ...orderFields,
@@ -44,7 +44,7 @@
 });
 export type PlanMessage = z.infer<typeof planMessageSchema>;
 
-/** Allows the agent to draw these chunks from the origin, once each. */
+/** Allows the agent to fetch these chunks from the origin, once each. Such a fetch is called a draw. */
 export const grantMessageSchema = z.object({
   type: z.literal('grant'),
   ...orderFields,
@@ -52,33 +52,34 @@
   chunks: z.array(countSchema).max(100_000),
 });
 
-/** Makes a fully staged version the one that the box serves. */
+/** Tells an agent to serve a version that is fully staged. */
 export const activateMessageSchema = z.object({
   type: z.literal('activate'),
   ...orderFields,
   rollout: z.string(),
 });
 
-/** Ends the service of a configuration on the box. */
+/** Tells an agent to stop serving a configuration. */
 export const withdrawMessageSchema = z.object({ type: z.literal('withdraw'), ...orderFields });
 
-/** Asks which chunks of a rollout the agent holds and which granted draws are still open. */
+/** Asks which chunks of a rollout the agent holds and which granted fetches from the origin have not ended. */
 export const holdingsQuerySchema = z.object({
   type: z.literal('holdings-query'),
   ...orderFields,
   rollout: z.string(),
 });
 
-/** Gives the agent its part of the ledger of requests that are not repeatable. */
+/** Assigns an agent its slots of the ledger of requests that must not be executed twice. */
 export const ledgerMessageSchema = z.object({
   type: z.literal('ledger'),
   ...orderFields,
   slots: z.array(z.object({ slot: countSchema, slotEpoch: countSchema, blind: z.boolean() })).max(1_000),
 });
-/** Takes all slots from an agent that is leaving; the reply carries the keys that it remembers. */
+
+/** Takes all ledger slots from an agent that is leaving; the reply has the keys that it remembers. */
 export const ledgerExportSchema = z.object({ type: z.literal('ledger-export'), ...orderFields });
 
-/** Makes an agent remember keys that another one handed over, before it is given their slots. */
+/** Gives an agent the keys that another agent exported, before their slots are assigned to it. */
 export const ledgerImportSchema = z.object({
   type: z.literal('ledger-import'),
   ...orderFields,
@@ -98,7 +99,7 @@
   | z.infer<typeof ledgerExportSchema>
   | z.infer<typeof ledgerImportSchema>;
 
-/** Why an agent refused an order. */
+/** The reason for which an agent refused an order. */
 export const orderRefusalSchema = z.enum([
   'stale-epoch',
   'unknown-rollout',
@@ -108,7 +109,7 @@
 ]);
 export type OrderRefusal = z.infer<typeof orderRefusalSchema>;
 
-/** The answer to any message with a `call`. */
+/** The reply to any message with a `call` number. */
 export const replyMessageSchema = z.object({
   type: z.literal('reply'),
   call: countSchema,
--- a/src/protocol/roundTripEstimator.ts
+++ b/src/protocol/roundTripEstimator.ts
@@ -1,27 +1,30 @@
-/** How long a message and its answer take on a connection, by numbered probes. */
+/** Estimates the round-trip time of a connection from numbered probes. */
 
-/** A round trip that was measured longer ago says nothing of the link now. */
+/** Older measurements are not used: they say nothing about the current state of the link. */
 const MAXIMUM_MEASUREMENT_AGE_MILLISECONDS = 1_500;
-/** Longest time since the last probe that counts: probes come more often, and a process that was paused has sent none meanwhile. */
+/**
+ * An outstanding probe counts as waiting only until this long after the last probe was sent. Probes are sent more often
+ * than that, so a longer gap means that this process itself was paused.
+ */
 const MAXIMUM_PROBE_GAP_MILLISECONDS = 300;
-/** Probes that are waited for; more say nothing that the oldest does not say. */
+/** Most probes that may be outstanding. The oldest one determines the estimate, so more would add nothing. */
 const MAXIMUM_OUTSTANDING_PROBES = 8;
 
-/** Monotonic milliseconds throughout. One per connection. */
+/** The round-trip time of one connection. All times are monotonic milliseconds. */
 export class RoundTripEstimator {
-  /** When each unanswered probe was sent, by its number, the oldest first. */
+  /** When each unanswered probe was sent, by number, the oldest first. */
   private readonly _outstanding = new Map<number, number>();
   private _nextNumber = 0;
   private _lastSentAt = 0;
   private _roundTrip = 0;
   private _measuredAt = Number.NEGATIVE_INFINITY;
 
-  /** Whether so many probes wait for their answers that another one would say nothing. */
+  /** Whether so many probes are outstanding that no further one should be sent. */
   get isAtProbeLimit(): boolean {
     return this._outstanding.size >= MAXIMUM_OUTSTANDING_PROBES;
   }
 
-  /** Notes that a probe is sent; returns its number. */
+  /** Records that a probe is sent, and returns its number. */
   recordProbe(now: number): number {
     const number = this._nextNumber++;
     this._outstanding.set(number, now);
@@ -29,7 +32,7 @@
     return number;
   }
 
-  /** Notes the answer to a probe. Answers come in the order of the probes. */
+  /** Records the answer to a probe. Answers arrive in order, so earlier probes are no longer outstanding either. */
   recordEcho(number: number, now: number): void {
     const sentAt = this._outstanding.get(number);
     if (sentAt === undefined) return;
@@ -40,8 +43,8 @@
   }
 
   /**
-   * The last round trip if it is fresh, or the time for which a probe has been waiting if that is longer. 0 for a peer that
-   * has answered no probe yet: it may be of a version that knows none.
+   * Returns the last round trip if it is recent, or the time for which the oldest outstanding probe has been waiting if
+   * that is longer. Returns 0 while the peer has answered no probe: its release may not support them.
    */
   estimateMilliseconds(now: number): number {
     if (this._measuredAt === Number.NEGATIVE_INFINITY) return 0;
--- a/src/protocol/swarmMessages.ts
+++ b/src/protocol/swarmMessages.ts
@@ -1,15 +1,15 @@
-/** Chunk exchange between agents of one rollout. */
+/** Messages of the chunk exchange between the agents of a rollout. */
 import { z } from 'zod';
 import { countSchema } from './names.js';
 
-/** Opens the exchange of a rollout with everything that the sender holds. */
+/** Announces all chunks of a rollout that the sender holds; the first message of the exchange. */
 export const swarmJoinSchema = z.object({
   type: z.literal('swarm-join'),
   rollout: z.string(),
   held: z.instanceof(Uint8Array),
 });
 
-/** Chunks that the sender has verified since its last message, and how long its upload queue is. */
+/** Announces the chunks that the sender has verified since its last message, and the length of its upload queue. */
 export const haveMessageSchema = z.object({
   type: z.literal('have'),
   rollout: z.string(),
--- a/src/protocol/versionMargins.ts
+++ b/src/protocol/versionMargins.ts
@@ -1,29 +1,34 @@
 /**
- * How long before the bound of an older version what ends there, in milliseconds. Entries and agents assume the same.
+ * After a newer version is named, requests may begin on older versions only until a deadline, the bound of the older
+ * version. These margins say how long before the deadline entries stop using older versions, in milliseconds. Entries
+ * and agents use the same values.
  *
- * | before the bound | what ends                                                                                     |
- * | ---------------- | --------------------------------------------------------------------------------------------- |
- * | 3,000            | sends to servers on whose way requests may lie; handovers to older versions; others come first |
- * | 2,000            | waiting for what was sent to such servers and has not begun: it is taken back                  |
- * | 1,500            | sends to servers where requests take long to begin                                             |
- * | 1,000            | all sends                                                                                      |
- * | 500              | waiting for anything that has not begun: it is taken back                                      |
+ * | before the deadline | what happens to requests on an older version                                           |
+ * | ------------------- | -------------------------------------------------------------------------------------- |
+ * | 3,000               | none are sent over slow links or handed over; servers of newer versions are preferred  |
+ * | 2,000               | those sent over slow links that have not begun are cancelled                           |
+ * | 1,500               | none are sent to servers where requests take long to begin                             |
+ * | 1,000               | none are sent at all                                                                   |
+ * | 500                 | all that have not begun are cancelled                                                  |
  */
 
-/** Servers of older versions are avoided from then on, since others may begin too late if their server goes dark. */
+/** Servers of older versions are avoided from here on: if one becomes unreachable, its requests may begin too late. */
 export const AVOIDANCE_MARGIN_MILLISECONDS = 3_000;
-/** The request, and the reset behind it, may lie on the way: 2.7 s were seen on a link squeezed to a fifth. */
+/**
+ * On a slow link both the request and the reset that cancels it are delayed: by 2.7 s on a link at a fifth of its
+ * rate.
+ */
 export const SLOW_CANCEL_MARGIN_MILLISECONDS = 2_000;
-/** Servers that answer late, or are not heard, get nothing on an older version for longer than others. */
+/** Servers that answer late or send no status are not used for an older version from here on. */
 export const SLOW_SEND_MARGIN_MILLISECONDS = 1_500;
 /**
- * A request waits for the prompts before it, and on its way: up to 400 ms on the users' bench at servers that answer in time,
- * and as much again where the link of a box is narrow and not known to be.
+ * A request waits on the link and for the prompts ahead of it: up to 400 ms in the users' benchmark at servers that answer
+ * in time, and as long again where the link of a box is slow without this being known yet.
  */
 export const LAST_SEND_MARGIN_MILLISECONDS = 1_000;
 /**
- * An engine reads prompts in passes, and a request that it has picked up begins at the end of its pass, whatever becomes of its
- * connection: 190 ms after the reset in a case seen, and up to 500 ms where eight prompts of the mean size wait (45 ms each)
- * beside a large one.
+ * An engine processes prompts in batches, and a request that is in a batch begins when the batch ends, even if its
+ * connection has been reset: 190 ms after the reset in one case, and up to 500 ms where eight prompts of the mean size
+ * (45 ms each) wait beside a large one.
  */
 export const CANCEL_MARGIN_MILLISECONDS = 500;
--- a/src/weights/agentPeers.ts
+++ b/src/weights/agentPeers.ts
@@ -1,4 +1,4 @@
-/** Control connections between agents: one per pair, shared by all rollouts. */
+/** Control connections between agents: one for each pair of agents, shared by all rollouts. */
 import type { ControlOptions } from '../protocol/controlConnection.js';
 import { ControlConnection } from '../protocol/controlConnection.js';
 import type { Message } from '../protocol/message.js';
@@ -10,7 +10,7 @@
 import { errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 
-/** What hears of connections and their messages. */
+/** Receives changes of connections, and messages. */
 export interface AgentPeersListener {
   onPeerUp(box: string): void;
   onPeerDown(box: string): void;
@@ -19,12 +19,13 @@
 
 const REDIAL_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 2_000 };
 /**
- * How long the first connection to a peer may take before the peer counts as lost: processes that start together meet within 0.2 s.
- * While it counted from the first moment, others drew its chunks as well, in 1 of 12 starts of four boxes on a busy machine.
+ * How long the first connection to a peer may take before the peer counts as unreachable. Agents that start together
+ * connect within 0.2 s. Without this time, other agents fetched the peer's chunks from the origin as well, in 1 of 12
+ * starts of four boxes on a busy machine.
  */
 const FIRST_CONNECTION_TIMEOUT_MILLISECONDS = 500;
 
-/** Dials wanted peers whose box sorts after ours; the others dial us. */
+/** Connects an agent to its peers. It dials the peers whose box sorts after its own; the others dial it. */
 export class AgentPeers {
   private readonly _options: ControlOptions;
   private readonly _random: Random;
@@ -33,7 +34,7 @@
   private readonly _wanted = new Map<string, Member>();
   private readonly _connections = new Map<string, ControlConnection>();
   private readonly _dialing = new Set<string>();
-  /** Peers whose first connection is on its way, with the timers that end this. */
+  /** Timeouts of the first connections, by box; a peer with one does not count as unreachable yet. */
   private readonly _firstConnectionTimers = new Map<string, NodeJS.Timeout>();
   private readonly _stopped = new AbortController();
 
@@ -48,17 +49,17 @@
     return this._connections.has(box);
   }
 
-  /** Whether a peer that is wanted cannot be reached, though its first connection has had its time. */
+  /** Whether a peer is not connected and its first connection is not still expected. */
   isUnreachable(box: string): boolean {
     return !this._connections.has(box) && !this._firstConnectionTimers.has(box);
   }
 
-  /** Sends to a connected peer; dropped otherwise. */
+  /** Sends a message to a peer, or drops it when the peer is not connected. */
   send(box: string, message: Message): void {
     this._connections.get(box)?.send(message);
   }
 
-  /** Sends one message to all of these peers that are connected, encoded once. */
+  /** Encodes a message once and sends it to those of `boxes` that are connected. */
   broadcast(boxes: Iterable<string>, message: Message): void {
     const connections = [...boxes].map((box) => this._connections.get(box));
     ControlConnection.broadcast(
@@ -67,7 +68,7 @@
     );
   }
 
-  /** Keeps exactly these peers connected. */
+  /** Replaces the peers to connect to. Does not close connections to former peers. */
   setPeers(members: readonly Member[]): void {
     const added = members.filter(({ box }) => !this._wanted.has(box));
     this._wanted.clear();
@@ -76,7 +77,7 @@
     for (const member of members) this._dial(member);
   }
 
-  /** Takes a connection that another agent opened. */
+  /** Adds an open connection to a peer, in place of a former one. */
   attach(connection: ControlConnection): void {
     const { box } = connection.peer;
     this._connections.get(box)?.close('replaced by a newer connection');
--- a/src/weights/chainTopology.ts
+++ b/src/weights/chainTopology.ts
@@ -1,4 +1,7 @@
-/** Baseline: boxes in a row, data centre after data centre; the first draws from the origin and each feeds the next. */
+/**
+ * A baseline for comparison: all boxes form a chain, ordered by data centre. The first box fetches from the origin, and
+ * each box from its neighbours.
+ */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { compareText } from '../utils/rendezvous.js';
 import type { Neighbour, Topology, TopologyPolicy } from './topology.js';
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -1,16 +1,15 @@
-/** Decides which chunk to fetch next, and from which neighbour. Pure but for its own bookkeeping. */
+/** Decides which chunk to fetch next, and from which neighbour. Does no I/O. */
 import type { Bitset } from '../utils/bitset.js';
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
 import type { PeerView } from './peerView.js';
 
-/** A decision of the picker. */
+/** A chunk to fetch, and the peer to fetch it from. */
 export interface ChunkPick {
   chunk: number;
   peer: PeerView;
 }
 
-/** What the picker is built from. */
 export interface ChunkPickerOptions {
   held: Bitset;
   clock: Clock;
@@ -18,15 +17,16 @@
   box: string;
   /** See Topology.importers. */
   importers: (chunk: number) => readonly string[] | undefined;
-  /** How long a gateway waits for each connected one that comes before it. */
+  /** How long a gateway waits for each connected gateway before it in the order of importers. */
   importStepMilliseconds: number;
-  /** Most fetches under way from one peer. */
+  /** Most concurrent fetches from one peer. */
   fetchesPerPeer: number;
 }
 
 /**
- * Rarest chunk first. A chunk that a neighbour of the own data centre holds is never fetched from another data centre; one that
- * only other data centres hold is fetched by the gateway whose turn it is, and before all others.
+ * Picks the rarest chunk first. A chunk that a neighbour in the own data centre holds is never fetched from another data
+ * centre. A chunk that only other data centres hold is fetched by one gateway after the other, see Topology.importers,
+ * and before all other chunks.
  */
 export class ChunkPicker {
   private readonly _options: ChunkPickerOptions;
@@ -53,7 +53,7 @@
     return this._peers.values();
   }
 
-  /** Neighbours inside or outside the data centre that are not known to hold all of these chunks. */
+  /** Returns neighbours, either in the own data centre or in others, that are not known to hold all of `chunks`. */
   peersLacking(chunks: readonly number[], crossDataCentre: boolean): PeerView[] {
     const lacksOne = (peer: PeerView): boolean => chunks.some((chunk) => !peer.held.has(chunk));
     return [...this._peers.values()].filter(
@@ -61,7 +61,7 @@
     );
   }
 
-  /** Notes that `peer` holds `chunk`. */
+  /** Records that `peer` holds `chunk`. */
   markHeld(peer: PeerView, chunk: number): void {
     if (!peer.held.add(chunk)) return;
     if (!peer.crossDataCentre) this._holdersInDataCentre[chunk]++;
@@ -69,7 +69,7 @@
       this._firstRemoteHolderAt[chunk] = this._options.clock.now();
   }
 
-  /** Forgets what a disconnected peer held. */
+  /** Removes a disconnected peer and what it held. */
   removePeer(peer: PeerView): void {
     this._peers.delete(peer.box);
     if (peer.crossDataCentre) return;
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Marks a chunk as being fetched or drawn. */
+  /** Records that a chunk is being fetched, from a peer or from the origin. */
   markInFlight(chunk: number): void {
     this._inFlight.add(chunk);
   }
@@ -94,7 +94,7 @@
     return false;
   }
 
-  /** The neighbours that are known to hold the chunk. */
+  /** Boxes of the neighbours that are known to hold the chunk. */
   holders(chunk: number): string[] {
     return [...this._peers.values()].filter((peer) => peer.held.has(chunk)).map((peer) => peer.box);
   }
@@ -113,7 +113,7 @@
     return undefined;
   }
 
-  /** Chunks worth fetching: imports first, then rarest first; equals in random order. */
+  /** Chunks that may be fetched: first those of other data centres only, then the rarest; ties in random order. */
   private _candidates(): number[] {
     const { held, random } = this._options;
     const wanted: { chunk: number; order: number }[] = [];
@@ -136,7 +136,10 @@
     return waited >= connectedBefore * this._options.importStepMilliseconds;
   }
 
-  /** The least loaded usable holder; other data centres only when no neighbour of the own data centre holds the chunk. */
+  /**
+   * The least loaded usable holder; in other data centres only if no neighbour in the own data centre holds the
+   * chunk.
+   */
   private _bestHolder(chunk: number): PeerView | undefined {
     const now = this._options.clock.now();
     const crossDataCentre = this._holdersInDataCentre[chunk] === 0;
--- a/src/weights/chunkSource.ts
+++ b/src/weights/chunkSource.ts
@@ -1,27 +1,27 @@
-/** Reads one chunk from somewhere else, paced and verified. */
+/** Receives a chunk from a peer or the origin: limits its rate and verifies its digest. */
 import { createHash } from 'node:crypto';
 import type { ChunkDescription } from '../protocol/manifest.js';
 import type { RateLimiter } from '../utils/rateLimiter.js';
 import { StepError } from '../utils/stepError.js';
 
-/** A chunk arrived whole but with other content. */
+/** The received bytes are not those of the chunk: too many, or with another digest. */
 export class CorruptChunkError extends StepError {}
 
-/** Bounds of one transfer. */
+/** Limits of transfers. */
 export interface TransferBounds {
-  /** Silence after which a transfer counts as stalled, in milliseconds. */
+  /** Time without data after which a transfer is aborted, in milliseconds. */
   stallMilliseconds: number;
-  /** Paces the box's incoming link. */
+  /** Limits the rate of what the box receives. */
   incoming: RateLimiter;
-  /** Fetches from peers under way at the same time; what they ask for queues on the incoming link. */
+  /** Most concurrent fetches from peers. They share the incoming link. */
   fetchesAtOnce: number;
-  /** How long a gateway waits for each connected one that comes before it to bring a chunk into the data centre. */
+  /** How long a gateway leaves a chunk of another data centre to each connected gateway before it in the order. */
   importStepMilliseconds: number;
 }
 
 /**
- * Reads a chunk from `open` and verifies it. Aborts when the source is silent for too long.
- * `onBytes` hears of every byte received, wasted or not.
+ * Reads a chunk from the stream that `open` returns and verifies it. Aborts when the stream stalls.
+ * Calls `onBytes` for all received bytes, also when the transfer fails.
  */
 export async function receiveChunk(
   description: ChunkDescription,
--- a/src/weights/chunkStore.ts
+++ b/src/weights/chunkStore.ts
@@ -1,19 +1,19 @@
-/** Verified chunks in bounded memory, kept apart by customer. */
+/** A store of verified chunks in bounded memory, separate for each customer. */
 import type { ChunkDescription } from '../protocol/manifest.js';
 
-/** Whether memory could be set aside. */
+/** Whether memory could be reserved. */
 export type RetainOutcome = 'retained' | 'full';
 
-/** A chunk that some owner wants kept, whether it has come yet or not. */
+/** A chunk that owners retain, whether it is stored already or not. */
 interface Retained {
   size: number;
   owners: number;
 }
 
 /**
- * Keeps chunks by customer and digest. The same digest of two customers is two entries, so that knowing
- * a digest tells a customer nothing about another. Memory is set aside before a transfer begins, so a transfer that
- * has begun never runs out of it; chunks that nobody retains are dropped.
+ * Stores chunks by customer and digest. The same digest of two customers is stored twice, so that a customer who knows
+ * a digest learns nothing about another customer. Memory is reserved before a transfer begins, so that a transfer never
+ * runs out of it. Chunks without an owner are dropped.
  */
 export class ChunkStore {
   readonly limitBytes: number;
@@ -27,12 +27,12 @@
     this.limitBytes = limitBytes;
   }
 
-  /** Bytes of the chunks that are here. */
+  /** Bytes of the stored chunks. */
   get usedBytes(): number {
     return this._usedBytes;
   }
 
-  /** Bytes that are set aside, for chunks that are here and chunks to come. */
+  /** Bytes that are reserved, for chunks that are stored or still to be stored. */
   get retainedBytes(): number {
     return this._retainedBytes;
   }
@@ -45,7 +45,7 @@
     return this._chunks.get(keyOf(customer, digest));
   }
 
-  /** Stores a chunk whose digest the caller has verified; one that nobody retains is let go. */
+  /** Stores a chunk whose digest the caller has verified. Ignores it if no owner retains it. */
   put(customer: string, digest: string, data: Buffer): void {
     const key = keyOf(customer, digest);
     if (this._chunks.has(key) || !this._retained.has(key)) return;
@@ -53,7 +53,7 @@
     this._usedBytes += data.length;
   }
 
-  /** Sets memory aside for the named chunks until `owner` is released; chunks shared with another owner cost nothing. */
+  /** Reserves memory for `chunks` until `owner` is released. Chunks that another owner retains already need none. */
   retain(owner: string, customer: string, chunks: readonly ChunkDescription[]): RetainOutcome {
     if (this._owners.has(owner)) return 'retained';
     const wanted = new Map(chunks.map((chunk) => [keyOf(customer, chunk.digest), chunk.size]));
@@ -70,7 +70,7 @@
     return 'retained';
   }
 
-  /** Ends a {@link ChunkStore.retain}; chunks that no other owner names are dropped. */
+  /** Releases the chunks of `owner`; drops those that no other owner retains. */
   release(owner: string): void {
     const keys = this._owners.get(owner) ?? [];
     this._owners.delete(owner);
--- a/src/weights/directTopology.ts
+++ b/src/weights/directTopology.ts
@@ -1,4 +1,4 @@
-/** Baseline: every box draws every chunk from the origin. */
+/** A baseline for comparison: every box fetches every chunk from the origin. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { Topology, TopologyPolicy } from './topology.js';
 
--- a/src/weights/exchangeServices.ts
+++ b/src/weights/exchangeServices.ts
@@ -1,4 +1,3 @@
-/** What the exchanges of an agent share. */
 import type { Origin } from '../external/origin.js';
 import type { Logger } from '../telemetry/logger.js';
 import type { Clock } from '../utils/clock.js';
@@ -9,7 +8,7 @@
 import type { PeerChunkClient } from './peerChunkClient.js';
 import type { UploadQueue } from './uploadQueue.js';
 
-/** What an exchange works with; shared by all exchanges of an agent. */
+/** Dependencies that all exchanges of an agent share. */
 export interface ExchangeServices {
   box: string;
   store: ChunkStore;
@@ -21,6 +20,6 @@
   clock: Clock;
   random: Random;
   logger: Logger;
-  /** Whether chunks may be fetched now; when left out, always. */
+  /** Whether fetches from peers may start now. They always may if this is absent. */
   mayFetch?: () => boolean;
 }
--- a/src/weights/exchangeTopology.ts
+++ b/src/weights/exchangeTopology.ts
@@ -1,21 +1,25 @@
 /**
- * The chosen layout: boxes of a data centre exchange among themselves; a few gateways per data centre fetch each chunk from
- * another data centre once; a few of the gateways draw from the origin. See docs/decisions/0001-distribution.md.
+ * The default topology. The boxes of a data centre exchange chunks with each other. Some boxes of each data centre are its
+ * gateways, one of which fetches each chunk from another data centre, once. A few of the gateways fetch from the origin.
+ * See docs/decisions/0001-distribution.md.
  */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { compareText, rendezvousOrder } from '../utils/rendezvous.js';
 import type { Neighbour, Topology, TopologyPolicy } from './topology.js';
 
-/** Boxes per data centre that exchange with other data centres. */
+/** Number of gateways of a data centre. */
 const GATEWAYS_PER_DATA_CENTRE = 8;
-/** Boxes that draw from the origin at the same time, over all data centres, for a rollout of weight 1. */
+/** Boxes that fetch from the origin at the same time, in all data centres together, for a rollout of weight 1. */
 const ORIGIN_FETCHERS = 9;
-/** What a box draws leaves it once for each data centre; so many drawers a data centre let their outgoing links keep up. */
+/**
+ * A box sends each chunk that it has fetched from the origin once to each other data centre; with fewer such boxes, their
+ * outgoing links would be too slow.
+ */
 const MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE = 2;
-/** Up to this many boxes, all boxes of a data centre know each other. */
+/** In data centres of up to this many boxes, all boxes are neighbours. */
 const FULL_MESH_BOXES = 16;
 
-/** One data centre of a rollout; both lists are in the same order at every process. */
+/** The boxes of a rollout in one data centre. Both lists have the same order in every process. */
 interface DataCentreLayout {
   dataCentre: string;
   members: Member[];
@@ -51,7 +55,7 @@
   }
 }
 
-/** The boxes that exchange with other data centres. */
+/** Returns the gateways of all data centres: the boxes that exchange chunks with other data centres. */
 export function exchangeGateways(members: readonly Member[]): Member[] {
   return dataCentreLayouts(members).flatMap((layout) => layout.gateways);
 }
@@ -65,7 +69,7 @@
   });
 }
 
-/** Takes gateways in turn from each data centre. */
+/** Chooses the gateways that fetch from the origin, in turn from each data centre. */
 function chooseOriginFetchers(dataCentres: readonly DataCentreLayout[], weight: number): Member[] {
   const wanted = Math.max(
     MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE * dataCentres.length,
@@ -80,7 +84,10 @@
   return drawers;
 }
 
-/** All boxes of a small data centre; in a large one those at distances 1, 2, 4, … around a ring, and gateways all gateways. */
+/**
+ * Returns the neighbours of a box in its data centre: all boxes if there are few, otherwise those at distances 1, 2, 4, …
+ * on a ring of all boxes. Gateways are also neighbours of all other gateways.
+ */
 function dataCentreNeighbours(layout: DataCentreLayout, box: string): Neighbour[] {
   const { members } = layout;
   const self = members.findIndex((member) => member.box === box);
--- a/src/weights/haveAnnouncer.ts
+++ b/src/weights/haveAnnouncer.ts
@@ -1,8 +1,7 @@
-/** Gathers newly held chunks and tells the neighbours about several at once. */
-
-/** How long new chunks are gathered. */
+/** How long chunks are collected for one announcement. */
 const BATCH_MILLISECONDS = 20;
 
+/** Announces newly held chunks to neighbours, in batches. */
 export class HaveAnnouncer {
   private readonly _announce: (chunks: number[]) => void;
   private _pending: number[] = [];
--- a/src/weights/layeredOrigin.ts
+++ b/src/weights/layeredOrigin.ts
@@ -1,8 +1,7 @@
-/** Asks the weight store first and the origin when the store cannot serve. */
 import type { Manifest } from '../protocol/manifest.js';
 import type { Origin, OriginRange } from '../external/origin.js';
 
-/** Two origins, the cheaper one first. */
+/** Reads chunks from the weight store, and from the origin where the store fails. */
 export class LayeredOrigin implements Origin {
   private readonly _store: Origin;
   private readonly _origin: Origin;
@@ -12,7 +11,7 @@
     this._origin = origin;
   }
 
-  /** The origin alone says what a version holds. */
+  /** Always asks the origin, which alone determines the content of a version. */
   async manifest(customer: string, model: string, version: string): Promise<Manifest> {
     return await this._origin.manifest(customer, model, version);
   }
--- a/src/weights/manifestIndex.ts
+++ b/src/weights/manifestIndex.ts
@@ -1,11 +1,10 @@
-/** A manifest with the sums that transfers need. */
 import type { ChunkDescription, Manifest } from '../protocol/manifest.js';
 import { sha256Hex } from '../utils/hash.js';
 
-/** Where each chunk lies in the version's bytes. */
+/** A manifest with its digest, its total size and the offset of each chunk. */
 export class ManifestIndex {
   readonly manifest: Manifest;
-  /** SHA-256 over the chunk digests and sizes, in order; names the content of a version. */
+  /** SHA-256 of the digests and sizes of all chunks, in order; identifies the content of a version. */
   readonly digest: string;
   readonly totalBytes: number;
   private readonly _offsets: number[] = [];
@@ -29,7 +28,7 @@
     return this.manifest.chunks[index];
   }
 
-  /** First byte of a chunk in the version's bytes. */
+  /** Offset of a chunk in the bytes of the version. */
   offset(index: number): number {
     return this._offsets[index];
   }
--- a/src/weights/originFetcher.ts
+++ b/src/weights/originFetcher.ts
@@ -1,4 +1,4 @@
-/** Draws granted chunks from the origin, one after the other. */
+/** Fetches granted chunks from the origin, one after the other. Messages and logs call such a fetch a draw. */
 import type { Origin } from '../external/origin.js';
 import type { Logger } from '../telemetry/logger.js';
 import { Backoff } from '../utils/backoff.js';
@@ -10,7 +10,6 @@
 import type { ManifestIndex } from './manifestIndex.js';
 import type { TransferCounts } from './transferCounts.js';
 
-/** What a drawer works with. */
 export interface OriginFetcherOptions {
   customer: string;
   index: ManifestIndex;
@@ -20,53 +19,56 @@
   random: Random;
   logger: Logger;
   signal: AbortSignal;
-  /** Whether the version has memory set aside. */
+  /** Whether memory is reserved for the version. */
   mayFetch: () => boolean;
   isHeld: (chunk: number) => boolean;
   isInFlight: (chunk: number) => boolean;
-  /** Marks a chunk as being drawn; the returned function ends it. */
+  /** Marks a chunk as in flight, until the returned function is called. */
   begin: (chunk: number) => () => void;
   store: (chunk: number, data: Buffer) => void;
   onChange: () => void;
 }
 
-/** How a draw ended. `not-sent` cost the origin nothing and may be tried again under the same grant. */
+/** Outcome of a fetch. After `not-sent`, no bytes were received, and the same grant allows another attempt. */
 type FetchOutcome = 'done' | 'failed' | 'not-sent';
 
 /**
- * While the origin is gone, the boxes that draw from it, a dozen at most, ask again so often: a version can be needed most
- * just when the origin returns, and each wait is time in which nothing may be served once the bound of the older one is over.
+ * Backoff while the origin is unreachable. It is short because a version may be needed urgently once the origin is back:
+ * after the deadline of the older version nothing can be served. At most a dozen boxes retry like this.
  */
 export const ORIGIN_RETRY_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 400 };
 
-/** Each grant allows one attempt that takes bytes, so that the origin budget holds whatever fails. */
+/**
+ * Each grant allows one attempt that receives bytes, so that failures can't exceed the budget of bytes from the
+ * origin.
+ */
 export class OriginFetcher {
   private readonly _options: OriginFetcherOptions;
   private _open: number[] = [];
   private readonly _failed = new Set<number>();
-  /** Chunks that are drawn even while they are fetched from a neighbour. */
+  /** Chunks that are fetched from the origin even while they are being fetched from a neighbour. */
   private readonly _urgent = new Set<number>();
   private _isFetching = false;
-  /** The chunk that is on its way from the origin. */
+  /** The chunk that is being fetched. */
   private _current: number | undefined;
-  /** Whether the turn of {@link _current} has passed to another box: it is not asked for again. */
+  /** Whether {@link _current} is now assigned to another box, so that it is not retried here. */
   private _isCurrentReassigned = false;
 
   constructor(options: OriginFetcherOptions) {
     this._options = options;
   }
 
-  /** Granted draws that have not ended, in order. */
+  /** Granted chunks whose fetch has not ended, in order. */
   get open(): readonly number[] {
     return this._open;
   }
 
-  /** Draws that took bytes and failed; each needs a new grant. */
+  /** Chunks whose fetch failed after bytes were received; each needs a new grant. */
   get failed(): number[] {
     return [...this._failed].filter((chunk) => !this._options.isHeld(chunk));
   }
 
-  /** Queues draws. Those that are `urgent` do not wait for a fetch of the same chunk from a neighbour. */
+  /** Queues chunks. Those that are `urgent` do not wait for a fetch of the same chunk from a neighbour. */
   grant(chunks: readonly number[], urgent = false): void {
     if (urgent) for (const chunk of chunks) this._urgent.add(chunk);
     for (const chunk of chunks) {
@@ -77,8 +79,9 @@
   }
 
   /**
-   * Gives up draws that have not begun, but for `chunks` and urgent ones: while the origin was gone their turn has passed to
-   * other boxes. If each box went on with all that was ever its turn, the origin would send them several times when it is back.
+   * Removes all queued chunks except `chunks` and urgent ones: while the origin was unreachable, the others have been
+   * assigned to other boxes. If each box kept every chunk that was ever assigned to it, the origin would send them
+   * several times once it is back.
    */
   keepOnly(chunks: readonly number[]): void {
     const kept = new Set([...chunks, ...this._urgent]);
@@ -86,12 +89,12 @@
     this._isCurrentReassigned = this._current !== undefined && !kept.has(this._current);
   }
 
-  /** Draws what is open, if the version has room. */
+  /** Fetches what is queued, if memory is reserved for the version. */
   resume(): void {
     if (this._options.mayFetch()) void this._fetchAll();
   }
 
-  /** Gives up all draws that have not begun, so that they can be granted to another box. */
+  /** Removes all queued chunks but the first, which may be in flight, so that they can be granted to another box. */
   dropPending(): void {
     this._open.splice(1);
   }
--- a/src/weights/peerChunkClient.ts
+++ b/src/weights/peerChunkClient.ts
@@ -4,10 +4,10 @@
 import type { Member } from '../protocol/rolloutMessages.js';
 import { StepError, errorText } from '../utils/stepError.js';
 
-/** The peer has no room in its upload queue; ask again later or elsewhere. */
+/** The upload queue of the peer is full: retry later or at another peer. */
 export class PeerBusyError extends StepError {}
 
-/** An open chunk body and what the peer said beside it. */
+/** The body of a chunk, and the length of the peer's upload queue. */
 export interface PeerChunk {
   body: AsyncIterable<Buffer>;
   uploadQueue: number;
@@ -15,7 +15,7 @@
 
 const BUSY_STATUS = 503;
 
-/** Opens chunk bodies at peers; `token` proves this box. */
+/** Requests chunks from peers. `token` authenticates this box. */
 export class PeerChunkClient {
   private readonly _token: string;
   private readonly _dispatcher = new Agent({ connections: 4, pipelining: 1, connectTimeout: 2_000 });
--- a/src/weights/peerFetcher.ts
+++ b/src/weights/peerFetcher.ts
@@ -1,4 +1,4 @@
-/** Keeps fetches from neighbours under way until nothing is missing. */
+/** Fetches missing chunks from neighbours until the version is complete. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { Logger } from '../telemetry/logger.js';
 import type { Clock } from '../utils/clock.js';
@@ -13,7 +13,6 @@
 import type { PeerView } from './peerView.js';
 import type { TransferCounts } from './transferCounts.js';
 
-/** What a fetcher works with. */
 export interface PeerFetcherOptions {
   rollout: string;
   index: ManifestIndex;
@@ -27,14 +26,15 @@
   signal: AbortSignal;
   member: (box: string) => Member | undefined;
   isComplete: () => boolean;
-  /** Whether fetches may begin now; asked again after a short while. */
+  /** Whether fetches may start now. Called again after a short while if not. */
   mayFetch: () => boolean;
-  /** Takes a verified chunk and whether it came from another data centre. */
+  /** Stores a verified chunk; `crossDataCentre` says whether it came from another data centre. */
   store: (chunk: number, data: Buffer, crossDataCentre: boolean) => void;
 }
 
-/** How long to wait before looking again when there is nothing to fetch. */
+/** How long to wait before checking again when there is nothing to fetch. */
 const IDLE_RETRY_MILLISECONDS = 25;
+/** How long a peer is avoided after it was busy, at least, and after a fetch from it failed. */
 const BUSY_PEER_MILLISECONDS = 80;
 const FAILED_PEER_MILLISECONDS = 500;
 
@@ -47,7 +47,7 @@
     this._options = options;
   }
 
-  /** Starts as many fetches as there are slots and chunks worth fetching. */
+  /** Starts as many fetches as the limit and the available chunks allow. */
   fill(): void {
     while (this._canStartFetch()) {
       const pick = this._options.mayFetch() ? this._options.picker.next() : undefined;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Fetches under way. */
+  /** Number of fetches in progress. */
   get fetching(): number {
     return this._fetching;
   }
@@ -137,5 +137,5 @@
   }
 }
 
-/** A fetch that lost its purpose before it began. */
+/** A fetch that became unnecessary before it was sent. */
 class CancelledFetchError extends Error {}
--- a/src/weights/peerView.ts
+++ b/src/weights/peerView.ts
@@ -1,17 +1,17 @@
-/** What a box knows of one neighbour in one rollout. */
 import { Bitset } from '../utils/bitset.js';
 
-/** Corrupt chunks after which a peer is set aside for the rest of the rollout. */
+/** Corrupt chunks that a peer may send before it is excluded for the rest of the rollout. */
 const MAXIMUM_CORRUPT_CHUNKS = 2;
 
+/** What a box knows about one neighbour in one rollout. */
 export class PeerView {
   readonly box: string;
   readonly crossDataCentre: boolean;
   readonly held: Bitset;
   connected = false;
-  /** Fetches of this box that are under way from the peer. */
+  /** Fetches from the peer that are in progress. */
   inFlight = 0;
-  /** The peer's upload queue as it last told. A hint. */
+  /** Length of the peer's upload queue as last reported; may be out of date. */
   uploadQueue = 0;
   private _corruptChunks = 0;
   private _avoidUntil = 0;
@@ -22,17 +22,17 @@
     this.held = new Bitset(chunkCount);
   }
 
-  /** Whether to ask the peer for a chunk at `now` (monotonic milliseconds). */
+  /** Whether chunks may be requested from the peer at `now`, in monotonic milliseconds. */
   isUsable(now: number): boolean {
     return this.connected && !this.isExcluded && now >= this._avoidUntil;
   }
 
-  /** Whether the peer has sent too many corrupt chunks. */
+  /** Whether the peer has sent too many corrupt chunks to be used any further. */
   get isExcluded(): boolean {
     return this._corruptChunks > MAXIMUM_CORRUPT_CHUNKS;
   }
 
-  /** Passes over the peer until `time`. */
+  /** Makes the peer unusable until `time`. */
   avoidUntil(time: number): void {
     this._avoidUntil = Math.max(this._avoidUntil, time);
   }
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -1,4 +1,3 @@
-/** Brings one version's chunks to this box and hands them on: one instance per rollout. */
 import type { PlanMessage } from '../protocol/rolloutMessages.js';
 import { Bitset } from '../utils/bitset.js';
 import { ChunkPicker } from './chunkPicker.js';
@@ -13,12 +12,15 @@
 import type { TransferCounts } from './transferCounts.js';
 
 const FETCHES_PER_PEER = 1;
-/** How often a version that found no room looks for it again. */
+/** Interval at which to retry reserving memory for the version. */
 const MEMORY_RETRY_MILLISECONDS = 500;
-/** How often neighbours in other data centres are told everything. */
+/** Interval at which all held chunks are announced to neighbours in other data centres. */
 const CROSS_DATA_CENTRE_REFRESH_MILLISECONDS = 2_000;
 
-/** Fetches what is missing until the version is complete, and answers neighbours throughout. */
+/**
+ * Fetches the chunks of a version to this box and announces them to neighbours. There is one instance for each
+ * rollout.
+ */
 export class RolloutExchange {
   readonly rollout: string;
   readonly held: Bitset;
@@ -28,7 +30,7 @@
     crossDataCentreBytes: 0,
     corruptChunks: 0,
   };
-  /** Why nothing moves, or ''. */
+  /** Why no chunks are fetched, or '' if there is no problem. */
   problem = '';
   private readonly _services: ExchangeServices;
   private readonly _plan: PlanMessage;
@@ -72,34 +74,34 @@
     return this.held.full;
   }
 
-  /** Whether chunks are on their way from other boxes. */
+  /** Whether chunks are being fetched from other boxes. */
   get isFetching(): boolean {
     return this._peerFetcher.fetching > 0;
   }
 
-  /** Chunks that are on their way from other boxes. */
+  /** Number of chunks that are being fetched from other boxes. */
   get fetching(): number {
     return this._peerFetcher.fetching;
   }
 
-  /** Granted draws that have not ended, in order. */
+  /** Granted chunks whose fetch from the origin has not ended, in order. */
   get openDraws(): readonly number[] {
     return this._originFetcher.open;
   }
 
-  /** Draws that took bytes and failed; each needs a new grant. */
+  /** Chunks whose fetch from the origin failed after bytes were received; each needs a new grant. */
   get failedDraws(): number[] {
     return this._originFetcher.failed;
   }
 
-  /** Chunks that are neither here nor at any neighbour, nor on their way. */
+  /** Chunks that neither this box nor any neighbour holds and that are not being fetched. */
   unavailableChunks(): number[] {
     return this.held
       .missing()
       .filter((chunk) => !this._picker.isInFlight(chunk) && !this._picker.isAvailable(chunk));
   }
 
-  /** Missing chunks that only one neighbour is known to hold, and that neighbour. */
+  /** Missing chunks that only one neighbour is known to hold, each with the box of that neighbour. */
   soleHolders(): Map<number, string> {
     const found = new Map<number, string>();
     for (const chunk of this.held.missing()) {
@@ -113,7 +115,7 @@
     return [...this._neighbours.values()];
   }
 
-  /** Sets memory aside, takes over what the store holds already and opens the exchange. */
+  /** Reserves memory, adopts chunks that are in the store already and starts the exchange with neighbours. */
   start(): void {
     if (this._stopped.signal.aborted || !this._reserveMemory()) return;
     this._adoptStoredChunks();
@@ -123,7 +125,7 @@
     this._onChange();
   }
 
-  /** Follows a plan with other members. */
+  /** Applies a plan with other members. */
   updateMembers(plan: PlanMessage): void {
     this._topology = this._topologyFor(plan);
     const wanted = byBox(this._topology.neighbours);
@@ -136,12 +138,12 @@
     }
   }
 
-  /** Gives up all draws that have not begun, so that the coordinator can grant them to another box. */
+  /** Drops chunks whose fetch from the origin has not begun, so that the coordinator can grant them to another box. */
   dropPendingOriginFetches(): void {
     this._originFetcher.dropPending();
   }
 
-  /** Takes a verified chunk that was found on this box. */
+  /** Adds a verified chunk that was found on this box. */
   adopt(chunk: number, data: Buffer): void {
     this._store(chunk, data, true);
   }
@@ -172,13 +174,13 @@
     this._picker.removePeer(view);
   }
 
-  /** Takes the whole holdings of a neighbour. */
+  /** Handles the announcement of all chunks that a neighbour holds. */
   onPeerJoin(box: string, held: Uint8Array): void {
     this.onPeerUp(box);
     this.onPeerHave(box, Bitset.fromBytes(this.held.size, held).members(), 0);
   }
 
-  /** Takes news of a neighbour. */
+  /** Handles the announcement of further chunks that a neighbour holds. */
   onPeerHave(box: string, chunks: readonly number[], uploadQueue: number): void {
     const view = this._picker.peer(box);
     if (!view) return;
@@ -189,7 +191,7 @@
     this._peerFetcher.fill();
   }
 
-  /** Ends all transfers; what is stored stays until the store is told otherwise. */
+  /** Ends all transfers. Stored chunks stay until they are released from the store. */
   stop(): void {
     this._stopped.abort();
     this._announcer.stop();
@@ -245,7 +247,7 @@
     return topologyPolicy(plan.distribution).topologyOf(this._services.box, plan.members);
   }
 
-  /** A version that does not fit waits until another one has been dropped. */
+  /** Reserves memory for the version. If there is too little, retries until another version has been dropped. */
   private _reserveMemory(): boolean {
     const { store } = this._services;
     if (store.retain(this.rollout, this._plan.customer, this._plan.manifest.chunks) === 'retained') {
@@ -266,7 +268,10 @@
     }
   }
 
-  /** `brought` says that the chunk came from outside the data centre, so that this box is the one that other data centres ask. */
+  /**
+   * `imported` says that the chunk came from outside the data centre, so that this box announces it to other data
+   * centres.
+   */
   private _store(chunk: number, data: Buffer, brought: boolean): void {
     if (this._stopped.signal.aborted) return;
     this._services.store.put(this._plan.customer, this._index.chunk(chunk).digest, data);
@@ -276,7 +281,7 @@
     this._onChange();
   }
 
-  /** Other data centres hear of a chunk only from the boxes that brought it into this one: each fetches it once. */
+  /** Only the boxes that imported a chunk announce it to other data centres, so that each of these fetches it once. */
   private _announce(chunks: number[]): void {
     const brought = chunks.filter(
       (chunk) => this._imported.has(chunk) || this._topology.importers(chunk) === undefined,
@@ -288,13 +293,13 @@
   private _sendHave(crossDataCentre: boolean, chunks: number[]): void {
     if (chunks.length === 0) return;
     const { peers, uploads } = this._services;
-    // a neighbour that holds them has no use for a further holder
+    // Neighbours that hold all of the chunks don't need to know of another holder.
     const boxes = this._picker.peersLacking(chunks, crossDataCentre).map((peer) => peer.box);
     if (boxes.length === 0) return;
     peers.broadcast(boxes, { type: 'have', rollout: this.rollout, chunks, uploadQueue: uploads.length });
   }
 
-  /** Tells other data centres everything now and then, for when the box that brought a chunk is lost. */
+  /** Announces all held chunks to other data centres, in case the box that imported a chunk is lost. */
   private _refresh(): void {
     for (const peer of this._picker.peers()) {
       if (peer.crossDataCentre && !peer.held.full) this._sendJoin(peer.box);
--- a/src/weights/swarmMessageHandler.ts
+++ b/src/weights/swarmMessageHandler.ts
@@ -1,13 +1,12 @@
-/** Hands messages between agents to the rollout they belong to. */
 import type { Message } from '../protocol/message.js';
 import type { AgentPeersListener } from './agentPeers.js';
 import type { RolloutExchange } from './rolloutExchange.js';
 import { LRUCache } from 'lru-cache';
 
-/** Joins of rollouts whose plan has not reached this box yet. */
+/** Most joins to keep of rollouts whose plan has not reached this box yet. */
 const MAXIMUM_EARLY_JOINS = 4_096;
 
-/** Keeps joins that come before the plan, so that no neighbour is missed. */
+/** Passes messages between agents to the exchange of their rollout. Keeps joins that arrive before the plan. */
 export class SwarmMessageHandler implements AgentPeersListener {
   private readonly _exchanges: () => RolloutExchange[];
   private readonly _earlyJoins = new LRUCache<string, Uint8Array>({ max: MAXIMUM_EARLY_JOINS });
@@ -35,7 +34,7 @@
     else this._earlyJoins.set(`${box}/${message.rollout}`, message.held);
   }
 
-  /** Replays the joins that came before their plan. */
+  /** Delivers joins that arrived before the plan of their rollout. */
   replayEarlyJoins(): void {
     for (const exchange of this._exchanges()) {
       for (const { member } of exchange.neighbours) {
--- a/src/weights/topologies.ts
+++ b/src/weights/topologies.ts
@@ -1,4 +1,3 @@
-/** Finds the layout by the name that a plan carries. */
 import type { Distribution } from '../protocol/rolloutMessages.js';
 import { ChainTopology } from './chainTopology.js';
 import { DirectTopology } from './directTopology.js';
@@ -11,7 +10,7 @@
   exchange: new ExchangeTopology(),
 };
 
-/** Returns the layout named `distribution`. */
+/** Returns the topology policy for the `distribution` of a plan. */
 export function topologyPolicy(distribution: Distribution): TopologyPolicy {
   return POLICIES[distribution];
 }
--- a/src/weights/topology.ts
+++ b/src/weights/topology.ts
@@ -1,29 +1,29 @@
-/** Who exchanges chunks with whom in a rollout. */
+/** Which boxes of a rollout exchange chunks with each other. */
 import type { Member } from '../protocol/rolloutMessages.js';
 
-/** A peer of a rollout. */
+/** A box that exchanges chunks with this one. */
 export interface Neighbour {
   member: Member;
   crossDataCentre: boolean;
 }
 
-/** One box's place in a rollout. */
+/** The neighbours of one box in a rollout. */
 export interface Topology {
   readonly neighbours: readonly Neighbour[];
   /**
-   * The boxes of the own data centre that fetch a chunk from another data centre, in the order in which they step in for each other;
-   * undefined where every box may fetch from every neighbour.
+   * The boxes of the own data centre that may fetch a chunk from another data centre. Each takes over if those before it
+   * don't fetch the chunk. Undefined if every box may fetch from every neighbour.
    */
   importers(chunk: number): readonly string[] | undefined;
 }
 
-/** Lays out a rollout. Every process computes the same from the same members. */
+/** Determines the topology of a rollout. Every process computes the same result from the same members. */
 export interface TopologyPolicy {
-  /** The place of `box` among `members`. */
+  /** Returns the topology from the view of `box`, one of `members`. */
   topologyOf(box: string, members: readonly Member[]): Topology;
   /**
-   * Which box draws which of the `missing` chunks from the origin. Rollouts share the origin's link by the number of
-   * boxes that draw at the same time, which grows with `weight`.
+   * Assigns the `missing` chunks to the boxes that fetch them from the origin. More boxes fetch at the same time for a
+   * larger `weight`, which determines the rollout's share of the origin's link.
    */
   initialOriginFetches(
     missing: readonly number[],
--- a/src/weights/transferCounts.ts
+++ b/src/weights/transferCounts.ts
@@ -1,10 +1,10 @@
-/** Bytes that a rollout has moved to a box, by source. */
+/** Bytes that a box has received for a rollout, by source, and its corrupt chunks. */
 export interface TransferCounts {
-  /** From the origin, wasted ones included. */
+  /** From the origin, including failed fetches. */
   originBytes: number;
-  /** From agents of the own data centre. */
+  /** From agents in the own data centre. */
   peerBytes: number;
-  /** From agents of other data centres. */
+  /** From agents in other data centres. */
   crossDataCentreBytes: number;
   corruptChunks: number;
 }
--- a/src/weights/uploadQueue.ts
+++ b/src/weights/uploadQueue.ts
@@ -1,23 +1,23 @@
-/** Sends chunks to other agents: a few at a time, a short queue, and a busy answer beyond it. */
+/** Sends chunks to other agents. Few are sent at a time; a short queue holds further requests, and more are refused. */
 import type http from 'node:http';
 import { HEADER } from '../protocol/headers.js';
 import { untilDrained } from '../utils/backpressure.js';
 import type { RateLimiter } from '../utils/rateLimiter.js';
 
-/** Chunks sent at the same time: one ends sooner, and so is passed on sooner, than two that share the link. */
+/** Chunks sent at the same time. One alone arrives, and can be passed on, sooner than two that share the link. */
 const UPLOAD_SLOTS = 1;
-/** Why a chunk is asked for: a whole other data centre waits for it, or a box that switches early, or any other box. */
+/** Who requests a chunk: a box that fetches it for another data centre, a box that switches early, or any other box. */
 export type UploadPriority = 'other-data-centre' | 'early' | 'usual';
 
 /** Most urgent first. */
 const PRIORITIES: readonly UploadPriority[] = ['other-data-centre', 'early', 'usual'];
-/** Chunks that may wait for a slot. Usual ones are asked for elsewhere: other boxes of the data centre hold them too. */
+/** Requests that may wait for a slot. Few `usual` ones, since other boxes in the data centre hold those chunks too. */
 const MAXIMUM_WAITING: Record<UploadPriority, number> = { 'other-data-centre': 6, early: 6, usual: 2 };
 const BLOCK_BYTES = 64 * 1024;
 
-/** What is asked for, and by whom. */
+/** The chunk that is requested, and how urgently. */
 export interface UploadRequest {
-  /** The same for every request of one chunk. */
+  /** Identifies the chunk: the same in all requests for it. */
   chunk: string;
   priority: UploadPriority;
 }
@@ -27,10 +27,13 @@
   begin: () => void;
 }
 
-/** Chunks of which it is remembered how often they were sent. */
+/** Number of chunks for which the queue counts how often they were sent. */
 const MAXIMUM_COUNTED_CHUNKS = 4_096;
 
-/** Paces and bounds what the box sends: the most urgent first, then chunks that were sent less often, which spread sooner. */
+/**
+ * Limits the rate and the queue of chunks that the box sends. Sends the most urgent requests first and, among these, the
+ * chunks that were sent least often, so that rare chunks spread faster.
+ */
 export class UploadQueue {
   private readonly _outgoing: RateLimiter;
   private readonly _stallMilliseconds: number;
@@ -40,19 +43,19 @@
   private _active = 0;
   bytesSent = 0;
 
-  /** `blockBytes` is written at a time: what else uses the link waits no longer than such a block takes. */
+  /** Writes `blockBytes` at a time, so that other traffic on the link waits no longer than one block takes. */
   constructor(outgoing: RateLimiter, stallMilliseconds: number, blockBytes = BLOCK_BYTES) {
     this._outgoing = outgoing;
     this._stallMilliseconds = stallMilliseconds;
     this._blockBytes = blockBytes;
   }
 
-  /** Chunks being sent or waiting. */
+  /** Number of chunks that are being sent or waiting. */
   get length(): number {
     return this._active + this._waiting.length;
   }
 
-  /** Answers with `data`, or with 503 when the queue is full. */
+  /** Responds with `data`, or with status 503 when the queue is full. */
   async send(response: http.ServerResponse, data: Buffer, request: UploadRequest): Promise<void> {
     if (this._isFullFor(request)) {
       response.writeHead(503, { [HEADER.uploadQueue]: String(this.length) }).end();
@@ -81,14 +84,16 @@
     response.end();
   }
 
-  /** Waits for room; cuts a receiver that takes nothing for too long, so that it cannot hold a slot. */
+  /**
+   * Waits until the receiver has read the buffered data. Disconnects one that stalls, so that it doesn't keep a slot.
+   */
   private async _waitForDrain(response: http.ServerResponse): Promise<void> {
     const stalled = setTimeout(() => response.destroy(), this._stallMilliseconds);
     await untilDrained(response);
     clearTimeout(stalled);
   }
 
-  /** Requests of one priority find room beside those of others. */
+  /** Each priority has its own limit, so that requests of one don't displace those of another. */
   private _isFullFor({ priority }: UploadRequest): boolean {
     const waitingAlike = this._waiting.filter(({ request }) => request.priority === priority);
     return waitingAlike.length >= MAXIMUM_WAITING[priority];
@@ -106,7 +111,7 @@
     else this._active--;
   }
 
-  /** Takes the request that comes first out of those that wait. */
+  /** Removes the first request by rank from the queue. */
   private _next(): WaitingUpload | undefined {
     let best = 0;
     for (let index = 1; index < this._waiting.length; index++) {
