--- a/src/protocol/boxMessages.ts
+++ b/src/protocol/boxMessages.ts
@@ -98,8 +98,8 @@
 export type EntryList = z.infer<typeof entryListSchema>;
 
 /**
- * Sent by an agent to the entries that receive its status, when it learns of a version or of an earlier time at which a
- * version was known. An entry whose own source is late or has missed a version so learns of it from any other entry
+ * Sent by an agent to the entries that receive its status, when it learns of a version or of an earlier time at which
+ * a version was known. An entry whose own source is late or has missed a version so learns of it from any other entry
  * that is connected to the same agent.
  */
 export const versionsHeardSchema = z.object({
--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -20,7 +20,7 @@
   silenceTimeout,
 } from './livenessTimeouts.js';
 
-/** A message that expects a reply when its `call` number is set. */
+/** A message with a `call` number, which its reply repeats. */
 export type CallMessage = Extract<Message, { call?: number }>;
 type WithoutCall<T> = T extends unknown ? Omit<T, 'call'> : never;
 
--- a/src/protocol/frameCodec.ts
+++ b/src/protocol/frameCodec.ts
@@ -1,6 +1,6 @@
 /**
- * Length-prefixed CBOR: four bytes of length, then one CBOR item. A frame of length 0 is a heartbeat. The highest bit of
- * the length marks a compressed item.
+ * Length-prefixed CBOR: four bytes of length, then one CBOR item. A frame of length 0 is a heartbeat. The highest bit
+ * of the length marks a compressed item.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Decoder, Encoder } from 'cbor-x';
@@ -12,9 +12,9 @@
 /** Flag in the length field; far above {@link MAXIMUM_FRAME_BYTES}. */
 const COMPRESSED_BIT = 0x8000_0000;
 /**
- * Items of at least this size are compressed. An entry that reads the store sends a configuration of 0.7 MB to each of a
- * hundred entries. Uncompressed, that is 560 Mbit over a link that may have only 28 Mbit/s, and the configuration must
- * be in force everywhere within seconds.
+ * Items of at least this size are compressed. An entry that reads the store sends a configuration of 0.7 MB to each
+ * of a hundred entries. Uncompressed, that is 560 Mbit over a link that may have only 28 Mbit/s, and the
+ * configuration must be in force everywhere within seconds.
  */
 const COMPRESSION_THRESHOLD_BYTES = 16 * 1024;
 /** Configurations are so repetitive that higher levels save almost nothing and cost several times the CPU time. */
--- a/src/protocol/recordMessages.ts
+++ b/src/protocol/recordMessages.ts
@@ -8,10 +8,10 @@
 const revisionsSchema = z.record(z.string(), countSchema);
 
 /**
- * A record. Its value is sent as JSON text, and absent where there is none, because JSON is encoded and decoded several
- * times as fast as nested CBOR items. In a process that has just started, a configuration of 1,850 routes takes 4 ms to
- * encode and 10 ms to decode; as CBOR it took 51 ms and 32 ms. All entries do this on each change, and their event loops
- * are blocked meanwhile.
+ * A record. Its value is sent as JSON text, and absent where there is none, because JSON is encoded and decoded
+ * up to ten times as fast as nested CBOR items. In a process that has just started, a configuration of 1,850 routes
+ * takes 4 ms to encode and 10 ms to decode; as CBOR it took 51 ms and 32 ms. All entries do this on each change, and
+ * their event loops are blocked meanwhile.
  */
 const objectSchema = z.object({ name: z.string(), revision: countSchema, json: z.string().optional() });
 
@@ -36,8 +36,9 @@
 export type RecordChanges = z.infer<typeof recordChangesSchema>;
 
 /**
- * Records that the sender keeps in force although the store has been rolled back to a state without them. Either side
- * sends them when the other retains fewer, so that an entry that has just started does not apply the rolled-back state.
+ * Records that the sender keeps in force although the store has been rolled back to an older state. Either side
+ * sends them when the other retains fewer, so that an entry that has just started does not apply the rolled-back
+ * state.
  */
 export const recordsRetainedSchema = z.object({
   type: z.literal('records-retained'),
--- a/src/protocol/roundTripEstimator.ts
+++ b/src/protocol/roundTripEstimator.ts
@@ -3,8 +3,8 @@
 /** Older measurements are not used: they say nothing about the current state of the link. */
 const MAXIMUM_MEASUREMENT_AGE_MILLISECONDS = 1_500;
 /**
- * An outstanding probe counts as waiting only until this long after the last probe was sent. Probes are sent more often
- * than that, so a longer gap means that this process itself was paused.
+ * An outstanding probe counts as waiting only until this long after the last probe was sent. Probes are sent more
+ * often than that, so a longer gap means that this process itself was paused.
  */
 const MAXIMUM_PROBE_GAP_MILLISECONDS = 300;
 /** Most probes that may be outstanding. The oldest one determines the estimate, so more would add nothing. */
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Returns the last round trip if it is recent, or the time for which the oldest outstanding probe has been waiting if
-   * that is longer. Returns 0 while the peer has answered no probe: its release may not support them.
+   * Returns the last round trip if it is recent, or the time for which the oldest outstanding probe has been waiting
+   * if that is longer. Returns 0 while the peer has answered no probe: its release may not support them.
    */
   estimateMilliseconds(now: number): number {
     if (this._measuredAt === Number.NEGATIVE_INFINITY) return 0;
--- a/src/protocol/versionMargins.ts
+++ b/src/protocol/versionMargins.ts
@@ -22,8 +22,8 @@
 /** Servers that answer late or send no status are not used for an older version from here on. */
 export const SLOW_SEND_MARGIN_MILLISECONDS = 1_500;
 /**
- * A request waits on the link and for the prompts ahead of it: up to 400 ms in the users' benchmark at servers that answer
- * in time, and as long again where the link of a box is slow without this being known yet.
+ * A request waits on the link and for the prompts ahead of it: up to 400 ms in the users' benchmark at servers that
+ * answer in time, and as long again where the link of a box is slow without this being known yet.
  */
 export const LAST_SEND_MARGIN_MILLISECONDS = 1_000;
 /**
--- a/src/weights/agentPeers.ts
+++ b/src/weights/agentPeers.ts
@@ -49,7 +49,7 @@
     return this._connections.has(box);
   }
 
-  /** Whether a peer is not connected and its first connection is not still expected. */
+  /** Whether a peer is not connected although the time for its first connection has passed. */
   isUnreachable(box: string): boolean {
     return !this._connections.has(box) && !this._firstConnectionTimers.has(box);
   }
--- a/src/weights/chainTopology.ts
+++ b/src/weights/chainTopology.ts
@@ -1,6 +1,6 @@
 /**
- * A baseline for comparison: all boxes form a chain, ordered by data centre. The first box fetches from the origin, and
- * each box from its neighbours.
+ * A baseline for comparison: all boxes form a chain, ordered by data centre. The first box fetches from the origin,
+ * and each box from its neighbours.
  */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { compareText } from '../utils/rendezvous.js';
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -24,9 +24,9 @@
 }
 
 /**
- * Picks the rarest chunk first. A chunk that a neighbour in the own data centre holds is never fetched from another data
- * centre. A chunk that only other data centres hold is fetched by one gateway after the other, see Topology.importers,
- * and before all other chunks.
+ * Picks the rarest chunk first. A chunk that a neighbour in the own data centre holds is never fetched from another
+ * data centre. A chunk that only other data centres hold is fetched before all others, and by one gateway; the next in
+ * the order of `importers` takes over if that gateway does not fetch it in time.
  */
 export class ChunkPicker {
   private readonly _options: ChunkPickerOptions;
--- a/src/weights/chunkStore.ts
+++ b/src/weights/chunkStore.ts
@@ -11,9 +11,9 @@
 }
 
 /**
- * Stores chunks by customer and digest. The same digest of two customers is stored twice, so that a customer who knows
- * a digest learns nothing about another customer. Memory is reserved before a transfer begins, so that a transfer never
- * runs out of it. Chunks without an owner are dropped.
+ * Stores chunks by customer and digest. The same digest of two customers is stored twice, so that a customer who
+ * knows a digest learns nothing about another customer. Memory is reserved before a transfer begins, so that a
+ * transfer never runs out of it. Chunks without an owner are dropped.
  */
 export class ChunkStore {
   readonly limitBytes: number;
--- a/src/weights/exchangeTopology.ts
+++ b/src/weights/exchangeTopology.ts
@@ -1,7 +1,7 @@
 /**
- * The default topology. The boxes of a data centre exchange chunks with each other. Some boxes of each data centre are its
- * gateways, one of which fetches each chunk from another data centre, once. A few of the gateways fetch from the origin.
- * See docs/decisions/0001-distribution.md.
+ * The topology for production; the others are baselines. The boxes of a data centre exchange chunks with each other.
+ * Some of them are gateways, which exchange chunks with other data centres: each chunk is fetched into a data centre
+ * once, by one of its gateways. A few of the gateways fetch from the origin. See docs/decisions/0001-distribution.md.
  */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { compareText, rendezvousOrder } from '../utils/rendezvous.js';
@@ -12,8 +12,8 @@
 /** Boxes that fetch from the origin at the same time, in all data centres together, for a rollout of weight 1. */
 const ORIGIN_FETCHERS = 9;
 /**
- * A box sends each chunk that it has fetched from the origin once to each other data centre; with fewer such boxes, their
- * outgoing links would be too slow.
+ * A box sends each chunk that it has fetched from the origin once to each data centre; with fewer such boxes,
+ * their outgoing links would be too slow.
  */
 const MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE = 2;
 /** In data centres of up to this many boxes, all boxes are neighbours. */
@@ -85,8 +85,8 @@
 }
 
 /**
- * Returns the neighbours of a box in its data centre: all boxes if there are few, otherwise those at distances 1, 2, 4, …
- * on a ring of all boxes. Gateways are also neighbours of all other gateways.
+ * Returns the neighbours of a box in its data centre: all boxes if there are few, otherwise those at distances 1, 2,
+ * 4, … on a ring of all boxes. Gateways are also neighbours of all other gateways.
  */
 function dataCentreNeighbours(layout: DataCentreLayout, box: string): Neighbour[] {
   const { members } = layout;
--- a/src/weights/layeredOrigin.ts
+++ b/src/weights/layeredOrigin.ts
@@ -1,7 +1,7 @@
 import type { Manifest } from '../protocol/manifest.js';
 import type { Origin, OriginRange } from '../external/origin.js';
 
-/** Reads chunks from the weight store, and from the origin where the store fails. */
+/** Reads from the weight store, or from the origin if the store refuses the read. */
 export class LayeredOrigin implements Origin {
   private readonly _store: Origin;
   private readonly _origin: Origin;
--- a/src/weights/topology.ts
+++ b/src/weights/topology.ts
@@ -11,8 +11,8 @@
 export interface Topology {
   readonly neighbours: readonly Neighbour[];
   /**
-   * The boxes of the own data centre that may fetch a chunk from another data centre. Each takes over if those before it
-   * don't fetch the chunk. Undefined if every box may fetch from every neighbour.
+   * The boxes of the own data centre that may fetch a chunk from another data centre. Each takes over if those before
+   * it don't fetch the chunk. Undefined if every box may fetch from every neighbour.
    */
   importers(chunk: number): readonly string[] | undefined;
 }
--- a/src/weights/uploadQueue.ts
+++ b/src/weights/uploadQueue.ts
@@ -1,4 +1,4 @@
-/** Sends chunks to other agents. Few are sent at a time; a short queue holds further requests, and more are refused. */
+/** Sends chunks to other agents: a limited number at a time, with a short queue. Refuses further requests as busy. */
 import type http from 'node:http';
 import { HEADER } from '../protocol/headers.js';
 import { untilDrained } from '../utils/backpressure.js';
@@ -6,7 +6,7 @@
 
 /** Chunks sent at the same time. One alone arrives, and can be passed on, sooner than two that share the link. */
 const UPLOAD_SLOTS = 1;
-/** Who requests a chunk: a box that fetches it for another data centre, a box that switches early, or any other box. */
+/** Who requests a chunk: a gateway that fetches it for another data centre, a box that switches early, or any other box. */
 export type UploadPriority = 'other-data-centre' | 'early' | 'usual';
 
 /** Most urgent first. */
@@ -31,8 +31,8 @@
 const MAXIMUM_COUNTED_CHUNKS = 4_096;
 
 /**
- * Limits the rate and the queue of chunks that the box sends. Sends the most urgent requests first and, among these, the
- * chunks that were sent least often, so that rare chunks spread faster.
+ * Limits the rate and the queue of chunks that the box sends. Sends the most urgent requests first and, among these,
+ * the chunks that were sent least often, so that rare chunks spread faster.
  */
 export class UploadQueue {
   private readonly _outgoing: RateLimiter;
--- a/tests/chunkPicker.spec.ts
+++ b/tests/chunkPicker.spec.ts
@@ -1,4 +1,4 @@
-/** Which chunk is fetched next, from whom, and who fetches from another data centre. */
+/** Which chunk is fetched next, from which peer, and which gateway fetches from another data centre. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { ChunkPicker } from '../src/weights/chunkPicker.js';
@@ -17,7 +17,7 @@
   peer(box: string, chunks: number[], crossDataCentre?: boolean): PeerView;
 }
 
-/** A box 'self'; importers of every chunk are 'first', then 'self'. */
+/** Creates a picker for the box 'self'. By default, the importers of every chunk are 'first', then 'self'. */
 function createPicker(importers: readonly string[] | undefined = ['first', 'self']): PickerFixture {
   const clock = new ManualClock();
   const held = new Bitset(CHUNKS);
@@ -56,20 +56,20 @@
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should not ask a peer beyond its share of fetches', () => {
+test('should not exceed the limit of concurrent fetches from a peer', () => {
   const { picker, peer } = createPicker();
   peer('a', [0]).inFlight = 1;
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should leave a chunk of another data centre to the gateway whose turn it is', () => {
+test('should leave a chunk of another data centre to the gateway that comes first', () => {
   const { picker, peer } = createPicker();
   peer('first', []);
   peer('far', [4], true);
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should step in for a gateway that does not fetch', () => {
+test('should fetch in place of a gateway that does not fetch in time', () => {
   const { picker, clock, peer } = createPicker();
   peer('first', []);
   peer('far', [4], true);
@@ -77,13 +77,13 @@
   expect(picker.next()?.peer.box).toEqual('far');
 });
 
-test('should step in at once for a gateway that is not connected', () => {
+test('should fetch immediately in place of a gateway that is not connected', () => {
   const { picker, peer } = createPicker();
   peer('far', [4], true);
   expect(picker.next()?.peer.box).toEqual('far');
 });
 
-test('should never fetch from another data centre what a neighbour of its own holds', () => {
+test('should never fetch from another data centre what a neighbour in its own holds', () => {
   const { picker, clock, peer } = createPicker(['self']);
   peer('far', [4], true);
   const near = peer('near', [4]);
@@ -99,14 +99,14 @@
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should set a peer aside after repeated corrupt chunks', () => {
+test('should exclude a peer after repeated corrupt chunks', () => {
   const { picker, peer } = createPicker();
   const bad = peer('bad', [0]);
   for (let count = 0; count < 3; count++) bad.countCorruptChunk();
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should name the neighbours that lack a chunk, and no others', () => {
+test('should return only the neighbours that lack a chunk', () => {
   const { picker, peer } = createPicker();
   peer('has-both', [0, 1]);
   peer('has-one', [0]);
--- a/tests/chunkStore.spec.ts
+++ b/tests/chunkStore.spec.ts
@@ -1,4 +1,4 @@
-/** Staged chunks: bounded memory, kept apart by customer, shared between versions. */
+/** The store of chunks: bounded memory, separate for each customer, shared between versions. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { ChunkStore } from '../src/weights/chunkStore.js';
@@ -6,7 +6,7 @@
 const DATA = Buffer.alloc(10);
 const chunk = (digest: string): { digest: string; size: number } => ({ digest, size: 10 });
 
-test('should not set aside more than the limit', () => {
+test('should not reserve more than the limit', () => {
   const store = new ChunkStore(25);
   expect(store.retain('v1', 'a', [chunk('x'), chunk('y')])).toEqual('retained');
   expect(store.retain('v2', 'a', [chunk('z')])).toEqual('full');
@@ -33,7 +33,7 @@
   expect(store.get('b', 'x')).toEqual(undefined);
 });
 
-test('should let go of a chunk that arrives after its version was dropped', () => {
+test('should drop a chunk that arrives after its version was released', () => {
   const store = new ChunkStore(100);
   store.retain('v1', 'a', [chunk('x')]);
   store.release('v1');
--- a/tests/controlConnection.spec.ts
+++ b/tests/controlConnection.spec.ts
@@ -1,4 +1,4 @@
-/** Control connections: proof of the shared key, bad frames, calls, silence. */
+/** Control connections: authentication, invalid frames, calls, silent peers. */
 import net from 'node:net';
 import { deflateRawSync } from 'node:zlib';
 import { test } from 'node:test';
@@ -54,7 +54,7 @@
   server.close();
 });
 
-test('should lose no message that comes before the listener does', async () => {
+test('should keep messages that arrive before there is a listener', async () => {
   const { server, port, accepted } = await listen();
   const client = await ControlConnection.connect('127.0.0.1', port, options('client'));
   client.send({ type: 'entry-state', leaving: true });
@@ -87,7 +87,7 @@
   server.close();
 });
 
-test('should end a call when the connection is lost', async () => {
+test('should reject a call when the connection is lost', async () => {
   const { server, port, accepted } = await listen();
   const client = await ControlConnection.connect('127.0.0.1', port, options('client'));
   const call = client.call({ type: 'revision-query', key: 'a/b' });
@@ -96,7 +96,7 @@
   server.close();
 });
 
-test('should notice a peer that is silent', async () => {
+test('should close the connection of a silent peer', async () => {
   const { server, port, accepted } = await listen();
   const socket = net.connect(port, '127.0.0.1');
   socket.on('error', () => undefined);
@@ -113,7 +113,7 @@
   expect(silenceTimeout('entry', 'agent', 300)).toEqual(300);
 });
 
-test('should pass over a message of a type that it does not know', async () => {
+test('should ignore a message of an unknown type', async () => {
   const { server, port, accepted } = await listen();
   const client = await ControlConnection.connect('127.0.0.1', port, options('client'));
   const connection = await accepted;
@@ -137,7 +137,7 @@
   server.close();
 });
 
-test('should read frames however the bytes are cut', () => {
+test('should read frames however the bytes are split', () => {
   const messages = [{ a: 1 }, { type: 'entry-state', leaving: true }, { b: 'two' }];
   const bytes = Buffer.concat(messages.flatMap((message) => [HEARTBEAT_FRAME, encodeFrame(message)]));
   fc.assert(
@@ -155,13 +155,13 @@
   );
 });
 
-test('should refuse a frame over the limit before it has come', () => {
+test('should refuse a frame over the limit as soon as its length is known', () => {
   const header = Buffer.alloc(4);
   header.writeUInt32BE(MAXIMUM_FRAME_BYTES + 1);
   expect(() => new FrameReader().push(header)).toThrow();
 });
 
-test('should send a large configuration in a small part of its size, and read it back', () => {
+test('should compress a large configuration, and decode it', () => {
   const routes = Array.from({ length: 2_000 }, (_unused, index) => ({
     name: `route-${index}`,
     host: 'games.example',
@@ -176,7 +176,7 @@
   expect(reader.push(frame.subarray(middle))).toEqual([{ type: 'any', routes }]);
 });
 
-test('should refuse a small frame that would grow beyond the limit', () => {
+test('should refuse a small frame that decompresses to more than the limit', () => {
   const packed = deflateRawSync(Buffer.alloc(MAXIMUM_FRAME_BYTES + 1));
   const head = Buffer.alloc(4);
   head.writeUInt32BE(0x8000_0000 + packed.length, 0);
@@ -197,7 +197,7 @@
   );
 });
 
-test('should measure a round trip by itself, and pass no probe on as a message', async () => {
+test('should answer probes itself and not emit them as messages', async () => {
   const { server, port, accepted } = await listen();
   const client = await ControlConnection.connect('127.0.0.1', port, options('client'));
   const connection = await accepted;
--- a/tests/exchangeTopology.spec.ts
+++ b/tests/exchangeTopology.spec.ts
@@ -1,4 +1,4 @@
-/** The layout of a rollout: connected, symmetric, of bounded degree, the same at every process. */
+/** The topology of a rollout: connected, symmetric, of bounded degree, the same in every process. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Member } from '../src/protocol/rolloutMessages.js';
@@ -53,7 +53,7 @@
   expect(neighboursOf('b-3', other).sort()).toEqual(neighboursOf('b-3', all).sort());
 });
 
-test('should draw each missing chunk once, spread evenly over a few boxes of every data centre', () => {
+test('should assign each missing chunk once, evenly to a few boxes of every data centre', () => {
   const draws = policy.initialOriginFetches(
     Array.from({ length: 90 }, (_none, index) => index),
     members(8),
@@ -75,7 +75,7 @@
   expect(new Set(firsts).size).toEqual(8);
 });
 
-test('should let a rollout of twice the weight draw on twice the boxes', () => {
+test('should let twice as many boxes fetch from the origin for a rollout of twice the weight', () => {
   const missing = Array.from({ length: 90 }, (_none, index) => index);
   expect(policy.initialOriginFetches(missing, members(8), 2).size).toEqual(18);
   expect(policy.initialOriginFetches(missing, members(8), 0.1).size).toEqual(6);
--- a/tests/layeredOrigin.spec.ts
+++ b/tests/layeredOrigin.spec.ts
@@ -1,4 +1,4 @@
-/** The weight store is asked first, and the origin when the store cannot serve. */
+/** Chunks are read from the weight store, or from the origin if the store refuses the read. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Origin } from '../src/external/origin.js';
@@ -28,17 +28,17 @@
   return Buffer.concat(pieces).toString();
 }
 
-test('should draw from the weight store and spare the origin', async () => {
+test('should read from the weight store without asking the origin', async () => {
   const [store, source] = [origin('store', false), origin('origin', false)];
   expect(await readFrom(new LayeredOrigin(store, source))).toEqual('store');
   expect(source.reads).toEqual(0);
 });
 
-test('should draw from the origin when the weight store refuses', async () => {
+test('should read from the origin when the weight store refuses', async () => {
   expect(await readFrom(new LayeredOrigin(origin('store', true), origin('origin', false)))).toEqual('origin');
 });
 
-test('should take the manifest from the origin alone', async () => {
+test('should always read the manifest from the origin', async () => {
   const layered = new LayeredOrigin(origin('store', false), origin('origin', false));
   expect((await layered.manifest('a', 'm', 'v')).model).toEqual('origin');
 });
--- a/tests/originFetcher.spec.ts
+++ b/tests/originFetcher.spec.ts
@@ -1,4 +1,4 @@
-/** Which chunks a box draws from the origin after an outage. */
+/** Which chunks a box fetches from the origin after an outage. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { OriginRange } from '../src/external/origin.js';
@@ -13,7 +13,7 @@
 const CHUNK = Buffer.from('chunk');
 const CHUNKS = 4;
 
-/** An origin that is down until the test lets it up, and a drawer before it. */
+/** An origin that is down until the test sets `isDown` to false, and a fetcher that reads from it. */
 class OriginOutage {
   readonly stored: number[] = [];
   isDown = true;
@@ -60,7 +60,7 @@
   }
 }
 
-test('should draw after an outage only what is its turn then, and what is urgent', async () => {
+test('should fetch after an outage only the chunks that are still assigned to it or urgent', async () => {
   const outage = new OriginOutage();
   outage.fetcher.grant([0, 1, 2]);
   outage.fetcher.grant([3], true);
@@ -71,6 +71,6 @@
   outage.end();
 });
 
-test('should ask an origin that is gone again within half a second', () => {
+test('should retry an unreachable origin within half a second', () => {
   expect(ORIGIN_RETRY_BACKOFF.longestMilliseconds).toBeLessThan(500);
 });
--- a/tests/roundTripEstimator.spec.ts
+++ b/tests/roundTripEstimator.spec.ts
@@ -1,16 +1,16 @@
-/** How long a message may lie on a connection. */
+/** The estimate of a connection's round-trip time. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { RoundTripEstimator } from '../src/protocol/roundTripEstimator.js';
 
-test('should tell the last round trip while it is fresh', () => {
+test('should return the last round trip while it is recent', () => {
   const delay = new RoundTripEstimator();
   const number = delay.recordProbe(100);
   delay.recordEcho(number, 350);
   expect([delay.estimateMilliseconds(400), delay.estimateMilliseconds(1_900)]).toEqual([250, 0]);
 });
 
-test('should tell for how long an answer has been waited for', () => {
+test('should return how long the oldest probe has been waiting for its answer', () => {
   const delay = new RoundTripEstimator();
   delay.recordEcho(delay.recordProbe(0), 10);
   delay.recordProbe(1_000);
@@ -19,20 +19,20 @@
   expect(delay.estimateMilliseconds(1_600)).toEqual(600);
 });
 
-test('should not take a pause of this process, in which it sent no probe, for time on the way', () => {
+test('should not count a pause of this process, in which it sent no probes', () => {
   const delay = new RoundTripEstimator();
   delay.recordEcho(delay.recordProbe(0), 10);
   delay.recordProbe(1_000);
   expect(delay.estimateMilliseconds(9_000)).toEqual(300);
 });
 
-test('should tell nothing of a peer that has answered no probe', () => {
+test('should return 0 for a peer that has answered no probe', () => {
   const delay = new RoundTripEstimator();
   delay.recordProbe(0);
   expect(delay.estimateMilliseconds(5_000)).toEqual(0);
 });
 
-test('should take an answer for all probes before it', () => {
+test('should end all earlier probes with an answer', () => {
   const delay = new RoundTripEstimator();
   delay.recordEcho(delay.recordProbe(0), 10);
   delay.recordProbe(100);
@@ -40,7 +40,7 @@
   expect(delay.estimateMilliseconds(240)).toEqual(30);
 });
 
-test('should be full after a few probes without an answer', () => {
+test('should limit the number of outstanding probes', () => {
   const delay = new RoundTripEstimator();
   const open: boolean[] = [];
   for (let sent = 0; sent < 8; sent++) {
--- a/tests/uploadQueue.spec.ts
+++ b/tests/uploadQueue.spec.ts
@@ -1,4 +1,4 @@
-/** In which order a box sends chunks. */
+/** The order in which a box sends chunks, and which requests it refuses. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { after, before, test } from 'node:test';
@@ -29,7 +29,7 @@
   server.closeAllConnections();
 });
 
-/** Asks and notes when the answer begins; resolves with its status. */
+/** Requests `path`, adds it to `begun` when the response begins, and resolves with the status at its end. */
 async function ask(path: string): Promise<number> {
   return await new Promise((resolve, reject) => {
     const request = http.get(`${base}/${path}`, { agent: false }, (answer) => {
@@ -41,7 +41,7 @@
   });
 }
 
-test('should serve another data centre before a box of its own that asked earlier', async () => {
+test('should serve another data centre before an earlier request from its own', async () => {
   queue = new UploadQueue(new RateLimiter(RATE), 5_000, 4_096);
   begun = [];
   const first = ask('a/near');
@@ -53,7 +53,7 @@
   expect(begun).toEqual(['a/near', 'c/far', 'b/near']);
 });
 
-test('should serve first what it has sent less often', async () => {
+test('should serve chunks first that it has sent less often', async () => {
   queue = new UploadQueue(new RateLimiter(RATE), 5_000, 4_096);
   begun = [];
   await ask('a/far');
@@ -66,7 +66,7 @@
   expect(begun).toEqual(['a/far', 'b/far', 'c/far', 'a/far']);
 });
 
-test('should send near boxes elsewhere when it is busy, but keep room for other data centres', async () => {
+test('should refuse its own data centre when it is busy, but still accept other data centres', async () => {
   queue = new UploadQueue(new RateLimiter(RATE), 5_000, 4_096);
   begun = [];
   const first = ask('a/near');
