--- a/src/protocol/reportMessages.ts
+++ b/src/protocol/reportMessages.ts
@@ -21,7 +21,7 @@
   crossDataCentreBytes: countSchema,
   peerBytes: countSchema,
   corruptChunks: countSchema,
-  /** Granted fetches from the origin (draws) that have not ended. */
+  /** Chunks whose granted fetch from the origin (draw) has not ended. */
   openDraws: countSchema,
   /** Chunks whose fetch from the origin failed after bytes were received; each needs a new grant. */
   failedDraws: z.array(countSchema).max(100_000),
--- a/src/weights/exchangeTopology.ts
+++ b/src/weights/exchangeTopology.ts
@@ -45,13 +45,13 @@
     members: readonly Member[],
     weight: number,
   ): Map<string, number[]> {
-    const drawers = chooseOriginFetchers(dataCentreLayouts(members), weight);
-    const draws = new Map<string, number[]>();
+    const fetchers = chooseOriginFetchers(dataCentreLayouts(members), weight);
+    const chunksByBox = new Map<string, number[]>();
     missing.forEach((chunk, position) => {
-      const { box } = drawers[position % drawers.length];
-      draws.set(box, [...(draws.get(box) ?? []), chunk]);
+      const { box } = fetchers[position % fetchers.length];
+      chunksByBox.set(box, [...(chunksByBox.get(box) ?? []), chunk]);
     });
-    return draws;
+    return chunksByBox;
   }
 }
 
@@ -71,17 +71,17 @@
 
 /** Chooses the gateways that fetch from the origin, in turn from each data centre. */
 function chooseOriginFetchers(dataCentres: readonly DataCentreLayout[], weight: number): Member[] {
-  const wanted = Math.max(
+  const fetcherCount = Math.max(
     MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE * dataCentres.length,
     Math.round(ORIGIN_FETCHERS * weight),
   );
-  const drawers: Member[] = [];
-  for (let rank = 0; rank < GATEWAYS_PER_DATA_CENTRE && drawers.length < wanted; rank++) {
+  const fetchers: Member[] = [];
+  for (let rank = 0; rank < GATEWAYS_PER_DATA_CENTRE && fetchers.length < fetcherCount; rank++) {
     for (const { gateways } of dataCentres) {
-      if (gateways[rank] && drawers.length < wanted) drawers.push(gateways[rank]);
+      if (gateways[rank] && fetchers.length < fetcherCount) fetchers.push(gateways[rank]);
     }
   }
-  return drawers;
+  return fetchers;
 }
 
 /**
@@ -91,18 +91,19 @@
 function dataCentreNeighbours(layout: DataCentreLayout, box: string): Neighbour[] {
   const { members } = layout;
   const self = members.findIndex((member) => member.box === box);
-  const chosen = new Set<number>();
-  const step =
+  const neighbourIndexes = new Set<number>();
+  const nextDistance =
     members.length <= FULL_MESH_BOXES
       ? (distance: number) => distance + 1
       : (distance: number) => distance * 2;
-  for (let distance = 1; distance <= members.length / 2; distance = step(distance)) {
-    chosen.add((self + distance) % members.length);
-    chosen.add((self - distance + members.length) % members.length);
+  for (let distance = 1; distance <= members.length / 2; distance = nextDistance(distance)) {
+    neighbourIndexes.add((self + distance) % members.length);
+    neighbourIndexes.add((self - distance + members.length) % members.length);
   }
-  if (self < GATEWAYS_PER_DATA_CENTRE) layout.gateways.forEach((_gateway, index) => chosen.add(index));
-  chosen.delete(self);
-  return [...chosen].map((index) => ({ member: members[index], crossDataCentre: false }));
+  if (self < GATEWAYS_PER_DATA_CENTRE)
+    layout.gateways.forEach((_gateway, index) => neighbourIndexes.add(index));
+  neighbourIndexes.delete(self);
+  return [...neighbourIndexes].map((index) => ({ member: members[index], crossDataCentre: false }));
 }
 
 function crossDataCentreNeighbours(
--- a/src/weights/originFetcher.ts
+++ b/src/weights/originFetcher.ts
@@ -24,7 +24,7 @@
   isHeld: (chunk: number) => boolean;
   isInFlight: (chunk: number) => boolean;
   /** Marks a chunk as in flight, until the returned function is called. */
-  begin: (chunk: number) => () => void;
+  markInFlight: (chunk: number) => () => void;
   store: (chunk: number, data: Buffer) => void;
   onChange: () => void;
 }
@@ -107,14 +107,14 @@
       const chunk = this._open[0];
       this._isCurrentReassigned = false;
       const mustWait = this._options.isInFlight(chunk) && !this._urgent.has(chunk);
-      const end = mustWait ? 'not-sent' : await this._fetch(chunk);
-      if (end === 'not-sent') {
+      const outcome = mustWait ? 'not-sent' : await this._fetch(chunk);
+      if (outcome === 'not-sent') {
         if (this._isCurrentReassigned) this._removeOpen(chunk);
         await pause(backoff.nextWait(), this._options.signal);
         continue;
       }
       this._removeOpen(chunk);
-      if (end === 'failed') this._failed.add(chunk);
+      if (outcome === 'failed') this._failed.add(chunk);
       backoff.reset();
       this._options.onChange();
     }
@@ -126,13 +126,13 @@
   }
 
   private async _fetch(chunk: number): Promise<FetchOutcome> {
-    const { index, bounds, counts, logger, isHeld, begin, store } = this._options;
+    const { index, bounds, counts, logger, isHeld, markInFlight, store } = this._options;
     if (isHeld(chunk)) return 'done';
-    const before = counts.originBytes;
+    const originBytesBefore = counts.originBytes;
     const onBytes = (bytes: number): void => {
       counts.originBytes += bytes;
     };
-    const end = begin(chunk);
+    const clearInFlight = markInFlight(chunk);
     this._current = chunk;
     try {
       const open = (signal: AbortSignal): Promise<AsyncIterable<Buffer>> => this._read(chunk, signal);
@@ -141,10 +141,10 @@
     } catch (error) {
       if (error instanceof CorruptChunkError) counts.corruptChunks++;
       logger.decision('draw.failed', { chunk, reason: errorText(error) });
-      return counts.originBytes > before ? 'failed' : 'not-sent';
+      return counts.originBytes > originBytesBefore ? 'failed' : 'not-sent';
     } finally {
       this._current = undefined;
-      end();
+      clearInFlight();
     }
   }
 
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -148,12 +148,12 @@
     this._store(chunk, data, true);
   }
 
-  /** Queues draws from the origin; see {@link OriginFetcher.grant}. */
+  /** Queues chunks to fetch from the origin; see {@link OriginFetcher.grant}. */
   grant(chunks: readonly number[], urgent = false): void {
     this._originFetcher.grant(chunks, urgent);
   }
 
-  /** Gives up draws that are the turn of other boxes now; see {@link OriginFetcher.keepOnly}. */
+  /** Drops fetches from the origin that other boxes do now; see {@link OriginFetcher.keepOnly}. */
   keepOnlyOriginFetches(chunks: readonly number[]): void {
     this._originFetcher.keepOnly(chunks);
   }
@@ -214,7 +214,7 @@
       mayFetch: () => this.problem === '',
       isHeld: (chunk) => this.held.has(chunk),
       isInFlight: (chunk) => this._picker.isInFlight(chunk),
-      begin: (chunk) => {
+      markInFlight: (chunk) => {
         this._picker.markInFlight(chunk);
         return () => this._picker.clearInFlight(chunk);
       },
--- a/tests/exchangeTopology.spec.ts
+++ b/tests/exchangeTopology.spec.ts
@@ -54,16 +54,16 @@
 });
 
 test('should assign each missing chunk once, evenly to a few boxes of every data centre', () => {
-  const draws = policy.initialOriginFetches(
+  const chunksByBox = policy.initialOriginFetches(
     Array.from({ length: 90 }, (_none, index) => index),
     members(8),
     1,
   );
-  const chunks = [...draws.values()].flat();
+  const chunks = [...chunksByBox.values()].flat();
   expect(new Set(chunks).size).toEqual(90);
   expect(chunks.length).toEqual(90);
-  expect([...draws.values()].every((list) => list.length === 10)).toEqual(true);
-  expect(new Set([...draws.keys()].map((box) => box[0])).size).toEqual(3);
+  expect([...chunksByBox.values()].every((list) => list.length === 10)).toEqual(true);
+  expect(new Set([...chunksByBox.keys()].map((box) => box[0])).size).toEqual(3);
 });
 
 test('should spread imports over the gateways of a data centre', () => {
--- a/tests/originFetcher.spec.ts
+++ b/tests/originFetcher.spec.ts
@@ -42,7 +42,7 @@
       mayFetch: () => true,
       isHeld: (chunk) => this.stored.includes(chunk),
       isInFlight: () => false,
-      begin: () => () => undefined,
+      markInFlight: () => () => undefined,
       store: (chunk) => void this.stored.push(chunk),
       onChange: () => undefined,
     });
