--- a/src/protocol/boxMessages.ts
+++ b/src/protocol/boxMessages.ts
@@ -69,9 +69,7 @@
 export const servingStateSchema = z.enum(['serving', 'preparing', 'switching', 'empty']);
 export type ServingState = z.infer<typeof servingStateSchema>;
 
-/**
- * Status of a backend server, sent by its agent on every change to the entries that want it. Load may be out of date.
- */
+/** Status of a backend server, sent by its agent to the entries that want it on every change. Load may lag behind. */
 export const boxStatusSchema = z.object({
   type: z.literal('box-status'),
   state: servingStateSchema,
@@ -98,9 +96,9 @@
 export type EntryList = z.infer<typeof entryListSchema>;
 
 /**
- * Sent by an agent to the entries that receive its status, when it learns of a version or of an earlier time at which
- * a version was known. An entry whose own source is late or has missed a version so learns of it from any other entry
- * that is connected to the same agent.
+ * Sent by an agent to the entries that receive its status, when it learns of a version or that a version was known
+ * earlier than it thought. If the source of an entry is late or has missed a version, the entry learns of it in this
+ * way from any other entry that is connected to the same agent.
  */
 export const versionsHeardSchema = z.object({
   type: z.literal('versions-heard'),
@@ -130,7 +128,7 @@
   notices: z.array(serverNoticeSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
-/** Asks the peer for a {@link linkEchoSchema}; `ControlConnection` answers it itself. */
+/** Asks for a {@link linkEchoSchema} to measure the round trip; `ControlConnection` of the peer sends it. */
 export const linkProbeSchema = z.object({ type: z.literal('link-probe'), number: countSchema });
 /** Answers the probe with the same number. */
 export const linkEchoSchema = z.object({ type: z.literal('link-echo'), number: countSchema });
--- a/src/protocol/livenessTimeouts.ts
+++ b/src/protocol/livenessTimeouts.ts
@@ -15,10 +15,7 @@
 /** Time to read data that is already in the socket's buffer before a silent connection is closed. */
 export const SILENCE_RECHECK_MILLISECONDS = 50;
 
-/**
- * Returns the longest time from the last data of a peer to the close of its connection, unless this process is
- * paused.
- */
+/** Returns the longest time between the last data of a peer and the close of its connection by a running process. */
 export function maximumDetectionMilliseconds(silenceMilliseconds: number): number {
   return silenceMilliseconds + LIVENESS_CHECK_INTERVAL_MILLISECONDS + SILENCE_RECHECK_MILLISECONDS;
 }
--- a/src/protocol/recordMessages.ts
+++ b/src/protocol/recordMessages.ts
@@ -36,9 +36,8 @@
 export type RecordChanges = z.infer<typeof recordChangesSchema>;
 
 /**
- * Records that the sender keeps in force although the store has been rolled back to an older state. Either side
- * sends them when the other retains fewer, so that an entry that has just started does not apply the rolled-back
- * state.
+ * Records that the sender keeps in force although the store has been rolled back to an older state. Either side sends
+ * them when the other retains fewer, so that an entry that has just started does not apply the older state.
  */
 export const recordsRetainedSchema = z.object({
   type: z.literal('records-retained'),
--- a/src/protocol/versionMargins.ts
+++ b/src/protocol/versionMargins.ts
@@ -14,10 +14,7 @@
 
 /** Servers of older versions are avoided from here on: if one becomes unreachable, its requests may begin too late. */
 export const AVOIDANCE_MARGIN_MILLISECONDS = 3_000;
-/**
- * On a slow link both the request and the reset that cancels it are delayed: by 2.7 s on a link at a fifth of its
- * rate.
- */
+/** A slow link delays both the request and the reset that cancels it: by 2.7 s when it had a fifth of its usual rate. */
 export const SLOW_CANCEL_MARGIN_MILLISECONDS = 2_000;
 /** Servers that answer late or send no status are not used for an older version from here on. */
 export const SLOW_SEND_MARGIN_MILLISECONDS = 1_500;
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -116,13 +116,14 @@
   /** Chunks that may be fetched: first those of other data centres only, then the rarest; ties in random order. */
   private _candidates(): number[] {
     const { held, random } = this._options;
-    const wanted: { chunk: number; order: number }[] = [];
+    const candidates: { chunk: number; order: number }[] = [];
     for (let chunk = 0; chunk < held.size; chunk++) {
       if (held.has(chunk) || this._inFlight.has(chunk)) continue;
       const holders = this._holdersInDataCentre[chunk];
-      if (holders > 0 || this._mayImport(chunk)) wanted.push({ chunk, order: holders + random.fraction() });
+      if (holders > 0 || this._mayImport(chunk))
+        candidates.push({ chunk, order: holders + random.fraction() });
     }
-    return wanted.sort((a, b) => a.order - b.order).map((item) => item.chunk);
+    return candidates.sort((a, b) => a.order - b.order).map((item) => item.chunk);
   }
 
   private _mayImport(chunk: number): boolean {
@@ -136,10 +137,7 @@
     return waited >= connectedBefore * this._options.importStepMilliseconds;
   }
 
-  /**
-   * The least loaded usable holder; in other data centres only if no neighbour in the own data centre holds the
-   * chunk.
-   */
+  /** The least loaded usable holder: in the own data centre if any neighbour there holds the chunk, else in others. */
   private _bestHolder(chunk: number): PeerView | undefined {
     const now = this._options.clock.now();
     const crossDataCentre = this._holdersInDataCentre[chunk] === 0;
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -17,10 +17,7 @@
 /** Interval at which all held chunks are announced to neighbours in other data centres. */
 const CROSS_DATA_CENTRE_REFRESH_MILLISECONDS = 2_000;
 
-/**
- * Fetches the chunks of a version to this box and announces them to neighbours. There is one instance for each
- * rollout.
- */
+/** Fetches the chunks of one rollout's version to this box and announces them to neighbours. */
 export class RolloutExchange {
   readonly rollout: string;
   readonly held: Bitset;
@@ -268,26 +265,23 @@
     }
   }
 
-  /**
-   * `imported` says that the chunk came from outside the data centre, so that this box announces it to other data
-   * centres.
-   */
-  private _store(chunk: number, data: Buffer, brought: boolean): void {
+  /** Stores a chunk. `imported` ones, from outside the data centre, are announced to other data centres as well. */
+  private _store(chunk: number, data: Buffer, imported: boolean): void {
     if (this._stopped.signal.aborted) return;
     this._services.store.put(this._plan.customer, this._index.chunk(chunk).digest, data);
     if (!this.held.add(chunk)) return;
-    if (brought) this._imported.add(chunk);
+    if (imported) this._imported.add(chunk);
     this._announcer.add(chunk);
     this._onChange();
   }
 
   /** Only the boxes that imported a chunk announce it to other data centres, so that each of these fetches it once. */
   private _announce(chunks: number[]): void {
-    const brought = chunks.filter(
+    const imported = chunks.filter(
       (chunk) => this._imported.has(chunk) || this._topology.importers(chunk) === undefined,
     );
     this._sendHave(false, chunks);
-    this._sendHave(true, brought);
+    this._sendHave(true, imported);
   }
 
   private _sendHave(crossDataCentre: boolean, chunks: number[]): void {
--- a/src/weights/uploadQueue.ts
+++ b/src/weights/uploadQueue.ts
@@ -84,19 +84,17 @@
     response.end();
   }
 
-  /**
-   * Waits until the receiver has read the buffered data. Disconnects one that stalls, so that it doesn't keep a slot.
-   */
+  /** Waits until the receiver has read the buffered data. Disconnects it if it stalls, which frees its slot. */
   private async _waitForDrain(response: http.ServerResponse): Promise<void> {
-    const stalled = setTimeout(() => response.destroy(), this._stallMilliseconds);
+    const stallTimer = setTimeout(() => response.destroy(), this._stallMilliseconds);
     await untilDrained(response);
-    clearTimeout(stalled);
+    clearTimeout(stallTimer);
   }
 
   /** Each priority has its own limit, so that requests of one don't displace those of another. */
   private _isFullFor({ priority }: UploadRequest): boolean {
-    const waitingAlike = this._waiting.filter(({ request }) => request.priority === priority);
-    return waitingAlike.length >= MAXIMUM_WAITING[priority];
+    const waitingOfPriority = this._waiting.filter(({ request }) => request.priority === priority);
+    return waitingOfPriority.length >= MAXIMUM_WAITING[priority];
   }
 
   private async _takeSlot(request: UploadRequest): Promise<void> {
