--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -157,10 +157,7 @@
     this._write({ type: 'link-probe', number: this._roundTrip.recordProbe(performance.now()) });
   }
 
-  /**
-   * A lower bound of the current round-trip time by the latest probes, in milliseconds; 0 while none has been
-   * answered.
-   */
+  /** Lower bound of the current round-trip time, in milliseconds; 0 while no probe has been answered. */
   get delayMilliseconds(): number {
     return this._roundTrip.estimateMilliseconds(performance.now());
   }
--- a/src/protocol/versionMargins.ts
+++ b/src/protocol/versionMargins.ts
@@ -1,7 +1,7 @@
 /**
- * After a newer version is named, requests may begin on older versions only until a deadline, the bound of the older
- * version. These margins say how long before the deadline entries stop using older versions, in milliseconds. Entries
- * and agents use the same values.
+ * After a newer version is named, requests may begin on older versions only until a deadline (their bound). These
+ * margins say how long before the deadline older versions cease to be used, step by step, in milliseconds. Entries and
+ * agents use the same values.
  *
  * | before the deadline | what happens to requests on an older version                                           |
  * | ------------------- | -------------------------------------------------------------------------------------- |
@@ -12,11 +12,11 @@
  * | 500                 | all that have not begun are cancelled                                                  |
  */
 
-/** Servers of older versions are avoided from here on: if one becomes unreachable, its requests may begin too late. */
+/** From here on, servers of older versions are avoided: if one becomes unreachable, its requests may begin too late. */
 export const AVOIDANCE_MARGIN_MILLISECONDS = 3_000;
 /** A slow link delays both the request and the reset that cancels it: by 2.7 s when it had a fifth of its usual rate. */
 export const SLOW_CANCEL_MARGIN_MILLISECONDS = 2_000;
-/** Servers that answer late or send no status are not used for an older version from here on. */
+/** From here on, servers that answer late or send no status get no requests on an older version. */
 export const SLOW_SEND_MARGIN_MILLISECONDS = 1_500;
 /**
  * A request waits on the link and for the prompts ahead of it: up to 400 ms in the users' benchmark at servers that
--- a/src/weights/originFetcher.ts
+++ b/src/weights/originFetcher.ts
@@ -38,10 +38,7 @@
  */
 export const ORIGIN_RETRY_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 400 };
 
-/**
- * Each grant allows one attempt that receives bytes, so that failures can't exceed the budget of bytes from the
- * origin.
- */
+/** Each grant allows one attempt that receives bytes, so that the budget of origin bytes holds whatever fails. */
 export class OriginFetcher {
   private readonly _options: OriginFetcherOptions;
   private _open: number[] = [];
--- a/src/weights/peerFetcher.ts
+++ b/src/weights/peerFetcher.ts
@@ -34,8 +34,9 @@
 
 /** How long to wait before checking again when there is nothing to fetch. */
 const IDLE_RETRY_MILLISECONDS = 25;
-/** How long a peer is avoided after it was busy, at least, and after a fetch from it failed. */
+/** How long a busy peer is avoided, at the least; at random up to twice as long. */
 const BUSY_PEER_MILLISECONDS = 80;
+/** How long a peer is avoided after a fetch from it has failed. */
 const FAILED_PEER_MILLISECONDS = 500;
 
 export class PeerFetcher {
--- a/src/weights/peerView.ts
+++ b/src/weights/peerView.ts
@@ -1,6 +1,6 @@
 import { Bitset } from '../utils/bitset.js';
 
-/** Corrupt chunks that a peer may send before it is excluded for the rest of the rollout. */
+/** Corrupt chunks that are tolerated from a peer; with one more, it is excluded for the rest of the rollout. */
 const MAXIMUM_CORRUPT_CHUNKS = 2;
 
 /** What a box knows about one neighbour in one rollout. */
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -125,12 +125,12 @@
   /** Applies a plan with other members. */
   updateMembers(plan: PlanMessage): void {
     this._topology = this._topologyFor(plan);
-    const wanted = byBox(this._topology.neighbours);
+    const neighbours = byBox(this._topology.neighbours);
     for (const peer of [...this._picker.peers()]) {
-      if (!wanted.has(peer.box)) this._picker.removePeer(peer);
+      if (!neighbours.has(peer.box)) this._picker.removePeer(peer);
     }
-    this._neighbours = wanted;
-    for (const { member } of wanted.values()) {
+    this._neighbours = neighbours;
+    for (const { member } of neighbours.values()) {
       if (this._services.peers.isConnected(member.box)) this.onPeerUp(member.box);
     }
   }
@@ -158,9 +158,9 @@
   onPeerUp(box: string): void {
     const neighbour = this._neighbours.get(box);
     if (!neighbour || this._picker.peer(box)?.connected) return;
-    const view = new PeerView(box, neighbour.crossDataCentre, this.held.size);
-    view.connected = true;
-    this._picker.addPeer(view);
+    const peer = new PeerView(box, neighbour.crossDataCentre, this.held.size);
+    peer.connected = true;
+    this._picker.addPeer(peer);
     this._sendJoin(box);
   }
 
--- a/src/weights/uploadQueue.ts
+++ b/src/weights/uploadQueue.ts
@@ -6,7 +6,7 @@
 
 /** Chunks sent at the same time. One alone arrives, and can be passed on, sooner than two that share the link. */
 const UPLOAD_SLOTS = 1;
-/** Who requests a chunk: a gateway that fetches it for another data centre, a box that switches early, or any other box. */
+/** Who requests a chunk: a gateway of another data centre, a box that switches early, or any other box. */
 export type UploadPriority = 'other-data-centre' | 'early' | 'usual';
 
 /** Most urgent first. */
