--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -165,10 +165,10 @@
   }
 
   onPeerDown(box: string): void {
-    const view = this._picker.peer(box);
-    if (!view) return;
-    view.connected = false;
-    this._picker.removePeer(view);
+    const peer = this._picker.peer(box);
+    if (!peer) return;
+    peer.connected = false;
+    this._picker.removePeer(peer);
   }
 
   /** Handles the announcement of all chunks that a neighbour holds. */
@@ -179,11 +179,11 @@
 
   /** Handles the announcement of further chunks that a neighbour holds. */
   onPeerHave(box: string, chunks: readonly number[], uploadQueue: number): void {
-    const view = this._picker.peer(box);
-    if (!view) return;
-    view.uploadQueue = uploadQueue;
+    const peer = this._picker.peer(box);
+    if (!peer) return;
+    peer.uploadQueue = uploadQueue;
     for (const chunk of chunks) {
-      if (chunk < this.held.size) this._picker.markHeld(view, chunk);
+      if (chunk < this.held.size) this._picker.markHeld(peer, chunk);
     }
     this._peerFetcher.fill();
   }
