--- a/src/protocol/boxMessages.ts
+++ b/src/protocol/boxMessages.ts
@@ -77,7 +77,7 @@
   version: countSchema,
   running: countSchema,
   queued: countSchema,
-  /** Whether chunks arrive so slowly that requests too must be expected to take long on the link of the box. */
+  /** Whether the link of the box is slow, for requests too, judging by the rate at which chunks arrive. */
   slowLink: z.boolean(),
   /** Start of the backend server in Unix milliseconds by its own clock; absent where the server does not report it. */
   startedAt: countSchema.optional(),
@@ -105,7 +105,7 @@
   versions: z.array(heardVersionSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
-/** What a backend server asks of all entries in its answers: a limit on requests, or that they stop sending. */
+/** What a backend server requires of all entries, as stated in its answers: a limit on requests, or that they stop. */
 export const serverNoticeSchema = z.object({
   server: z.string().max(MAXIMUM_NAME_LENGTH),
   /** Start of the server in Unix milliseconds by its own clock; 0 when unknown. */
@@ -119,9 +119,8 @@
 export type ServerNotice = z.infer<typeof serverNoticeSchema>;
 
 /**
- * Sent by an entry, when an answer of a server changes what the server asks for, to the agents that send it lists of
- * entries. These agents forward the notices to all entries, so that they also reach an entry that has not sent the
- * server a request yet or has restarted.
+ * New notices that an entry has received, sent to the agents that send it lists of entries. These agents forward the
+ * notices to all entries, so that they also reach an entry that has not sent the server a request yet or has restarted.
  */
 export const serverNoticesSchema = z.object({
   type: z.literal('server-notices'),
--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -47,8 +47,9 @@
 export class ControlConnection extends EventEmitter<ControlEvents> {
   /** Bytes that all connections of this process have sent and received. */
   static totalBytes = 0;
-  /** Messages and heartbeats that all connections of this process have sent and received. */
+  /** Frames that all connections of this process have sent, including heartbeats. */
   static framesSent = 0;
+  /** Frames that all connections of this process have received, without heartbeats. */
   static framesReceived = 0;
   peer!: Identity;
   private readonly _socket: net.Socket;
--- a/src/weights/originFetcher.ts
+++ b/src/weights/originFetcher.ts
@@ -38,7 +38,7 @@
  */
 export const ORIGIN_RETRY_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 400 };
 
-/** Each grant allows one attempt that receives bytes, so that the budget of origin bytes holds whatever fails. */
+/** Each grant allows one attempt that receives bytes, so that failures do not exceed the budget of origin bytes. */
 export class OriginFetcher {
   private readonly _options: OriginFetcherOptions;
   private _open: number[] = [];
