--- a/src/protocol/controlConnection.ts
+++ b/src/protocol/controlConnection.ts
@@ -1,4 +1,4 @@
-/** One authenticated control connection between two processes of the system. */
+/** An authenticated control connection between two processes of the system. */
 import { randomBytes } from 'node:crypto';
 import { EventEmitter } from 'node:events';
 import net from 'node:net';
@@ -7,16 +7,20 @@
 import { StepError, errorText } from '../utils/stepError.js';
 import { withTimeout } from '../utils/timers.js';
 import { sameMac } from './authentication.js';
-import { LinkDelay } from './linkDelay.js';
+import { RoundTripEstimator } from './roundTripEstimator.js';
 import { FrameReader, HEARTBEAT_FRAME, encodeFrame } from './frameCodec.js';
 import type { Identity } from './handshake.js';
 import { PROTOCOL_VERSION, challengeSchema, handshakeMac, helloSchema, welcomeSchema } from './handshake.js';
 import type { Message } from './message.js';
 import { messageSchema, schemaOf } from './message.js';
 import type { ReplyMessage } from './rolloutMessages.js';
-import { CARE_INTERVAL_MILLISECONDS, SECOND_LOOK_MILLISECONDS, allowedSilence } from './silence.js';
+import {
+  LIVENESS_CHECK_INTERVAL_MILLISECONDS,
+  SILENCE_RECHECK_MILLISECONDS,
+  silenceTimeout,
+} from './livenessTimeouts.js';
 
-/** A message that expects a reply, before its `call` number is set. */
+/** A message with a `call` number, which its reply repeats. */
 export type CallMessage = Extract<Message, { call?: number }>;
 type WithoutCall<T> = T extends unknown ? Omit<T, 'call'> : never;
 
@@ -24,7 +28,7 @@
 export interface ControlOptions {
   key: string;
   identity: Identity;
-  /** Silence after which a peer counts as gone, in milliseconds; heartbeats go out more often. */
+  /** Silence after which a peer counts as lost, in milliseconds. Heartbeats are sent more often. */
   peerTimeoutMilliseconds: number;
 }
 
@@ -33,18 +37,19 @@
   close: [string];
 }
 
-/** Heartbeats of a quiet connection within the silence that counts as its loss. */
+/** Number of heartbeats that an idle connection sends within the silence timeout. */
 const HEARTBEATS_PER_TIMEOUT = 2.5;
-const care = new SharedInterval(CARE_INTERVAL_MILLISECONDS);
-/** Default time for a call to be answered, in milliseconds. */
+const livenessChecks = new SharedInterval(LIVENESS_CHECK_INTERVAL_MILLISECONDS);
+/** Default time to wait for the reply to a call, in milliseconds. */
 const CALL_TIMEOUT_MILLISECONDS = 5_000;
 
-/** An open connection; `peer` is proven. Emits `message` and, once, `close` with the reason. */
+/** An open connection to the authenticated `peer`. Emits `message` and, once, `close` with the reason. */
 export class ControlConnection extends EventEmitter<ControlEvents> {
   /** Bytes that all connections of this process have sent and received. */
   static totalBytes = 0;
-  /** Messages and heartbeats that all connections of this process have sent and received. */
+  /** Frames that all connections of this process have sent, including heartbeats. */
   static framesSent = 0;
+  /** Frames that all connections of this process have received, without heartbeats. */
   static framesReceived = 0;
   peer!: Identity;
   private readonly _socket: net.Socket;
@@ -56,12 +61,12 @@
   private _opened = false;
   private _started = false;
   private _nextCall = 1;
-  private readonly _endCare: () => void;
-  private _secondLook: NodeJS.Timeout | undefined;
+  private readonly _stopLivenessChecks: () => void;
+  private _silenceRecheck: NodeJS.Timeout | undefined;
   private _lastSentAt = 0;
-  private _lastHeardAt = performance.now();
+  private _lastReceivedAt = performance.now();
   private _closed = false;
-  private readonly _delay = new LinkDelay();
+  private readonly _roundTrip = new RoundTripEstimator();
 
   private constructor(socket: net.Socket, options: ControlOptions) {
     super();
@@ -71,21 +76,24 @@
     socket.on('data', (bytes: Buffer) => this._onData(bytes));
     socket.on('error', (error) => this.close(errorText(error)));
     socket.on('close', () => this.close('closed by peer'));
-    this._endCare = care.add(() => this._careFor(performance.now()));
+    this._stopLivenessChecks = livenessChecks.add(() => this._checkLiveness(performance.now()));
   }
 
-  /** Connects to a listening peer and proves both ends. */
+  /** Connects to a listening peer and authenticates both ends. */
   static async connect(address: string, port: number, options: ControlOptions): Promise<ControlConnection> {
     const peer = `${address}:${port}`;
     const connection = new ControlConnection(net.connect({ host: address, port }), options);
-    await connection._bounded(connection._openAsClient(), peer);
+    await connection._openWithTimeout(connection._openAsClient(), peer);
     return connection;
   }
 
-  /** Takes an accepted socket and proves both ends. */
+  /** Opens a connection on an accepted socket and authenticates both ends. */
   static async accept(socket: net.Socket, options: ControlOptions): Promise<ControlConnection> {
     const connection = new ControlConnection(socket, options);
-    await connection._bounded(connection._openAsServer(), `${socket.remoteAddress}:${socket.remotePort}`);
+    await connection._openWithTimeout(
+      connection._openAsServer(),
+      `${socket.remoteAddress}:${socket.remotePort}`,
+    );
     return connection;
   }
 
@@ -93,12 +101,12 @@
     return this._closed;
   }
 
-  /** Milliseconds since anything came from the peer; after the end of the connection as well. */
+  /** Milliseconds since anything was received from the peer. Keeps counting after the connection is closed. */
   get silentMilliseconds(): number {
-    return performance.now() - this._lastHeardAt;
+    return performance.now() - this._lastReceivedAt;
   }
 
-  /** Delivers messages from now on; those that came before are delivered first. */
+  /** Starts to emit messages, beginning with those that have been received already. */
   start(): void {
     this._started = true;
     const backlog = this._backlog;
@@ -106,18 +114,18 @@
     for (const frame of backlog) this._receive(frame);
   }
 
-  /** Sends a message; dropped when the connection is closed. */
+  /** Sends a message, or drops it when the connection is closed. */
   send(message: Message): void {
     this._write(message);
   }
 
-  /** Sends one message on several connections, encoded once. */
+  /** Encodes a message once and sends it on several connections. */
   static broadcast(connections: Iterable<ControlConnection>, message: Message): void {
     const frame = encodeFrame(message);
     for (const connection of connections) if (!connection._closed) connection._writeFrame(frame);
   }
 
-  /** Sends a message and waits for its reply. Rejects when the connection closes or the time is up. */
+  /** Sends a message and waits for its reply. Rejects when the connection closes or the call times out. */
   async call(
     message: WithoutCall<CallMessage>,
     timeoutMilliseconds = CALL_TIMEOUT_MILLISECONDS,
@@ -139,28 +147,28 @@
     }
   }
 
-  /** Answers a message that carried a `call`. */
+  /** Replies to a message that has a `call` number. */
   reply(call: number, reply: Omit<ReplyMessage, 'type' | 'call'>): void {
     this._write({ type: 'reply', call, ...reply });
   }
 
-  /** Measures a round trip: what is sent may lie on a narrow link for seconds. */
+  /** Sends a probe that measures the round trip: on a slow link messages can be queued for seconds. */
   probe(): void {
-    if (this._delay.isFull) return;
-    this._write({ type: 'link-probe', number: this._delay.noteSent(performance.now()) });
+    if (this._roundTrip.isAtProbeLimit) return;
+    this._write({ type: 'link-probe', number: this._roundTrip.recordProbe(performance.now()) });
   }
 
-  /** How long a round trip takes at the least, in milliseconds, by the latest probes; 0 while none has been answered. */
+  /** Lower bound of the current round-trip time, in milliseconds; 0 while no probe has been answered. */
   get delayMilliseconds(): number {
-    return this._delay.milliseconds(performance.now());
+    return this._roundTrip.estimateMilliseconds(performance.now());
   }
 
-  /** Closes the connection at once. */
+  /** Closes the connection immediately; messages that are still buffered may be lost. */
   close(reason: string): void {
     if (this._closed) return;
     this._closed = true;
-    clearTimeout(this._secondLook);
-    this._endCare();
+    clearTimeout(this._silenceRecheck);
+    this._stopLivenessChecks();
     this._socket.destroy();
     this.emit('close', reason);
   }
@@ -169,7 +177,7 @@
     return new StepError(`control.${type}`, reason, { peer: this.peer?.box });
   }
 
-  private async _bounded(opening: Promise<void>, peer: string): Promise<void> {
+  private async _openWithTimeout(opening: Promise<void>, peer: string): Promise<void> {
     const timeout = this._options.peerTimeoutMilliseconds;
     this.setMaxListeners(0);
     try {
@@ -187,7 +195,7 @@
     const hello = await this._nextHandshakeFrame(helloSchema);
     const expected = handshakeMac(this._options.key, nonce, hello.identity);
     if (hello.protocol !== PROTOCOL_VERSION)
-      throw new StepError('control.open', `protocol ${hello.protocol} not spoken`);
+      throw new StepError('control.open', `unsupported protocol version ${hello.protocol}`);
     if (!sameMac(hello.mac, expected))
       throw new StepError('control.open', 'wrong shared key', { peer: hello.identity.box });
     this.peer = hello.identity;
@@ -224,7 +232,7 @@
 
   private _onData(bytes: Buffer): void {
     ControlConnection.totalBytes += bytes.length;
-    this._lastHeardAt = performance.now();
+    this._lastReceivedAt = performance.now();
     try {
       for (const frame of this._reader.push(bytes)) this._onFrame(frame);
     } catch (error) {
@@ -241,7 +249,7 @@
     else this._backlog.push(frame);
   }
 
-  /** Messages of a type that this version does not know are passed over, so that a mixed fleet works. */
+  /** Ignores messages of unknown types, so that processes of different releases can work together. */
   private _receive(frame: unknown): void {
     const type = (frame as { type?: unknown } | null)?.type;
     const schema = typeof type === 'string' ? schemaOf(type) : messageSchema;
@@ -255,33 +263,33 @@
   private _dispatch(message: Message): void {
     if (message.type === 'reply') this._calls.get(message.call)?.(message);
     else if (message.type === 'link-probe') this._write({ type: 'link-echo', number: message.number });
-    else if (message.type === 'link-echo') this._delay.noteEcho(message.number, performance.now());
+    else if (message.type === 'link-echo') this._roundTrip.recordEcho(message.number, performance.now());
     else this.emit('message', message);
   }
 
-  /** Silence after which the peer counts as gone, in milliseconds. */
-  private get _allowedSilence(): number {
+  /** Silence after which the peer counts as lost, in milliseconds. */
+  private get _silenceTimeout(): number {
     const { identity, peerTimeoutMilliseconds } = this._options;
     if (!this._opened) return peerTimeoutMilliseconds;
-    return allowedSilence(identity.role, this.peer.role, peerTimeoutMilliseconds);
+    return silenceTimeout(identity.role, this.peer.role, peerTimeoutMilliseconds);
   }
 
-  /** Looks whether the peer has been silent for too long, and sends what keeps a quiet connection alive. */
-  private _careFor(now: number): void {
-    const timeout = this._allowedSilence;
-    if (now - this._lastHeardAt > timeout) this._onSilence();
-    const nextCareAt = now + CARE_INTERVAL_MILLISECONDS;
-    const isDue = nextCareAt - this._lastSentAt > timeout / HEARTBEATS_PER_TIMEOUT;
+  /** Checks for a silent peer, and sends a heartbeat if nothing else has been sent for a while. */
+  private _checkLiveness(now: number): void {
+    const timeout = this._silenceTimeout;
+    if (now - this._lastReceivedAt > timeout) this._onSilence();
+    const nextCheckAt = now + LIVENESS_CHECK_INTERVAL_MILLISECONDS;
+    const isDue = nextCheckAt - this._lastSentAt > timeout / HEARTBEATS_PER_TIMEOUT;
     if (this._opened && isDue) this._writeFrame(HEARTBEAT_FRAME);
   }
 
-  /** When this process itself was paused, what the peer sent meanwhile is still to be read: look once more. */
+  /** If this process was paused, data from the peer may be waiting unread, so checks once more before closing. */
   private _onSilence(): void {
-    const heardAt = this._lastHeardAt;
-    this._secondLook ??= setTimeout(() => {
-      this._secondLook = undefined;
-      if (this._lastHeardAt === heardAt) this.close('silent for too long');
-    }, SECOND_LOOK_MILLISECONDS);
+    const lastReceivedAt = this._lastReceivedAt;
+    this._silenceRecheck ??= setTimeout(() => {
+      this._silenceRecheck = undefined;
+      if (this._lastReceivedAt === lastReceivedAt) this.close('silent for too long');
+    }, SILENCE_RECHECK_MILLISECONDS);
   }
 
   private _write(message: unknown): void {
--- a/src/protocol/controlGauges.ts
+++ b/src/protocol/controlGauges.ts
@@ -1,12 +1,11 @@
-/** What all control connections of a process carry, as figures on its metrics address. */
+/** Metrics of the traffic on all control connections of a process. */
 import { ControlConnection } from './controlConnection.js';
 
-/** Where figures are shown. */
-interface GaugeBoard {
+interface GaugeRegistry {
   gauge(name: string, read: () => number): void;
 }
 
-export function addControlGauges(metrics: GaugeBoard): void {
+export function addControlGauges(metrics: GaugeRegistry): void {
   metrics.gauge('control_messages_sent', () => ControlConnection.framesSent);
   metrics.gauge('control_messages_received', () => ControlConnection.framesReceived);
   metrics.gauge('control_bytes', () => ControlConnection.totalBytes);
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -101,7 +101,7 @@
 
   /** Part of the chunks that have left the origin and are here or at a neighbour, from 0 to 1. */
   get seenShare(): number {
-    return 1 - this.exchange.unseenChunks().length / this.index.chunkCount;
+    return 1 - this.exchange.unavailableChunks().length / this.index.chunkCount;
   }
 
   /** Milliseconds that a whole copy takes at the rate at which the box may take chunks. */
@@ -192,13 +192,13 @@
     const isNew = this._startedAt - this.namedAt < NEW_VERSION_MILLISECONDS;
     if (!isNew && now - this._startedAt < HEARING_MILLISECONDS) return;
     const order = this._reachable(this._order);
-    const unseen = this.exchange.unseenChunks();
+    const unseen = this.exchange.unavailableChunks();
     this._progress.update(order, unseen, now);
     const { box } = this._options.services;
     const due = unseen.filter(
       (chunk) => drawerOf(order, chunk, this._progress.silentFor(order, chunk, now)) === box,
     );
-    this.exchange.keepDraws(due);
+    this.exchange.keepOnlyOriginFetches(due);
     const open = new Set(this.exchange.openDraws);
     const fresh = due.filter((chunk) => !open.has(chunk));
     if (fresh.length === 0) return;
@@ -239,7 +239,7 @@
   /** The order without lost peers, unless so many are lost that they have yet to be connected. */
   private _reachable(order: readonly string[]): readonly string[] {
     const { peers } = this._options.services;
-    const lost = new Set([...this._peers].filter((box) => peers.isLost(box)));
+    const lost = new Set([...this._peers].filter((box) => peers.isUnreachable(box)));
     const reachable = this._peers.size - lost.size + 1;
     if (reachable * 2 <= this._peers.size + 1) return order;
     return withSubstitutes(order, lost);
--- a/src/weights/agentPeers.ts
+++ b/src/weights/agentPeers.ts
@@ -1,4 +1,4 @@
-/** Control connections between agents: one per pair, shared by all rollouts. */
+/** Control connections between agents: one for each pair of agents, shared by all rollouts. */
 import type { ControlOptions } from '../protocol/controlConnection.js';
 import { ControlConnection } from '../protocol/controlConnection.js';
 import type { Message } from '../protocol/message.js';
@@ -10,21 +10,22 @@
 import { errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 
-/** What hears of connections and their messages. */
+/** Receives changes of connections, and messages. */
 export interface AgentPeersListener {
   onPeerUp(box: string): void;
   onPeerDown(box: string): void;
   onPeerMessage(box: string, message: Message): void;
 }
 
-const REDIAL = { firstMilliseconds: 50, longestMilliseconds: 2_000 };
+const REDIAL_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 2_000 };
 /**
- * How long the first connection to a peer may take before the peer counts as lost: processes that start together meet within 0.2 s.
- * While it counted from the first moment, others drew its chunks as well, in 1 of 12 starts of four boxes on a busy machine.
+ * How long the first connection to a peer may take before the peer counts as unreachable. Agents that start together
+ * connect within 0.2 s. Without this time, other agents fetched the peer's chunks from the origin as well, in 1 of 12
+ * starts of four boxes on a busy machine.
  */
-const FIRST_CONNECTION_MILLISECONDS = 500;
+const FIRST_CONNECTION_TIMEOUT_MILLISECONDS = 500;
 
-/** Dials wanted peers whose box sorts after ours; the others dial us. */
+/** Connects an agent to its peers. It dials the peers whose box sorts after its own; the others dial it. */
 export class AgentPeers {
   private readonly _options: ControlOptions;
   private readonly _random: Random;
@@ -33,8 +34,8 @@
   private readonly _wanted = new Map<string, Member>();
   private readonly _connections = new Map<string, ControlConnection>();
   private readonly _dialing = new Set<string>();
-  /** Peers whose first connection is on its way, with the timers that end this. */
-  private readonly _awaited = new Map<string, NodeJS.Timeout>();
+  /** Timeouts of the first connections, by box; a peer with one does not count as unreachable yet. */
+  private readonly _firstConnectionTimers = new Map<string, NodeJS.Timeout>();
   private readonly _stopped = new AbortController();
 
   constructor(options: ControlOptions, random: Random, logger: Logger, listener: AgentPeersListener) {
@@ -48,17 +49,17 @@
     return this._connections.has(box);
   }
 
-  /** Whether a peer that is wanted cannot be reached, though its first connection has had its time. */
-  isLost(box: string): boolean {
-    return !this._connections.has(box) && !this._awaited.has(box);
+  /** Whether a peer is not connected although the time for its first connection has passed. */
+  isUnreachable(box: string): boolean {
+    return !this._connections.has(box) && !this._firstConnectionTimers.has(box);
   }
 
-  /** Sends to a connected peer; dropped otherwise. */
+  /** Sends a message to a peer, or drops it when the peer is not connected. */
   send(box: string, message: Message): void {
     this._connections.get(box)?.send(message);
   }
 
-  /** Sends one message to all of these peers that are connected, encoded once. */
+  /** Encodes a message once and sends it to those of `boxes` that are connected. */
   broadcast(boxes: Iterable<string>, message: Message): void {
     const connections = [...boxes].map((box) => this._connections.get(box));
     ControlConnection.broadcast(
@@ -67,21 +68,21 @@
     );
   }
 
-  /** Keeps exactly these peers connected. */
-  want(members: readonly Member[]): void {
+  /** Replaces the peers to connect to. Does not close connections to former peers. */
+  setPeers(members: readonly Member[]): void {
     const added = members.filter(({ box }) => !this._wanted.has(box));
     this._wanted.clear();
     for (const member of members) this._wanted.set(member.box, member);
-    for (const { box } of added) this._await(box);
+    for (const { box } of added) this._awaitFirstConnection(box);
     for (const member of members) this._dial(member);
   }
 
-  /** Takes a connection that another agent opened. */
+  /** Adds an open connection to a peer, in place of a former one. */
   attach(connection: ControlConnection): void {
     const { box } = connection.peer;
     this._connections.get(box)?.close('replaced by a newer connection');
     this._connections.set(box, connection);
-    this._endAwaiting(box);
+    this._clearFirstConnectionTimer(box);
     connection.on('message', (message) => this._listener.onPeerMessage(box, message));
     connection.once('close', (reason) => this._onClose(box, connection, reason));
     this._listener.onPeerUp(box);
@@ -90,7 +91,7 @@
 
   close(): void {
     this._stopped.abort();
-    for (const box of [...this._awaited.keys()]) this._endAwaiting(box);
+    for (const box of [...this._firstConnectionTimers.keys()]) this._clearFirstConnectionTimer(box);
     for (const connection of this._connections.values()) connection.close('shutting down');
   }
 
@@ -103,27 +104,30 @@
     if (member) this._dial(member);
   }
 
-  private _await(box: string): void {
-    if (this._connections.has(box) || this._awaited.has(box)) return;
-    const timer = setTimeout(() => this._endAwaiting(box), FIRST_CONNECTION_MILLISECONDS);
-    this._awaited.set(box, timer);
+  private _awaitFirstConnection(box: string): void {
+    if (this._connections.has(box) || this._firstConnectionTimers.has(box)) return;
+    const timer = setTimeout(
+      () => this._clearFirstConnectionTimer(box),
+      FIRST_CONNECTION_TIMEOUT_MILLISECONDS,
+    );
+    this._firstConnectionTimers.set(box, timer);
   }
 
-  private _endAwaiting(box: string): void {
-    clearTimeout(this._awaited.get(box));
-    this._awaited.delete(box);
+  private _clearFirstConnectionTimer(box: string): void {
+    clearTimeout(this._firstConnectionTimers.get(box));
+    this._firstConnectionTimers.delete(box);
   }
 
   private _dial(member: Member): void {
     const { box } = member;
-    const dialsUs = compareText(this._options.identity.box, box) > 0;
-    if (dialsUs || this._connections.has(box) || this._dialing.has(box)) return;
+    const peerDials = compareText(this._options.identity.box, box) > 0;
+    if (peerDials || this._connections.has(box) || this._dialing.has(box)) return;
     this._dialing.add(box);
     void this._dialUntilConnected(member).finally(() => this._dialing.delete(box));
   }
 
   private async _dialUntilConnected(member: Member): Promise<void> {
-    const backoff = new Backoff(REDIAL, this._random);
+    const backoff = new Backoff(REDIAL_BACKOFF, this._random);
     while (this._wanted.has(member.box) && !this._stopped.signal.aborted) {
       try {
         this.attach(await ControlConnection.connect(member.address, member.controlPort, this._options));
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -1,16 +1,15 @@
-/** Decides which chunk to fetch next, and from which neighbour. Pure but for its own bookkeeping. */
+/** Decides which chunk to fetch next, and from which neighbour. Does no I/O. */
 import type { Bitset } from '../utils/bitset.js';
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
 import type { PeerView } from './peerView.js';
 
-/** A decision of the picker. */
-export interface Pick {
+/** A chunk to fetch, and the peer to fetch it from. */
+export interface ChunkPick {
   chunk: number;
   peer: PeerView;
 }
 
-/** What the picker is built from. */
 export interface ChunkPickerOptions {
   held: Bitset;
   clock: Clock;
@@ -18,27 +17,28 @@
   box: string;
   /** See Topology.importers. */
   importers: (chunk: number) => readonly string[] | undefined;
-  /** How long a gateway waits for each connected one that comes before it. */
+  /** How long a gateway waits for each connected gateway before it in the order of importers. */
   importStepMilliseconds: number;
-  /** Most fetches under way from one peer. */
+  /** Most concurrent fetches from one peer. */
   fetchesPerPeer: number;
 }
 
 /**
- * Rarest chunk first. A chunk that a neighbour of the own data centre holds is never fetched from another data centre; one that
- * only other data centres hold is fetched by the gateway whose turn it is, and before all others.
+ * Picks the rarest chunk first. A chunk that a neighbour in the own data centre holds is never fetched from another
+ * data centre. A chunk that only other data centres hold is fetched before all others, and by one gateway; the next in
+ * the order of `importers` takes over if that gateway does not fetch it in time.
  */
 export class ChunkPicker {
   private readonly _options: ChunkPickerOptions;
   private readonly _peers = new Map<string, PeerView>();
   private readonly _inFlight = new Set<number>();
-  private readonly _dataCentreHolders: Uint16Array;
-  private readonly _remoteSince: Float64Array;
+  private readonly _holdersInDataCentre: Uint16Array;
+  private readonly _firstRemoteHolderAt: Float64Array;
 
   constructor(options: ChunkPickerOptions) {
     this._options = options;
-    this._dataCentreHolders = new Uint16Array(options.held.size);
-    this._remoteSince = new Float64Array(options.held.size).fill(Number.POSITIVE_INFINITY);
+    this._holdersInDataCentre = new Uint16Array(options.held.size);
+    this._firstRemoteHolderAt = new Float64Array(options.held.size).fill(Number.POSITIVE_INFINITY);
   }
 
   addPeer(peer: PeerView): void {
@@ -53,7 +53,7 @@
     return this._peers.values();
   }
 
-  /** Neighbours inside or outside the data centre that are not known to hold all of these chunks. */
+  /** Returns neighbours, either in the own data centre or in others, that are not known to hold all of `chunks`. */
   peersLacking(chunks: readonly number[], crossDataCentre: boolean): PeerView[] {
     const lacksOne = (peer: PeerView): boolean => chunks.some((chunk) => !peer.held.has(chunk));
     return [...this._peers.values()].filter(
@@ -61,40 +61,40 @@
     );
   }
 
-  /** Notes that `peer` holds `chunk`. */
-  noteHeld(peer: PeerView, chunk: number): void {
+  /** Records that `peer` holds `chunk`. */
+  markHeld(peer: PeerView, chunk: number): void {
     if (!peer.held.add(chunk)) return;
-    if (!peer.crossDataCentre) this._dataCentreHolders[chunk]++;
-    else if (this._remoteSince[chunk] === Number.POSITIVE_INFINITY)
-      this._remoteSince[chunk] = this._options.clock.now();
+    if (!peer.crossDataCentre) this._holdersInDataCentre[chunk]++;
+    else if (this._firstRemoteHolderAt[chunk] === Number.POSITIVE_INFINITY)
+      this._firstRemoteHolderAt[chunk] = this._options.clock.now();
   }
 
-  /** Forgets what a disconnected peer held. */
+  /** Removes a disconnected peer and what it held. */
   removePeer(peer: PeerView): void {
     this._peers.delete(peer.box);
     if (peer.crossDataCentre) return;
     for (let chunk = 0; chunk < peer.held.size; chunk++) {
-      if (peer.held.has(chunk)) this._dataCentreHolders[chunk]--;
+      if (peer.held.has(chunk)) this._holdersInDataCentre[chunk]--;
     }
   }
 
-  /** Marks a chunk as being fetched or drawn. */
-  begin(chunk: number): void {
+  /** Records that a chunk is being fetched, from a peer or from the origin. */
+  markInFlight(chunk: number): void {
     this._inFlight.add(chunk);
   }
 
-  /** Ends {@link ChunkPicker.begin}. */
-  end(chunk: number): void {
+  /** Ends {@link ChunkPicker.markInFlight}. */
+  clearInFlight(chunk: number): void {
     this._inFlight.delete(chunk);
   }
 
   /** Whether any neighbour is known to hold the chunk. */
-  isSeen(chunk: number): boolean {
+  isAvailable(chunk: number): boolean {
     for (const peer of this._peers.values()) if (peer.held.has(chunk)) return true;
     return false;
   }
 
-  /** The neighbours that are known to hold the chunk. */
+  /** Boxes of the neighbours that are known to hold the chunk. */
   holders(chunk: number): string[] {
     return [...this._peers.values()].filter((peer) => peer.held.has(chunk)).map((peer) => peer.box);
   }
@@ -104,45 +104,46 @@
   }
 
   /** Returns the next fetch, or undefined when there is nothing to fetch now. */
-  next(): Pick | undefined {
-    const wanted = this._wanted();
-    for (const chunk of wanted) {
+  next(): ChunkPick | undefined {
+    const candidates = this._candidates();
+    for (const chunk of candidates) {
       const peer = this._bestHolder(chunk);
       if (peer) return { chunk, peer };
     }
     return undefined;
   }
 
-  /** Chunks worth fetching: imports first, then rarest first; equals in random order. */
-  private _wanted(): number[] {
+  /** Chunks that may be fetched: first those of other data centres only, then the rarest; ties in random order. */
+  private _candidates(): number[] {
     const { held, random } = this._options;
-    const wanted: { chunk: number; order: number }[] = [];
+    const candidates: { chunk: number; order: number }[] = [];
     for (let chunk = 0; chunk < held.size; chunk++) {
       if (held.has(chunk) || this._inFlight.has(chunk)) continue;
-      const holders = this._dataCentreHolders[chunk];
-      if (holders > 0 || this._mayImport(chunk)) wanted.push({ chunk, order: holders + random.fraction() });
+      const holders = this._holdersInDataCentre[chunk];
+      if (holders > 0 || this._mayImport(chunk))
+        candidates.push({ chunk, order: holders + random.fraction() });
     }
-    return wanted.sort((a, b) => a.order - b.order).map((item) => item.chunk);
+    return candidates.sort((a, b) => a.order - b.order).map((item) => item.chunk);
   }
 
   private _mayImport(chunk: number): boolean {
-    if (this._remoteSince[chunk] === Number.POSITIVE_INFINITY) return false;
+    if (this._firstRemoteHolderAt[chunk] === Number.POSITIVE_INFINITY) return false;
     const importers = this._options.importers(chunk);
     if (importers === undefined) return true;
     const position = importers.indexOf(this._options.box);
     if (position < 0) return false;
-    const before = importers.slice(0, position).filter((box) => this._peers.has(box)).length;
-    const waited = this._options.clock.now() - this._remoteSince[chunk];
-    return waited >= before * this._options.importStepMilliseconds;
+    const connectedBefore = importers.slice(0, position).filter((box) => this._peers.has(box)).length;
+    const waited = this._options.clock.now() - this._firstRemoteHolderAt[chunk];
+    return waited >= connectedBefore * this._options.importStepMilliseconds;
   }
 
-  /** The least loaded usable holder; other data centres only when no neighbour of the own data centre holds the chunk. */
+  /** The least loaded usable holder: in the own data centre if any neighbour there holds the chunk, else in others. */
   private _bestHolder(chunk: number): PeerView | undefined {
     const now = this._options.clock.now();
-    const crossDataCentre = this._dataCentreHolders[chunk] === 0;
+    const crossDataCentre = this._holdersInDataCentre[chunk] === 0;
     let best: PeerView | undefined;
     for (const peer of this._peers.values()) {
-      if (peer.crossDataCentre !== crossDataCentre || !peer.held.has(chunk) || !peer.usable(now)) continue;
+      if (peer.crossDataCentre !== crossDataCentre || !peer.held.has(chunk) || !peer.isUsable(now)) continue;
       if (peer.inFlight >= this._options.fetchesPerPeer) continue;
       if (!best || loadOf(peer) < loadOf(best)) best = peer;
     }
--- a/src/weights/directTopology.ts
+++ b/src/weights/directTopology.ts
@@ -1,4 +1,4 @@
-/** Baseline: every box draws every chunk from the origin. */
+/** A baseline for comparison: every box fetches every chunk from the origin. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { Topology, TopologyPolicy } from './topology.js';
 
@@ -7,7 +7,7 @@
     return { neighbours: [], importers: () => [] };
   }
 
-  initialDraws(missing: readonly number[], members: readonly Member[]): Map<string, number[]> {
+  initialOriginFetches(missing: readonly number[], members: readonly Member[]): Map<string, number[]> {
     return new Map(members.map((member) => [member.box, [...missing]]));
   }
 }
--- a/src/weights/exchangeTopology.ts
+++ b/src/weights/exchangeTopology.ts
@@ -1,21 +1,25 @@
 /**
- * The chosen layout: boxes of a data centre exchange among themselves; a few gateways per data centre fetch each chunk from
- * another data centre once; a few of the gateways draw from the origin. See docs/decisions/0001-distribution.md.
+ * The topology for production; the others are baselines. The boxes of a data centre exchange chunks with each other.
+ * Some of them are gateways, which exchange chunks with other data centres: each chunk is fetched into a data centre
+ * once, by one of its gateways. A few of the gateways fetch from the origin. See docs/decisions/0001-distribution.md.
  */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { compareText, rendezvousOrder } from '../utils/rendezvous.js';
 import type { Neighbour, Topology, TopologyPolicy } from './topology.js';
 
-/** Boxes per data centre that exchange with other data centres. */
+/** Number of gateways of a data centre. */
 const GATEWAYS_PER_DATA_CENTRE = 8;
-/** Boxes that draw from the origin at the same time, over all data centres, for a rollout of weight 1. */
-const DRAWERS = 9;
-/** What a box draws leaves it once for each data centre; so many drawers a data centre let their outgoing links keep up. */
-const LEAST_DRAWERS_PER_DATA_CENTRE = 2;
-/** Up to this many boxes, all boxes of a data centre know each other. */
+/** Boxes that fetch from the origin at the same time, in all data centres together, for a rollout of weight 1. */
+const ORIGIN_FETCHERS = 9;
+/**
+ * A box sends each chunk that it has fetched from the origin once to each data centre; with fewer such boxes,
+ * their outgoing links would be too slow.
+ */
+const MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE = 2;
+/** In data centres of up to this many boxes, all boxes are neighbours. */
 const FULL_MESH_BOXES = 16;
 
-/** One data centre of a rollout; both lists are in the same order at every process. */
+/** The boxes of a rollout in one data centre. Both lists have the same order in every process. */
 interface DataCentreLayout {
   dataCentre: string;
   members: Member[];
@@ -30,28 +34,28 @@
     const isGateway = own.gateways.some((member) => member.box === box);
     const neighbours = [
       ...dataCentreNeighbours(own, box),
-      ...(isGateway ? crossNeighbours(dataCentres, own) : []),
+      ...(isGateway ? crossDataCentreNeighbours(dataCentres, own) : []),
     ];
     const gateways = own.gateways.map((member) => member.box);
     return { neighbours, importers: (chunk) => rotated(gateways, chunk % gateways.length) };
   }
 
-  initialDraws(
+  initialOriginFetches(
     missing: readonly number[],
     members: readonly Member[],
     weight: number,
   ): Map<string, number[]> {
-    const drawers = drawersOf(dataCentreLayouts(members), weight);
-    const draws = new Map<string, number[]>();
+    const fetchers = chooseOriginFetchers(dataCentreLayouts(members), weight);
+    const chunksByBox = new Map<string, number[]>();
     missing.forEach((chunk, position) => {
-      const { box } = drawers[position % drawers.length];
-      draws.set(box, [...(draws.get(box) ?? []), chunk]);
+      const { box } = fetchers[position % fetchers.length];
+      chunksByBox.set(box, [...(chunksByBox.get(box) ?? []), chunk]);
     });
-    return draws;
+    return chunksByBox;
   }
 }
 
-/** The boxes that exchange with other data centres. */
+/** Returns the gateways of all data centres: the boxes that exchange chunks with other data centres. */
 export function exchangeGateways(members: readonly Member[]): Member[] {
   return dataCentreLayouts(members).flatMap((layout) => layout.gateways);
 }
@@ -65,37 +69,47 @@
   });
 }
 
-/** Takes gateways in turn from each data centre. */
-function drawersOf(dataCentres: readonly DataCentreLayout[], weight: number): Member[] {
-  const wanted = Math.max(LEAST_DRAWERS_PER_DATA_CENTRE * dataCentres.length, Math.round(DRAWERS * weight));
-  const drawers: Member[] = [];
-  for (let rank = 0; rank < GATEWAYS_PER_DATA_CENTRE && drawers.length < wanted; rank++) {
+/** Chooses the gateways that fetch from the origin, in turn from each data centre. */
+function chooseOriginFetchers(dataCentres: readonly DataCentreLayout[], weight: number): Member[] {
+  const fetcherCount = Math.max(
+    MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE * dataCentres.length,
+    Math.round(ORIGIN_FETCHERS * weight),
+  );
+  const fetchers: Member[] = [];
+  for (let rank = 0; rank < GATEWAYS_PER_DATA_CENTRE && fetchers.length < fetcherCount; rank++) {
     for (const { gateways } of dataCentres) {
-      if (gateways[rank] && drawers.length < wanted) drawers.push(gateways[rank]);
+      if (gateways[rank] && fetchers.length < fetcherCount) fetchers.push(gateways[rank]);
     }
   }
-  return drawers;
+  return fetchers;
 }
 
-/** All boxes of a small data centre; in a large one those at distances 1, 2, 4, … around a ring, and gateways all gateways. */
+/**
+ * Returns the neighbours of a box in its data centre: all boxes if there are few, otherwise those at distances 1, 2,
+ * 4, … on a ring of all boxes. Gateways are also neighbours of all other gateways.
+ */
 function dataCentreNeighbours(layout: DataCentreLayout, box: string): Neighbour[] {
   const { members } = layout;
   const self = members.findIndex((member) => member.box === box);
-  const chosen = new Set<number>();
-  const step =
+  const neighbourIndexes = new Set<number>();
+  const nextDistance =
     members.length <= FULL_MESH_BOXES
       ? (distance: number) => distance + 1
       : (distance: number) => distance * 2;
-  for (let distance = 1; distance <= members.length / 2; distance = step(distance)) {
-    chosen.add((self + distance) % members.length);
-    chosen.add((self - distance + members.length) % members.length);
+  for (let distance = 1; distance <= members.length / 2; distance = nextDistance(distance)) {
+    neighbourIndexes.add((self + distance) % members.length);
+    neighbourIndexes.add((self - distance + members.length) % members.length);
   }
-  if (self < GATEWAYS_PER_DATA_CENTRE) layout.gateways.forEach((_gateway, index) => chosen.add(index));
-  chosen.delete(self);
-  return [...chosen].map((index) => ({ member: members[index], crossDataCentre: false }));
+  if (self < GATEWAYS_PER_DATA_CENTRE)
+    layout.gateways.forEach((_gateway, index) => neighbourIndexes.add(index));
+  neighbourIndexes.delete(self);
+  return [...neighbourIndexes].map((index) => ({ member: members[index], crossDataCentre: false }));
 }
 
-function crossNeighbours(dataCentres: readonly DataCentreLayout[], own: DataCentreLayout): Neighbour[] {
+function crossDataCentreNeighbours(
+  dataCentres: readonly DataCentreLayout[],
+  own: DataCentreLayout,
+): Neighbour[] {
   const others = dataCentres.filter((layout) => layout !== own).flatMap((layout) => layout.gateways);
   return others.map((member) => ({ member, crossDataCentre: true }));
 }
--- a/src/weights/peerFetcher.ts
+++ b/src/weights/peerFetcher.ts
@@ -1,10 +1,10 @@
-/** Keeps fetches from neighbours under way until nothing is missing. */
+/** Fetches missing chunks from neighbours until the version is complete. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { Logger } from '../telemetry/logger.js';
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
 import { errorText } from '../utils/stepError.js';
-import type { ChunkPicker, Pick } from './chunkPicker.js';
+import type { ChunkPicker, ChunkPick } from './chunkPicker.js';
 import type { TransferBounds } from './chunkSource.js';
 import { CorruptChunkError, receiveChunk } from './chunkSource.js';
 import type { ManifestIndex } from './manifestIndex.js';
@@ -13,7 +13,6 @@
 import type { PeerView } from './peerView.js';
 import type { TransferCounts } from './transferCounts.js';
 
-/** What a fetcher works with. */
 export interface PeerFetcherOptions {
   rollout: string;
   index: ManifestIndex;
@@ -27,15 +26,17 @@
   signal: AbortSignal;
   member: (box: string) => Member | undefined;
   isComplete: () => boolean;
-  /** Whether fetches may begin now; asked again after a short while. */
+  /** Whether fetches may start now. Called again after a short while if not. */
   mayFetch: () => boolean;
-  /** Takes a verified chunk and whether it came from another data centre. */
+  /** Stores a verified chunk; `crossDataCentre` says whether it came from another data centre. */
   store: (chunk: number, data: Buffer, crossDataCentre: boolean) => void;
 }
 
-/** How long to wait before looking again when there is nothing to fetch. */
+/** How long to wait before checking again when there is nothing to fetch. */
 const IDLE_RETRY_MILLISECONDS = 25;
+/** How long a busy peer is avoided, at the least; at random up to twice as long. */
 const BUSY_PEER_MILLISECONDS = 80;
+/** How long a peer is avoided after a fetch from it has failed. */
 const FAILED_PEER_MILLISECONDS = 500;
 
 export class PeerFetcher {
@@ -47,9 +48,9 @@
     this._options = options;
   }
 
-  /** Starts as many fetches as there are slots and chunks worth fetching. */
+  /** Starts as many fetches as the limit and the available chunks allow. */
   fill(): void {
-    while (this._mayFetch()) {
+    while (this._canStartFetch()) {
       const pick = this._options.mayFetch() ? this._options.picker.next() : undefined;
       if (!pick) {
         this._retryWhenIdle();
@@ -59,7 +60,7 @@
     }
   }
 
-  /** Fetches under way. */
+  /** Number of fetches in progress. */
   get fetching(): number {
     return this._fetching;
   }
@@ -68,7 +69,7 @@
     clearTimeout(this._idleTimer);
   }
 
-  private _mayFetch(): boolean {
+  private _canStartFetch(): boolean {
     const { isComplete, signal } = this._options;
     return this._fetching < this._options.bounds.fetchesAtOnce && !isComplete() && !signal.aborted;
   }
@@ -81,11 +82,11 @@
     }, IDLE_RETRY_MILLISECONDS);
   }
 
-  private async _fetch({ chunk, peer }: Pick): Promise<void> {
+  private async _fetch({ chunk, peer }: ChunkPick): Promise<void> {
     const { picker, store, logger, rollout } = this._options;
     this._fetching++;
     peer.inFlight++;
-    picker.begin(chunk);
+    picker.markInFlight(chunk);
     logger.decision('chunk.fetch', { rollout, chunk, peer: peer.box });
     try {
       store(chunk, await this._receive(chunk, peer), peer.crossDataCentre);
@@ -94,7 +95,7 @@
     } finally {
       this._fetching--;
       peer.inFlight--;
-      picker.end(chunk);
+      picker.clearInFlight(chunk);
       this.fill();
     }
   }
@@ -133,9 +134,9 @@
     const { counts, logger, rollout } = this._options;
     counts.corruptChunks++;
     peer.countCorruptChunk();
-    if (peer.setAside) logger.state('peer.set-aside', { rollout, peer: peer.box });
+    if (peer.isExcluded) logger.state('peer.set-aside', { rollout, peer: peer.box });
   }
 }
 
-/** A fetch that lost its purpose before it began. */
+/** A fetch that became unnecessary before it was sent. */
 class CancelledFetchError extends Error {}
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -1,11 +1,10 @@
-/** Brings one version's chunks to this box and hands them on: one instance per rollout. */
 import type { PlanMessage } from '../protocol/rolloutMessages.js';
 import { Bitset } from '../utils/bitset.js';
 import { ChunkPicker } from './chunkPicker.js';
 import type { ExchangeServices } from './exchangeServices.js';
 import { HaveAnnouncer } from './haveAnnouncer.js';
 import type { ManifestIndex } from './manifestIndex.js';
-import { OriginDrawer } from './originDrawer.js';
+import { OriginFetcher } from './originFetcher.js';
 import { PeerFetcher } from './peerFetcher.js';
 import { PeerView } from './peerView.js';
 import { topologyPolicy } from './topologies.js';
@@ -13,12 +12,12 @@
 import type { TransferCounts } from './transferCounts.js';
 
 const FETCHES_PER_PEER = 1;
-/** How often a version that found no room looks for it again. */
-const ROOM_RETRY_MILLISECONDS = 500;
-/** How often neighbours in other data centres are told everything. */
-const REFRESH_MILLISECONDS = 2_000;
+/** Interval at which to retry reserving memory for the version. */
+const MEMORY_RETRY_MILLISECONDS = 500;
+/** Interval at which all held chunks are announced to neighbours in other data centres. */
+const CROSS_DATA_CENTRE_REFRESH_MILLISECONDS = 2_000;
 
-/** Fetches what is missing until the version is complete, and answers neighbours throughout. */
+/** Fetches the chunks of one rollout's version to this box and announces them to neighbours. */
 export class RolloutExchange {
   readonly rollout: string;
   readonly held: Bitset;
@@ -28,22 +27,22 @@
     crossDataCentreBytes: 0,
     corruptChunks: 0,
   };
-  /** Why nothing moves, or ''. */
+  /** Why no chunks are fetched, or '' if there is no problem. */
   problem = '';
   private readonly _services: ExchangeServices;
   private readonly _plan: PlanMessage;
   private readonly _index: ManifestIndex;
   private readonly _picker: ChunkPicker;
   private readonly _onChange: () => void;
-  private readonly _drawer: OriginDrawer;
-  private readonly _fetcher: PeerFetcher;
-  private readonly _brought = new Set<number>();
-  private readonly _refreshTimer = setInterval(() => this._refresh(), REFRESH_MILLISECONDS);
+  private readonly _originFetcher: OriginFetcher;
+  private readonly _peerFetcher: PeerFetcher;
+  private readonly _imported = new Set<number>();
+  private readonly _refreshTimer = setInterval(() => this._refresh(), CROSS_DATA_CENTRE_REFRESH_MILLISECONDS);
   private readonly _announcer = new HaveAnnouncer((chunks) => this._announce(chunks));
   private readonly _stopped = new AbortController();
   private _topology: Topology;
-  private _members: Map<string, Neighbour>;
-  private _roomTimer: NodeJS.Timeout | undefined;
+  private _neighbours: Map<string, Neighbour>;
+  private _memoryTimer: NodeJS.Timeout | undefined;
 
   /** `onChange` is called whenever the number of held chunks or the problem changes. */
   constructor(services: ExchangeServices, plan: PlanMessage, index: ManifestIndex, onChange: () => void) {
@@ -54,7 +53,7 @@
     this._onChange = onChange;
     this.held = new Bitset(index.chunkCount);
     this._topology = this._topologyFor(plan);
-    this._members = byBox(this._topology.neighbours);
+    this._neighbours = byBox(this._topology.neighbours);
     this._picker = new ChunkPicker({
       held: this.held,
       clock: services.clock,
@@ -64,42 +63,42 @@
       importStepMilliseconds: services.bounds.importStepMilliseconds,
       fetchesPerPeer: FETCHES_PER_PEER,
     });
-    this._drawer = this._createDrawer();
-    this._fetcher = this._createFetcher();
+    this._originFetcher = this._createOriginFetcher();
+    this._peerFetcher = this._createPeerFetcher();
   }
 
   get complete(): boolean {
     return this.held.full;
   }
 
-  /** Whether chunks are on their way from other boxes. */
+  /** Whether chunks are being fetched from other boxes. */
   get isFetching(): boolean {
-    return this._fetcher.fetching > 0;
+    return this._peerFetcher.fetching > 0;
   }
 
-  /** Chunks that are on their way from other boxes. */
+  /** Number of chunks that are being fetched from other boxes. */
   get fetching(): number {
-    return this._fetcher.fetching;
+    return this._peerFetcher.fetching;
   }
 
-  /** Granted draws that have not ended, in order. */
+  /** Granted chunks whose fetch from the origin has not ended, in order. */
   get openDraws(): readonly number[] {
-    return this._drawer.open;
+    return this._originFetcher.open;
   }
 
-  /** Draws that took bytes and failed; each needs a new grant. */
+  /** Chunks whose fetch from the origin failed after bytes were received; each needs a new grant. */
   get failedDraws(): number[] {
-    return this._drawer.failed;
+    return this._originFetcher.failed;
   }
 
-  /** Chunks that are neither here nor at any neighbour, nor on their way. */
-  unseenChunks(): number[] {
+  /** Chunks that neither this box nor any neighbour holds and that are not being fetched. */
+  unavailableChunks(): number[] {
     return this.held
       .missing()
-      .filter((chunk) => !this._picker.isInFlight(chunk) && !this._picker.isSeen(chunk));
+      .filter((chunk) => !this._picker.isInFlight(chunk) && !this._picker.isAvailable(chunk));
   }
 
-  /** Missing chunks that only one neighbour is known to hold, and that neighbour. */
+  /** Missing chunks that only one neighbour is known to hold, each with the box of that neighbour. */
   soleHolders(): Map<number, string> {
     const found = new Map<number, string>();
     for (const chunk of this.held.missing()) {
@@ -110,97 +109,97 @@
   }
 
   get neighbours(): Neighbour[] {
-    return [...this._members.values()];
+    return [...this._neighbours.values()];
   }
 
-  /** Sets memory aside, takes over what the store holds already and opens the exchange. */
+  /** Reserves memory, adopts chunks that are in the store already and starts the exchange with neighbours. */
   start(): void {
-    if (this._stopped.signal.aborted || !this._findRoom()) return;
+    if (this._stopped.signal.aborted || !this._reserveMemory()) return;
     this._adoptStoredChunks();
     this.updateMembers(this._plan);
-    this._drawer.resume();
-    this._fetcher.fill();
+    this._originFetcher.resume();
+    this._peerFetcher.fill();
     this._onChange();
   }
 
-  /** Follows a plan with other members. */
+  /** Applies a plan with other members. */
   updateMembers(plan: PlanMessage): void {
     this._topology = this._topologyFor(plan);
-    const wanted = byBox(this._topology.neighbours);
+    const neighbours = byBox(this._topology.neighbours);
     for (const peer of [...this._picker.peers()]) {
-      if (!wanted.has(peer.box)) this._picker.removePeer(peer);
+      if (!neighbours.has(peer.box)) this._picker.removePeer(peer);
     }
-    this._members = wanted;
-    for (const { member } of wanted.values()) {
+    this._neighbours = neighbours;
+    for (const { member } of neighbours.values()) {
       if (this._services.peers.isConnected(member.box)) this.onPeerUp(member.box);
     }
   }
 
-  /** Gives up all draws that have not begun, so that the coordinator can grant them to another box. */
-  dropDraws(): void {
-    this._drawer.dropWaiting();
+  /** Drops chunks whose fetch from the origin has not begun, so that the coordinator can grant them to another box. */
+  dropPendingOriginFetches(): void {
+    this._originFetcher.dropPending();
   }
 
-  /** Takes a verified chunk that was found on this box. */
+  /** Adds a verified chunk that was found on this box. */
   adopt(chunk: number, data: Buffer): void {
     this._store(chunk, data, true);
   }
 
-  /** Queues draws from the origin; see {@link OriginDrawer.grant}. */
+  /** Queues chunks to fetch from the origin; see {@link OriginFetcher.grant}. */
   grant(chunks: readonly number[], urgent = false): void {
-    this._drawer.grant(chunks, urgent);
+    this._originFetcher.grant(chunks, urgent);
   }
 
-  /** Gives up draws that are the turn of other boxes now; see {@link OriginDrawer.keep}. */
-  keepDraws(chunks: readonly number[]): void {
-    this._drawer.keep(chunks);
+  /** Drops fetches from the origin that other boxes do now; see {@link OriginFetcher.keepOnly}. */
+  keepOnlyOriginFetches(chunks: readonly number[]): void {
+    this._originFetcher.keepOnly(chunks);
   }
 
   onPeerUp(box: string): void {
-    const neighbour = this._members.get(box);
+    const neighbour = this._neighbours.get(box);
     if (!neighbour || this._picker.peer(box)?.connected) return;
-    const view = new PeerView(box, neighbour.crossDataCentre, this.held.size);
-    view.connected = true;
-    this._picker.addPeer(view);
+    const peer = new PeerView(box, neighbour.crossDataCentre, this.held.size);
+    peer.connected = true;
+    this._picker.addPeer(peer);
     this._sendJoin(box);
   }
 
   onPeerDown(box: string): void {
-    const view = this._picker.peer(box);
-    if (!view) return;
-    view.connected = false;
-    this._picker.removePeer(view);
+    const peer = this._picker.peer(box);
+    if (!peer) return;
+    peer.connected = false;
+    this._picker.removePeer(peer);
   }
 
-  /** Takes the whole holdings of a neighbour. */
+  /** Handles the announcement of all chunks that a neighbour holds. */
   onPeerJoin(box: string, held: Uint8Array): void {
     this.onPeerUp(box);
     this.onPeerHave(box, Bitset.fromBytes(this.held.size, held).members(), 0);
   }
 
-  /** Takes news of a neighbour. */
+  /** Handles the announcement of further chunks that a neighbour holds. */
   onPeerHave(box: string, chunks: readonly number[], uploadQueue: number): void {
-    const view = this._picker.peer(box);
-    if (!view) return;
-    view.uploadQueue = uploadQueue;
+    const peer = this._picker.peer(box);
+    if (!peer) return;
+    peer.uploadQueue = uploadQueue;
     for (const chunk of chunks) {
-      if (chunk < this.held.size) this._picker.noteHeld(view, chunk);
+      if (chunk < this.held.size) this._picker.markHeld(peer, chunk);
     }
-    this._fetcher.fill();
+    this._peerFetcher.fill();
   }
 
-  /** Ends all transfers; what is stored stays until the store is told otherwise. */
+  /** Ends all transfers. Stored chunks stay until they are released from the store. */
   stop(): void {
     this._stopped.abort();
     this._announcer.stop();
     clearInterval(this._refreshTimer);
-    clearTimeout(this._roomTimer);
-    this._fetcher.stop();
+    clearTimeout(this._memoryTimer);
+    this._peerFetcher.stop();
   }
 
-  private _createDrawer(): OriginDrawer {
+  private _createOriginFetcher(): OriginFetcher {
     const { origin, bounds, random, logger } = this._services;
-    return new OriginDrawer({
+    return new OriginFetcher({
       customer: this._plan.customer,
       index: this._index,
       origin,
@@ -209,19 +208,19 @@
       random,
       logger,
       signal: this._stopped.signal,
-      mayDraw: () => this.problem === '',
+      mayFetch: () => this.problem === '',
       isHeld: (chunk) => this.held.has(chunk),
       isInFlight: (chunk) => this._picker.isInFlight(chunk),
-      begin: (chunk) => {
-        this._picker.begin(chunk);
-        return () => this._picker.end(chunk);
+      markInFlight: (chunk) => {
+        this._picker.markInFlight(chunk);
+        return () => this._picker.clearInFlight(chunk);
       },
       store: (chunk, data) => this._store(chunk, data, true),
       onChange: this._onChange,
     });
   }
 
-  private _createFetcher(): PeerFetcher {
+  private _createPeerFetcher(): PeerFetcher {
     const { client, bounds, clock, random, logger, mayFetch = () => true } = this._services;
     return new PeerFetcher({
       mayFetch,
@@ -235,7 +234,7 @@
       random,
       logger,
       signal: this._stopped.signal,
-      member: (box) => this._members.get(box)?.member,
+      member: (box) => this._neighbours.get(box)?.member,
       isComplete: () => this.complete,
       store: (chunk, data, crossDataCentre) => this._store(chunk, data, crossDataCentre),
     });
@@ -245,8 +244,8 @@
     return topologyPolicy(plan.distribution).topologyOf(this._services.box, plan.members);
   }
 
-  /** A version that does not fit waits until another one has been dropped. */
-  private _findRoom(): boolean {
+  /** Reserves memory for the version. If there is too little, retries until another version has been dropped. */
+  private _reserveMemory(): boolean {
     const { store } = this._services;
     if (store.retain(this.rollout, this._plan.customer, this._plan.manifest.chunks) === 'retained') {
       this.problem = '';
@@ -254,7 +253,7 @@
     }
     const needed = this._index.totalBytes;
     this.problem = `staging memory: needs ${needed} bytes, ${store.retainedBytes} of ${store.limitBytes} are taken`;
-    this._roomTimer = setTimeout(() => this.start(), ROOM_RETRY_MILLISECONDS);
+    this._memoryTimer = setTimeout(() => this.start(), MEMORY_RETRY_MILLISECONDS);
     this._onChange();
     return false;
   }
@@ -266,35 +265,35 @@
     }
   }
 
-  /** `brought` says that the chunk came from outside the data centre, so that this box is the one that other data centres ask. */
-  private _store(chunk: number, data: Buffer, brought: boolean): void {
+  /** Stores a chunk. `imported` ones, from outside the data centre, are announced to other data centres as well. */
+  private _store(chunk: number, data: Buffer, imported: boolean): void {
     if (this._stopped.signal.aborted) return;
     this._services.store.put(this._plan.customer, this._index.chunk(chunk).digest, data);
     if (!this.held.add(chunk)) return;
-    if (brought) this._brought.add(chunk);
+    if (imported) this._imported.add(chunk);
     this._announcer.add(chunk);
     this._onChange();
   }
 
-  /** Other data centres hear of a chunk only from the boxes that brought it into this one: each fetches it once. */
+  /** Only the boxes that imported a chunk announce it to other data centres, so that each of these fetches it once. */
   private _announce(chunks: number[]): void {
-    const brought = chunks.filter(
-      (chunk) => this._brought.has(chunk) || this._topology.importers(chunk) === undefined,
+    const imported = chunks.filter(
+      (chunk) => this._imported.has(chunk) || this._topology.importers(chunk) === undefined,
     );
-    this._tell(false, chunks);
-    this._tell(true, brought);
+    this._sendHave(false, chunks);
+    this._sendHave(true, imported);
   }
 
-  private _tell(crossDataCentre: boolean, chunks: number[]): void {
+  private _sendHave(crossDataCentre: boolean, chunks: number[]): void {
     if (chunks.length === 0) return;
     const { peers, uploads } = this._services;
-    // a neighbour that holds them has no use for a further holder
+    // Neighbours that hold all of the chunks don't need to know of another holder.
     const boxes = this._picker.peersLacking(chunks, crossDataCentre).map((peer) => peer.box);
     if (boxes.length === 0) return;
     peers.broadcast(boxes, { type: 'have', rollout: this.rollout, chunks, uploadQueue: uploads.length });
   }
 
-  /** Tells other data centres everything now and then, for when the box that brought a chunk is lost. */
+  /** Announces all held chunks to other data centres, in case the box that imported a chunk is lost. */
   private _refresh(): void {
     for (const peer of this._picker.peers()) {
       if (peer.crossDataCentre && !peer.held.full) this._sendJoin(peer.box);
--- a/tests/chunkPicker.spec.ts
+++ b/tests/chunkPicker.spec.ts
@@ -1,4 +1,4 @@
-/** Which chunk is fetched next, from whom, and who fetches from another data centre. */
+/** Which chunk is fetched next, from which peer, and which gateway fetches from another data centre. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { ChunkPicker } from '../src/weights/chunkPicker.js';
@@ -8,17 +8,17 @@
 import { SeededRandom } from '../src/utils/random.js';
 
 const CHUNKS = 8;
-const STEP = 1_000;
+const IMPORT_STEP_MILLISECONDS = 1_000;
 
-interface Stage {
+interface PickerFixture {
   picker: ChunkPicker;
   clock: ManualClock;
   held: Bitset;
   peer(box: string, chunks: number[], crossDataCentre?: boolean): PeerView;
 }
 
-/** A box 'self'; importers of every chunk are 'first', then 'self'. */
-function stage(importers: readonly string[] | undefined = ['first', 'self']): Stage {
+/** Creates a picker for the box 'self'. By default, the importers of every chunk are 'first', then 'self'. */
+function createPicker(importers: readonly string[] | undefined = ['first', 'self']): PickerFixture {
   const clock = new ManualClock();
   const held = new Bitset(CHUNKS);
   const random = new SeededRandom(1);
@@ -28,86 +28,86 @@
     clock,
     random,
     importers: () => importers,
-    importStepMilliseconds: STEP,
+    importStepMilliseconds: IMPORT_STEP_MILLISECONDS,
     fetchesPerPeer: 1,
   });
   const peer = (box: string, chunks: number[], crossDataCentre = false): PeerView => {
     const view = new PeerView(box, crossDataCentre, CHUNKS);
     view.connected = true;
     picker.addPeer(view);
-    for (const chunk of chunks) picker.noteHeld(view, chunk);
+    for (const chunk of chunks) picker.markHeld(view, chunk);
     return view;
   };
   return { picker, clock, held, peer };
 }
 
 test('should pick the chunk that the fewest neighbours hold', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   peer('a', [0, 1, 2]);
   peer('b', [0, 1]);
   expect(picker.next()?.chunk).toEqual(2);
 });
 
 test('should pick nothing that is held or being fetched', () => {
-  const { picker, held, peer } = stage();
+  const { picker, held, peer } = createPicker();
   peer('a', [0, 1]);
   held.add(0);
-  picker.begin(1);
+  picker.markInFlight(1);
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should not ask a peer beyond its share of fetches', () => {
-  const { picker, peer } = stage();
+test('should not exceed the limit of concurrent fetches from a peer', () => {
+  const { picker, peer } = createPicker();
   peer('a', [0]).inFlight = 1;
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should leave a chunk of another data centre to the gateway whose turn it is', () => {
-  const { picker, peer } = stage();
+test('should leave a chunk of another data centre to the gateway that comes first', () => {
+  const { picker, peer } = createPicker();
   peer('first', []);
   peer('far', [4], true);
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should step in for a gateway that does not fetch', () => {
-  const { picker, clock, peer } = stage();
+test('should fetch in place of a gateway that does not fetch in time', () => {
+  const { picker, clock, peer } = createPicker();
   peer('first', []);
   peer('far', [4], true);
-  clock.advance(STEP);
+  clock.advance(IMPORT_STEP_MILLISECONDS);
   expect(picker.next()?.peer.box).toEqual('far');
 });
 
-test('should step in at once for a gateway that is not connected', () => {
-  const { picker, peer } = stage();
+test('should fetch immediately in place of a gateway that is not connected', () => {
+  const { picker, peer } = createPicker();
   peer('far', [4], true);
   expect(picker.next()?.peer.box).toEqual('far');
 });
 
-test('should never fetch from another data centre what a neighbour of its own holds', () => {
-  const { picker, clock, peer } = stage(['self']);
+test('should never fetch from another data centre what a neighbour in its own holds', () => {
+  const { picker, clock, peer } = createPicker(['self']);
   peer('far', [4], true);
   const near = peer('near', [4]);
   near.inFlight = 1;
-  clock.advance(STEP * 10);
+  clock.advance(IMPORT_STEP_MILLISECONDS * 10);
   expect(picker.next()).toEqual(undefined);
 });
 
 test('should forget what a lost neighbour held', () => {
-  const { picker, peer } = stage();
+  const { picker, peer } = createPicker();
   const lost = peer('a', [0]);
   picker.removePeer(lost);
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should set a peer aside after repeated corrupt chunks', () => {
-  const { picker, peer } = stage();
+test('should exclude a peer after repeated corrupt chunks', () => {
+  const { picker, peer } = createPicker();
   const bad = peer('bad', [0]);
   for (let count = 0; count < 3; count++) bad.countCorruptChunk();
   expect(picker.next()).toEqual(undefined);
 });
 
-test('should name the neighbours that lack a chunk, and no others', () => {
-  const { picker, peer } = stage();
+test('should return only the neighbours that lack a chunk', () => {
+  const { picker, peer } = createPicker();
   peer('has-both', [0, 1]);
   peer('has-one', [0]);
   peer('elsewhere', [], true);
--- a/tests/originDrawer.spec.ts
+++ b/tests/originFetcher.spec.ts
@@ -1,4 +1,4 @@
-/** Which chunks a box draws from the origin after an outage. */
+/** Which chunks a box fetches from the origin after an outage. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { OriginRange } from '../src/external/origin.js';
@@ -7,22 +7,22 @@
 import { RateLimiter } from '../src/utils/rateLimiter.js';
 import { Logger } from '../src/telemetry/logger.js';
 import { ManifestIndex } from '../src/weights/manifestIndex.js';
-import { DRAW_RETRY, OriginDrawer } from '../src/weights/originDrawer.js';
+import { ORIGIN_RETRY_BACKOFF, OriginFetcher } from '../src/weights/originFetcher.js';
 import { until } from './fixtures/until.js';
 
 const CHUNK = Buffer.from('chunk');
 const CHUNKS = 4;
 
-/** An origin that is down until the test lets it up, and a drawer before it. */
-class Outage {
-  readonly drawn: number[] = [];
+/** An origin that is down until the test sets `isDown` to false, and a fetcher that reads from it. */
+class OriginOutage {
+  readonly stored: number[] = [];
   isDown = true;
-  readonly drawer: OriginDrawer;
+  readonly fetcher: OriginFetcher;
   private readonly _ended = new AbortController();
 
   constructor() {
     const chunks = Array.from({ length: CHUNKS }, () => ({ digest: sha256Hex(CHUNK), size: CHUNK.length }));
-    this.drawer = new OriginDrawer({
+    this.fetcher = new OriginFetcher({
       customer: '',
       index: new ManifestIndex({ model: 'm', version: '1', chunks }),
       origin: {
@@ -39,11 +39,11 @@
       random: new SeededRandom(1),
       logger: new Logger('test'),
       signal: this._ended.signal,
-      mayDraw: () => true,
-      isHeld: (chunk) => this.drawn.includes(chunk),
+      mayFetch: () => true,
+      isHeld: (chunk) => this.stored.includes(chunk),
       isInFlight: () => false,
-      begin: () => () => undefined,
-      store: (chunk) => void this.drawn.push(chunk),
+      markInFlight: () => () => undefined,
+      store: (chunk) => void this.stored.push(chunk),
       onChange: () => undefined,
     });
   }
@@ -60,17 +60,17 @@
   }
 }
 
-test('should draw after an outage only what is its turn then, and what is urgent', async () => {
-  const outage = new Outage();
-  outage.drawer.grant([0, 1, 2]);
-  outage.drawer.grant([3], true);
-  outage.drawer.keep([2]);
+test('should fetch after an outage only the chunks that are still assigned to it or urgent', async () => {
+  const outage = new OriginOutage();
+  outage.fetcher.grant([0, 1, 2]);
+  outage.fetcher.grant([3], true);
+  outage.fetcher.keepOnly([2]);
   outage.isDown = false;
-  await until(() => outage.drawer.open.length === 0);
-  expect([...outage.drawn].sort()).toEqual([2, 3]);
+  await until(() => outage.fetcher.open.length === 0);
+  expect([...outage.stored].sort()).toEqual([2, 3]);
   outage.end();
 });
 
-test('should ask an origin that is gone again within half a second', () => {
-  expect(DRAW_RETRY.longestMilliseconds).toBeLessThan(500);
+test('should retry an unreachable origin within half a second', () => {
+  expect(ORIGIN_RETRY_BACKOFF.longestMilliseconds).toBeLessThan(500);
 });
