--- a/src/crashes/requestTurn.ts
+++ b/src/crashes/requestTurn.ts
@@ -83,8 +83,8 @@
   }
 
   /** The request has run to a good end. */
-  noteGoodEnd(): void {
-    this._suspicions.noteGoodEnd(this._request.fingerprint());
+  noteSuccess(): void {
+    this._suspicions.noteSuccess(this._request.fingerprint());
   }
 
   /** The request is over: the same may be tried by others. */
--- a/src/crashes/goodEnds.ts
+++ b/src/crashes/successCredits.ts
@@ -8,11 +8,11 @@
  */
 const MOST_CREDIT = 3;
 
-export class GoodEnds {
+export class SuccessCredits {
   private readonly _credits = new LRUCache<string, number>({ max: MOST_REQUESTS });
 
   /** A request has ended well. */
-  note(fingerprint: string): void {
+  add(fingerprint: string): void {
     this._credits.set(fingerprint, Math.min(MOST_CREDIT, (this._credits.get(fingerprint) ?? 0) + 1));
   }
 
--- a/src/crashes/suspicions.ts
+++ b/src/crashes/suspicions.ts
@@ -14,7 +14,7 @@
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
 import { atMost } from '../utils/timers.js';
-import { GoodEnds } from './goodEnds.js';
+import { SuccessCredits } from './successCredits.js';
 import type { CheckedServer } from './serverEnds.js';
 import { ServerEnds } from './serverEnds.js';
 import type { Standing } from './standing.js';
@@ -73,7 +73,7 @@
   private readonly _writer: SuspicionWriter;
   private readonly _restorer: SuspicionRestorer;
   private readonly _ends: ServerEnds;
-  private readonly _goodEnds = new GoodEnds();
+  private readonly _successCredits = new SuccessCredits();
   private readonly _lastEnds = new LRUCache<string, LastEnd>({ max: MOST_SUSPICIONS + MOST_PENDING });
   private readonly _waiting = new Map<string, Set<() => void>>();
   /** Requests of this process that have asked for a trial. */
@@ -125,7 +125,8 @@
   /** A server has ended that had the request. Resolves when that has been told, if it is to be, or soon after. */
   async noteEnd(fingerprint: string, end: ServerEnd): Promise<void> {
     const { log } = this._options;
-    if (this._goodEnds.spend(fingerprint)) return log.decision('suspicion.spared', { fingerprint, ...end });
+    if (this._successCredits.spend(fingerprint))
+      return log.decision('suspicion.spared', { fingerprint, ...end });
     const areMany = this._copies.size >= MOST_SUSPICIONS || this._writer.pending >= MOST_PENDING;
     if (areMany && !this._writer.of(fingerprint))
       return log.state('suspicion.not-kept', { fingerprint, server: end.server });
@@ -168,8 +169,8 @@
   }
 
   /** The request has ended well: it does not end each server that runs it. */
-  noteGoodEnd(fingerprint: string): void {
-    this._goodEnds.note(fingerprint);
+  noteSuccess(fingerprint: string): void {
+    this._successCredits.add(fingerprint);
     if (this.isEmpty || !this._writer.of(fingerprint)) return;
     this._options.log.decision('suspicion.cleared', { fingerprint });
     void this._change(fingerprint, () => undefined);
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -75,7 +75,7 @@
   await until(() => fixture.held !== undefined);
   await fixture.hear();
   const copy = fixture.store.copy();
-  entries[0].noteGoodEnd('f');
+  entries[0].noteSuccess('f');
   await until(() => fixture.held === undefined);
   await fixture.hear();
   fixture.store.rollBackTo(copy);
--- a/tests/suspicions.spec.ts
+++ b/tests/suspicions.spec.ts
@@ -71,7 +71,7 @@
   expect(await first.take()).toEqual('granted');
   await until(() => a.standing('f', first.id) === 'mine' && b.standing('f', second.id) === 'held');
   expect(held()?.ends.length).toEqual(4);
-  first.noteGoodEnd();
+  first.noteSuccess();
   await until(() => held() === undefined);
   await tell();
   expect(await waiting).toEqual('granted');
@@ -83,7 +83,7 @@
   await turn(a, 'r').take();
   await tell();
   const waiting = turn(b, 'q').take();
-  turn(b, 'earlier').noteGoodEnd();
+  turn(b, 'earlier').noteSuccess();
   expect(await waiting).toEqual('granted');
   await until(() => held() === undefined);
   await tell();
@@ -208,7 +208,7 @@
   const next = turn(a, 'r');
   expect(await next.take()).toEqual('granted');
   expect(a.standing('f', 'other')).toEqual('held');
-  next.noteGoodEnd();
+  next.noteSuccess();
   next.release();
   expect(a.isEmpty).toEqual(true);
   expect((await store.list(KIND)).revision).toEqual(revision);
@@ -234,7 +234,7 @@
 
 test('should spare a request that has ended well, but not for ever', async () => {
   const a = entry('a');
-  for (let good = 0; good < 10; good++) a.noteGoodEnd('f');
+  for (let good = 0; good < 10; good++) a.noteSuccess('f');
   for (const server of ['s-1', 's-2', 's-3']) void a.noteEnd('f', { server, trial: '' });
   expect(a.standing('f', 'r')).toEqual('free');
   void a.noteEnd('f', { server: 's-4', trial: '' });
@@ -258,7 +258,7 @@
   clock.advance(5_000);
   expect([a.standing('crashing', 'r'), a.standing('good', 'r')]).toEqual(['open', 'open']);
   void a.noteEnd('crashing', { server: 'i-1', trial: 'r' });
-  a.noteGoodEnd('good');
+  a.noteSuccess('good');
   await until(() => a.counts.suspected === 1);
   clock.advance(5_000);
   expect([a.standing('crashing', 'q'), a.standing('good', 'q')]).toEqual(['shut-out', 'free']);
