--- a/src/crashes/requestTurn.ts
+++ b/src/crashes/requestTurn.ts
@@ -1,6 +1,6 @@
 /** When one request may run: at once, unless the same request is suspected of ending its servers. */
 import type { Clock } from '../utils/clock.js';
-import type { CheckedServer } from './serverEnds.js';
+import type { ServerProcess } from './serverExitChecker.js';
 import type { Standing } from './standing.js';
 import type { Suspicions } from './suspicions.js';
 
@@ -70,14 +70,14 @@
   }
 
   /** A server broke off the connection that had the request; resolves to whether it has ended, which is noted. */
-  async afterBreak(server: CheckedServer): Promise<boolean> {
+  async afterBreak(server: ServerProcess): Promise<boolean> {
     const hadTrial = this._hasTrial;
-    if (!(await this._suspicions.hasEnded(server))) return false;
+    if (!(await this._suspicions.hasExited(server))) return false;
     const trial = hadTrial ? this.id : '';
     const life = server.startedAt > 0 ? `${server.id}@${server.startedAt}` : server.id;
     this._isKnown = true;
     // the caller may come again as soon as it is answered, to an entry that has to know by then
-    await this._suspicions.noteEnd(this._request.fingerprint(), { server: life, trial });
+    await this._suspicions.noteServerExit(this._request.fingerprint(), { server: life, trial });
     if (this._isOver) this.release();
     return true;
   }
--- a/src/crashes/serverEnds.ts
+++ b/src/crashes/serverExitChecker.ts
@@ -5,7 +5,7 @@
 import { errorCode } from '../utils/stepError.js';
 
 /** One life of a server. */
-export interface CheckedServer {
+export interface ServerProcess {
   id: string;
   /** host:port. */
   address: string;
@@ -19,7 +19,7 @@
 const CHECK_MILLISECONDS = 300;
 
 /** Asks by opening a connection. One check at a time for each life, whatever the number of requests that it broke off. */
-export class ServerEnds {
+export class ServerExitChecker {
   private readonly _log: EventLog;
   private readonly _checks = new Map<string, Promise<boolean>>();
 
@@ -28,7 +28,7 @@
   }
 
   /** Whether the process that broke a connection off has ended. Never rejects. */
-  async hasEnded(server: CheckedServer): Promise<boolean> {
+  async hasExited(server: ServerProcess): Promise<boolean> {
     const known = this._checks.get(server.id);
     if (known) return await known;
     const check = this._check(server).finally(() => this._checks.delete(server.id));
@@ -36,7 +36,7 @@
     return await check;
   }
 
-  private async _check({ id, address }: CheckedServer): Promise<boolean> {
+  private async _check({ id, address }: ServerProcess): Promise<boolean> {
     const outcome = await connectOutcome(address);
     const ended = outcome === REFUSED;
     this._log.decision('server.checked', { server: id, ended, outcome });
--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -4,7 +4,7 @@
 import { z } from 'zod';
 
 /** The end of a server's process while it had the request. */
-export interface ServerEnd {
+export interface ServerExit {
   /** Id of the server. */
   server: string;
   /** The request that was sent there as a trial; '' when it was sent before any end was known. */
@@ -22,7 +22,7 @@
 
 /** Kept until the request has ended well somewhere. */
 export interface Suspicion {
-  ends: readonly ServerEnd[];
+  ends: readonly ServerExit[];
   trial?: Trial | undefined;
 }
 
@@ -42,7 +42,7 @@
  * Adds an end. Each server ends once, whoever tells it and however many copies of the request it had; that one of them was a trial
  * says more than that others were not.
  */
-export function withEnd(suspicion: Suspicion | undefined, end: ServerEnd): Suspicion {
+export function withServerExit(suspicion: Suspicion | undefined, end: ServerExit): Suspicion {
   const ends = suspicion?.ends ?? [];
   const known = ends.find(({ server }) => server === end.server);
   if (known && (known.trial !== '' || end.trial === '')) return { ...suspicion, ends };
@@ -75,7 +75,7 @@
 /** Merges what was `known` before the store was rolled back into what it has now. */
 export function withKnown(stored: Suspicion | undefined, known: Suspicion): Suspicion {
   if (!stored || isPartOf(stored, known)) return known;
-  return known.ends.reduce<Suspicion>(withEnd, stored);
+  return known.ends.reduce<Suspicion>(withServerExit, stored);
 }
 
 /** Removes again what was `cleared` before the store was rolled back, unless new ends have come since. */
--- a/src/crashes/suspicions.ts
+++ b/src/crashes/suspicions.ts
@@ -15,12 +15,12 @@
 import type { Random } from '../utils/random.js';
 import { atMost } from '../utils/timers.js';
 import { SuccessCredits } from './successCredits.js';
-import type { CheckedServer } from './serverEnds.js';
-import { ServerEnds } from './serverEnds.js';
+import type { ServerProcess } from './serverExitChecker.js';
+import { ServerExitChecker } from './serverExitChecker.js';
 import type { Standing } from './standing.js';
 import { standingOf } from './standing.js';
-import type { ServerEnd, Suspicion } from './suspicion.js';
-import { isExplained, isShutOut, withEnd, withTrial, withoutTrial } from './suspicion.js';
+import type { ServerExit, Suspicion } from './suspicion.js';
+import { isExplained, isShutOut, withServerExit, withTrial, withoutTrial } from './suspicion.js';
 import type { StoredSuspicion } from './suspicionCopies.js';
 import { SuspicionCopies } from './suspicionCopies.js';
 import { SuspicionRestorer } from './suspicionRestorer.js';
@@ -72,7 +72,7 @@
   private readonly _copies: SuspicionCopies;
   private readonly _writer: SuspicionWriter;
   private readonly _restorer: SuspicionRestorer;
-  private readonly _ends: ServerEnds;
+  private readonly _exitChecker: ServerExitChecker;
   private readonly _successCredits = new SuccessCredits();
   private readonly _lastEnds = new LRUCache<string, LastEnd>({ max: MOST_SUSPICIONS + MOST_PENDING });
   private readonly _waiting = new Map<string, Set<() => void>>();
@@ -83,7 +83,7 @@
   constructor(options: SuspicionsOptions) {
     const { replica, unreadable, clock } = options;
     this._options = options;
-    this._ends = new ServerEnds(options.log);
+    this._exitChecker = new ServerExitChecker(options.log);
     this._copies = new SuspicionCopies(replica, unreadable, clock);
     this._copies.on('change', (fingerprint, endsBefore) => this._onChange(fingerprint, endsBefore));
     this._writer = new SuspicionWriter({ ...options, kind: replica.kind, copies: this._copies });
@@ -118,19 +118,19 @@
   }
 
   /** Whether the process of a server has ended that broke a connection off. Never rejects. */
-  async hasEnded(server: CheckedServer): Promise<boolean> {
-    return await this._ends.hasEnded(server);
+  async hasExited(server: ServerProcess): Promise<boolean> {
+    return await this._exitChecker.hasExited(server);
   }
 
   /** A server has ended that had the request. Resolves when that has been told, if it is to be, or soon after. */
-  async noteEnd(fingerprint: string, end: ServerEnd): Promise<void> {
+  async noteServerExit(fingerprint: string, end: ServerExit): Promise<void> {
     const { log } = this._options;
     if (this._successCredits.spend(fingerprint))
       return log.decision('suspicion.spared', { fingerprint, ...end });
     const areMany = this._copies.size >= MOST_SUSPICIONS || this._writer.pending >= MOST_PENDING;
     if (areMany && !this._writer.of(fingerprint))
       return log.state('suspicion.not-kept', { fingerprint, server: end.server });
-    const told = this._change(fingerprint, (suspicion) => withEnd(suspicion, end));
+    const told = this._change(fingerprint, (suspicion) => withServerExit(suspicion, end));
     const ends = this._writer.of(fingerprint)?.ends.length ?? 0;
     this._noteEnds(fingerprint, ends);
     log.decision('suspicion.end', { fingerprint, ...end, ends });
--- a/tests/serverEnds.spec.ts
+++ b/tests/serverExitChecker.spec.ts
@@ -2,20 +2,20 @@
 import net from 'node:net';
 import { test } from 'node:test';
 import { expect } from 'earl';
-import { ServerEnds } from '../src/crashes/serverEnds.js';
+import { ServerExitChecker } from '../src/crashes/serverExitChecker.js';
 import { EventLog } from '../src/telemetry/eventLog.js';
 import { freePort } from './fixtures/freePort.js';
 
-function notedEnds(): { ends: ServerEnds; lines: string[] } {
+function notedEnds(): { ends: ServerExitChecker; lines: string[] } {
   const lines: string[] = [];
   const log = new EventLog({ write: (line) => void lines.push(line) }, 'decision');
-  return { ends: new ServerEnds(log), lines };
+  return { ends: new ServerExitChecker(log), lines };
 }
 
 test('should hold a server for ended at whose address nobody listens, and ask once for all', async () => {
   const { ends, lines } = notedEnds();
   const server = { id: 'a', address: `127.0.0.1:${await freePort()}`, startedAt: 0 };
-  expect(await Promise.all([ends.hasEnded(server), ends.hasEnded(server)])).toEqual([true, true]);
+  expect(await Promise.all([ends.hasExited(server), ends.hasExited(server)])).toEqual([true, true]);
   expect(lines.length).toEqual(1);
   expect(lines[0]).toInclude('"ended":true,"outcome":"ECONNREFUSED"');
 });
@@ -29,7 +29,7 @@
     await new Promise<void>((resolve) => listener.listen(0, '127.0.0.1', resolve));
     const { port } = listener.address() as net.AddressInfo;
     const { ends } = notedEnds();
-    expect(await ends.hasEnded({ id: 'a', address: `127.0.0.1:${port}`, startedAt: 0 })).toEqual(false);
+    expect(await ends.hasExited({ id: 'a', address: `127.0.0.1:${port}`, startedAt: 0 })).toEqual(false);
     listener.close();
   }
 });
--- a/tests/suspicion.spec.ts
+++ b/tests/suspicion.spec.ts
@@ -6,7 +6,7 @@
   isExplained,
   isShutOut,
   readSuspicion,
-  withEnd,
+  withServerExit,
   withTrial,
   withoutTrial,
 } from '../src/crashes/suspicion.js';
@@ -24,17 +24,17 @@
 });
 
 test('should count an end once, whoever tells it', () => {
-  const twice = withEnd(withEnd(undefined, END), END);
+  const twice = withServerExit(withServerExit(undefined, END), END);
   expect(twice.ends).toEqual([END]);
   const trial = { server: 's-1', trial: 'r' };
-  expect(withEnd(twice, trial).ends).toEqual([trial]);
-  expect(withEnd(withEnd(twice, trial), END).ends).toEqual([trial]);
+  expect(withServerExit(twice, trial).ends).toEqual([trial]);
+  expect(withServerExit(withServerExit(twice, trial), END).ends).toEqual([trial]);
 });
 
 test('should keep the latest ends only', () => {
   let suspicion: Suspicion = { ends: [] };
   for (let index = 0; index < 20; index++)
-    suspicion = withEnd(suspicion, { server: `s-${index}`, trial: 'r' });
+    suspicion = withServerExit(suspicion, { server: `s-${index}`, trial: 'r' });
   expect([suspicion.ends.length, suspicion.ends.at(-1)?.server]).toEqual([8, 's-19']);
 });
 
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -23,7 +23,7 @@
   fixture.suspect(entry, 's-1', 's-2');
   const turn = fixture.turn(entry, 'trial');
   await turn.take();
-  void entry.noteEnd('f', { server: 's-3', trial: turn.id });
+  void entry.noteServerExit('f', { server: 's-3', trial: turn.id });
   turn.release();
   await until(() => fixture.held?.ends.length === 3 && fixture.held.trial === undefined);
   await fixture.hear();
@@ -110,7 +110,7 @@
   fixture.store.rollBackTo(copy, { tellsGeneration: false });
   const { writes } = fixture.store;
   fixture.store.mostWrites = writes + 20;
-  void entry.noteEnd('f', { server: 's-4', trial: '' });
+  void entry.noteServerExit('f', { server: 's-4', trial: '' });
   await until(() => fixture.held?.ends.length === 4);
   expect(fixture.store.writes - writes).toEqual(3);
 });
--- a/tests/suspicions.spec.ts
+++ b/tests/suspicions.spec.ts
@@ -97,7 +97,7 @@
   await first.take();
   await tell();
   const waiting = turn(b, 'q').take();
-  void a.noteEnd('f', { server: 's-3', trial: first.id });
+  void a.noteServerExit('f', { server: 's-3', trial: first.id });
   await until(() => held()?.ends.length === 3);
   await tell();
   expect(await waiting).toEqual('ends servers');
@@ -115,15 +115,15 @@
 test('should go on by its own knowledge while the store takes nothing, and tell it later', async () => {
   const a = entry('a');
   store.refusesWrites = true;
-  void a.noteEnd('f', END);
+  void a.noteServerExit('f', END);
   const first = turn(a, 'r');
   expect(await first.take()).toEqual('granted');
-  void a.noteEnd('f', { server: 's-2', trial: first.id });
+  void a.noteServerExit('f', { server: 's-2', trial: first.id });
   first.release();
   clock.advance(REST);
   const second = turn(a, 'q');
   expect(await second.take()).toEqual('granted');
-  void a.noteEnd('f', { server: 's-3', trial: second.id });
+  void a.noteServerExit('f', { server: 's-3', trial: second.id });
   expect(a.standing('f', 'p')).toEqual('shut-out');
   store.refusesWrites = false;
   await until(() => held()?.ends.length === 3);
@@ -175,14 +175,14 @@
 
 test('should allow one trial more after a long time, and none after it has failed', async () => {
   const a = entry('a');
-  for (const server of ['s-1', 's-2', 's-3']) void a.noteEnd('f', { server, trial: 'r' });
+  for (const server of ['s-1', 's-2', 's-3']) void a.noteServerExit('f', { server, trial: 'r' });
   await until(() => a.counts.shutOut === 1);
   expect(await turn(a, 'q').take()).toEqual('ends servers');
   clock.advance(600_000);
   const later = turn(a, 'p');
   expect(await later.take()).toEqual('granted');
   expect(a.standing('f', 'other')).toEqual('held');
-  void a.noteEnd('f', { server: 's-4', trial: later.id });
+  void a.noteServerExit('f', { server: 's-4', trial: later.id });
   expect(a.standing('f', later.id)).toEqual('shut-out');
 });
 
@@ -197,14 +197,14 @@
 test('should spare a store that is silent when many servers end at one moment', async () => {
   const a = entry('a');
   store.refusesWrites = true;
-  for (let index = 0; index < 300; index++) void a.noteEnd(`f-${index}`, END);
+  for (let index = 0; index < 300; index++) void a.noteServerExit(`f-${index}`, END);
   expect([a.standing('f-0', 'r'), a.standing('f-299', 'r')]).toEqual(['open', 'free']);
 });
 
 test('should not call the store for a request that ends well at its next server', async () => {
   const a = entry('a');
   const { revision } = await store.list(KIND);
-  void a.noteEnd('f', END);
+  void a.noteServerExit('f', END);
   const next = turn(a, 'r');
   expect(await next.take()).toEqual('granted');
   expect(a.standing('f', 'other')).toEqual('held');
@@ -216,7 +216,7 @@
 
 test('should tell all of a first end once the request is over without a good one', async () => {
   const a = entry('a');
-  void a.noteEnd('f', END);
+  void a.noteServerExit('f', END);
   const next = turn(a, 'r');
   await next.take();
   next.release();
@@ -226,7 +226,7 @@
 
 test('should let a request rest after two ends, until others that ended its servers are known', async () => {
   const a = entry('a');
-  for (const server of ['s-1', 's-2']) void a.noteEnd('f', { server, trial: '' });
+  for (const server of ['s-1', 's-2']) void a.noteServerExit('f', { server, trial: '' });
   expect(a.standing('f', 'r')).toEqual('held');
   clock.advance(REST);
   expect(a.standing('f', 'r')).toEqual('open');
@@ -235,9 +235,9 @@
 test('should spare a request that has ended well, but not for ever', async () => {
   const a = entry('a');
   for (let good = 0; good < 10; good++) a.noteSuccess('f');
-  for (const server of ['s-1', 's-2', 's-3']) void a.noteEnd('f', { server, trial: '' });
+  for (const server of ['s-1', 's-2', 's-3']) void a.noteServerExit('f', { server, trial: '' });
   expect(a.standing('f', 'r')).toEqual('free');
-  void a.noteEnd('f', { server: 's-4', trial: '' });
+  void a.noteServerExit('f', { server: 's-4', trial: '' });
   expect(a.standing('f', 'r')).toEqual('open');
 });
 
@@ -252,12 +252,12 @@
   const a = entry('a');
   for (const request of ['crashing', 'good'])
     for (const server of ['i-8', 'i-6', 'i-3'])
-      void a.noteEnd(request, { server, trial: `trial of ${request}` });
+      void a.noteServerExit(request, { server, trial: `trial of ${request}` });
   await until(() => a.counts.shutOut === 2);
   expect([a.standing('crashing', 'r'), a.standing('good', 'r')]).toEqual(['shut-out', 'shut-out']);
   clock.advance(5_000);
   expect([a.standing('crashing', 'r'), a.standing('good', 'r')]).toEqual(['open', 'open']);
-  void a.noteEnd('crashing', { server: 'i-1', trial: 'r' });
+  void a.noteServerExit('crashing', { server: 'i-1', trial: 'r' });
   a.noteSuccess('good');
   await until(() => a.counts.suspected === 1);
   clock.advance(5_000);
@@ -266,11 +266,11 @@
 
 test('should let a request ask for a second trial after its first one has failed', async () => {
   const a = entry('a');
-  void a.noteEnd('f', END);
+  void a.noteServerExit('f', END);
   const first = turn(a, 'r');
   await first.take();
   const former = first.id;
-  void a.noteEnd('f', { server: 's-2', trial: former });
+  void a.noteServerExit('f', { server: 's-2', trial: former });
   expect(first.isFree).toEqual(false);
   clock.advance(REST);
   expect(await first.take()).toEqual('granted');
@@ -279,7 +279,7 @@
 
 test('should not call a request shut out that waits for its turn until its time is over', async () => {
   const a = entry('a');
-  void a.noteEnd('f', END);
+  void a.noteServerExit('f', END);
   await turn(a, 'r').take();
   const waiting = turn(a, 'q').take();
   clock.advance(DEADLINE);
