--- a/src/crashes/requestTurn.ts
+++ b/src/crashes/requestTurn.ts
@@ -1,7 +1,7 @@
 /** When one request may run: at once, unless the same request is suspected of ending its servers. */
 import type { Clock } from '../utils/clock.js';
 import type { ServerProcess } from './serverExitChecker.js';
-import type { Standing } from './standing.js';
+import type { RunDecision } from './runDecision.js';
 import type { Suspicions } from './suspicions.js';
 
 /** What a turn is about. */
@@ -52,7 +52,7 @@
   /** Whether the request may run now, without waiting. */
   get isFree(): boolean {
     if (this._suspicions.isEmpty) return true;
-    const standing = this._standing();
+    const standing = this._runDecision();
     return standing === 'free' || standing === 'mine';
   }
 
@@ -97,7 +97,7 @@
     const { endsAt, fingerprint } = this._request;
     const left = (): number => endsAt - this._clock.now();
     while (!this._isOver && left() > 0) {
-      const standing = this._standing();
+      const standing = this._runDecision();
       this._hasTrial = standing === 'mine';
       if (standing === 'shut-out') return 'ends servers';
       if (standing === 'free' || standing === 'mine') return 'granted';
@@ -115,7 +115,7 @@
     await this._suspicions.claim(fingerprint, this.id, leftMilliseconds + TRIAL_MARGIN_MILLISECONDS);
   }
 
-  private _standing(): Standing {
-    return this._suspicions.standing(this._request.fingerprint(), this.id);
+  private _runDecision(): RunDecision {
+    return this._suspicions.runDecision(this._request.fingerprint(), this.id);
   }
 }
--- a/src/crashes/standing.ts
+++ b/src/crashes/runDecision.ts
@@ -6,21 +6,21 @@
  * `free`: it is not suspected. `mine`: its trial is that of this very request. `open`: it may have a trial. `held`: it has to wait.
  * `shut-out`: it ends its servers.
  */
-export type Standing = 'free' | 'mine' | 'open' | 'held' | 'shut-out';
+export type RunDecision = 'free' | 'mine' | 'open' | 'held' | 'shut-out';
 
 /** What a standing follows from. */
-export interface StandingFacts {
+export interface RunDecisionInput {
   suspicion: Suspicion | undefined;
   /** The request that asks. */
   request: string;
   /** Whether the trial is that of the request that asks. */
-  isMine: boolean;
+  ownsTrial: boolean;
   /** Whether the trial is over though nobody has said so. */
-  isLapsed: boolean;
+  isTrialExpired: boolean;
   /** Milliseconds since the last end became known. */
-  sinceEnd: number;
+  millisecondsSinceLastExit: number;
   /** Whether other requests that are shut out had all the servers that ended under this one. */
-  isExplained: boolean;
+  isExplainedByOthers: boolean;
 }
 
 /** Ends after which a request rests before its next trial. */
@@ -35,8 +35,15 @@
 /** The same where another one is as likely to have ended the servers: one more trial of each tells them apart. */
 const EXPLAINED_MILLISECONDS = 5_000;
 
-export function standingOf(facts: StandingFacts): Standing {
-  const { suspicion, request, isMine, isLapsed, sinceEnd, isExplained } = facts;
+export function decideRun(facts: RunDecisionInput): RunDecision {
+  const {
+    suspicion,
+    request,
+    ownsTrial: isMine,
+    isTrialExpired: isLapsed,
+    millisecondsSinceLastExit: sinceEnd,
+    isExplainedByOthers: isExplained,
+  } = facts;
   if (!suspicion) return 'free';
   const isAtWork = isMine && !hasFailedTrial(suspicion, request);
   if (isAtWork) return 'mine';
--- a/src/crashes/suspicions.ts
+++ b/src/crashes/suspicions.ts
@@ -17,8 +17,8 @@
 import { SuccessCredits } from './successCredits.js';
 import type { ServerProcess } from './serverExitChecker.js';
 import { ServerExitChecker } from './serverExitChecker.js';
-import type { Standing } from './standing.js';
-import { standingOf } from './standing.js';
+import type { RunDecision } from './runDecision.js';
+import { decideRun } from './runDecision.js';
 import type { ServerExit, Suspicion } from './suspicion.js';
 import { isExplained, isShutOut, withServerExit, withTrial, withoutTrial } from './suspicion.js';
 import type { StoredSuspicion } from './suspicionCopies.js';
@@ -103,16 +103,17 @@
   }
 
   /** How the same requests as `request` stand, for `request` itself. */
-  standing(fingerprint: string, request: string): Standing {
+  runDecision(fingerprint: string, request: string): RunDecision {
     const suspicion = this._writer.of(fingerprint);
     const trial = suspicion?.trial;
-    return standingOf({
+    return decideRun({
       suspicion,
       request,
-      isMine: trial?.request === request && trial.box === this._options.box,
-      isLapsed: trial?.request === this._lapsedTrial(this._copies.of(fingerprint)),
-      sinceEnd: this._options.clock.now() - (this._lastEnds.get(fingerprint)?.at ?? Number.NEGATIVE_INFINITY),
-      isExplained:
+      ownsTrial: trial?.request === request && trial.box === this._options.box,
+      isTrialExpired: trial?.request === this._lapsedTrial(this._copies.of(fingerprint)),
+      millisecondsSinceLastExit:
+        this._options.clock.now() - (this._lastEnds.get(fingerprint)?.at ?? Number.NEGATIVE_INFINITY),
+      isExplainedByOthers:
         suspicion !== undefined && isShutOut(suspicion) && this._isExplained(fingerprint, suspicion),
     });
   }
--- a/src/serving/retryAdvice.ts
+++ b/src/serving/retryAdvice.ts
@@ -1,5 +1,5 @@
 /** When a caller that was refused should come back. Pure. */
-import { SHUT_OUT_MILLISECONDS } from '../crashes/standing.js';
+import { SHUT_OUT_MILLISECONDS } from '../crashes/runDecision.js';
 import type { NoAttempt } from './noAttempt.js';
 
 /** Callers wait no longer than a third of the time that they have left, which is a little less at their end. */
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -15,7 +15,7 @@
 afterEach(() => fixture.close());
 
 function standings(...entries: Suspicions[]): string[] {
-  return entries.map((entry) => entry.standing('f', 'other'));
+  return entries.map((entry) => entry.runDecision('f', 'other'));
 }
 
 /** Lets a request be at the ends of two servers, and of a third as its trial. */
--- a/tests/suspicions.spec.ts
+++ b/tests/suspicions.spec.ts
@@ -51,7 +51,7 @@
   const first = turn(a, 'r');
   expect(await first.take()).toEqual('granted');
   await tell();
-  expect([a.standing('f', first.id), b.standing('f', 'other')]).toEqual(['mine', 'held']);
+  expect([a.runDecision('f', first.id), b.runDecision('f', 'other')]).toEqual(['mine', 'held']);
 });
 
 test('should write an end and the trial that follows it at once', async () => {
@@ -69,7 +69,7 @@
   const [first, second] = [turn(a, 'r'), turn(b, 'q')];
   const waiting = second.take();
   expect(await first.take()).toEqual('granted');
-  await until(() => a.standing('f', first.id) === 'mine' && b.standing('f', second.id) === 'held');
+  await until(() => a.runDecision('f', first.id) === 'mine' && b.runDecision('f', second.id) === 'held');
   expect(held()?.ends.length).toEqual(4);
   first.noteSuccess();
   await until(() => held() === undefined);
@@ -101,7 +101,7 @@
   await until(() => held()?.ends.length === 3);
   await tell();
   expect(await waiting).toEqual('ends servers');
-  expect(a.standing('f', first.id)).toEqual('shut-out');
+  expect(a.runDecision('f', first.id)).toEqual('shut-out');
 });
 
 test('should lose no end when two entries write at the same moment', async () => {
@@ -124,7 +124,7 @@
   const second = turn(a, 'q');
   expect(await second.take()).toEqual('granted');
   void a.noteServerExit('f', { server: 's-3', trial: second.id });
-  expect(a.standing('f', 'p')).toEqual('shut-out');
+  expect(a.runDecision('f', 'p')).toEqual('shut-out');
   store.refusesWrites = false;
   await until(() => held()?.ends.length === 3);
 });
@@ -134,12 +134,12 @@
   suspect(a, 's-1', 's-2');
   await turn(a, 'r').take();
   await tell();
-  expect(b.standing('f', 'q')).toEqual('held');
+  expect(b.runDecision('f', 'q')).toEqual('held');
   live.delete('a');
-  expect(b.standing('f', 'q')).toEqual('open');
+  expect(b.runDecision('f', 'q')).toEqual('open');
   const again = entry('a');
   await tell();
-  expect(again.standing('f', 'q')).toEqual('open');
+  expect(again.runDecision('f', 'q')).toEqual('open');
 });
 
 test('should end a trial that lasts too long', async () => {
@@ -148,7 +148,7 @@
   await turn(a, 'r').take();
   await tell();
   clock.advance(3_001);
-  expect(b.standing('f', 'q')).toEqual('open');
+  expect(b.runDecision('f', 'q')).toEqual('open');
 });
 
 test('should free the trial of a request that is over', async () => {
@@ -156,9 +156,9 @@
   suspect(a, 's-1', 's-2');
   const first = turn(a, 'r');
   await first.take();
-  expect(a.standing('f', 'q')).toEqual('held');
+  expect(a.runDecision('f', 'q')).toEqual('held');
   first.release();
-  expect(a.standing('f', 'q')).toEqual('open');
+  expect(a.runDecision('f', 'q')).toEqual('open');
 });
 
 test('should not ask for a trial for a caller who has left', async () => {
@@ -181,9 +181,9 @@
   clock.advance(600_000);
   const later = turn(a, 'p');
   expect(await later.take()).toEqual('granted');
-  expect(a.standing('f', 'other')).toEqual('held');
+  expect(a.runDecision('f', 'other')).toEqual('held');
   void a.noteServerExit('f', { server: 's-4', trial: later.id });
-  expect(a.standing('f', later.id)).toEqual('shut-out');
+  expect(a.runDecision('f', later.id)).toEqual('shut-out');
 });
 
 test('should tell requests apart that use one id', async () => {
@@ -191,14 +191,14 @@
   suspect(a, 's-1', 's-2');
   const [first, second] = [turn(a, ''), turn(a, '')];
   await first.take();
-  expect(a.standing('f', second.id)).toEqual('held');
+  expect(a.runDecision('f', second.id)).toEqual('held');
 });
 
 test('should spare a store that is silent when many servers end at one moment', async () => {
   const a = entry('a');
   store.refusesWrites = true;
   for (let index = 0; index < 300; index++) void a.noteServerExit(`f-${index}`, END);
-  expect([a.standing('f-0', 'r'), a.standing('f-299', 'r')]).toEqual(['open', 'free']);
+  expect([a.runDecision('f-0', 'r'), a.runDecision('f-299', 'r')]).toEqual(['open', 'free']);
 });
 
 test('should not call the store for a request that ends well at its next server', async () => {
@@ -207,7 +207,7 @@
   void a.noteServerExit('f', END);
   const next = turn(a, 'r');
   expect(await next.take()).toEqual('granted');
-  expect(a.standing('f', 'other')).toEqual('held');
+  expect(a.runDecision('f', 'other')).toEqual('held');
   next.noteSuccess();
   next.release();
   expect(a.isEmpty).toEqual(true);
@@ -227,18 +227,18 @@
 test('should let a request rest after two ends, until others that ended its servers are known', async () => {
   const a = entry('a');
   for (const server of ['s-1', 's-2']) void a.noteServerExit('f', { server, trial: '' });
-  expect(a.standing('f', 'r')).toEqual('held');
+  expect(a.runDecision('f', 'r')).toEqual('held');
   clock.advance(REST);
-  expect(a.standing('f', 'r')).toEqual('open');
+  expect(a.runDecision('f', 'r')).toEqual('open');
 });
 
 test('should spare a request that has ended well, but not for ever', async () => {
   const a = entry('a');
   for (let good = 0; good < 10; good++) a.noteSuccess('f');
   for (const server of ['s-1', 's-2', 's-3']) void a.noteServerExit('f', { server, trial: '' });
-  expect(a.standing('f', 'r')).toEqual('free');
+  expect(a.runDecision('f', 'r')).toEqual('free');
   void a.noteServerExit('f', { server: 's-4', trial: '' });
-  expect(a.standing('f', 'r')).toEqual('open');
+  expect(a.runDecision('f', 'r')).toEqual('open');
 });
 
 /**
@@ -254,14 +254,14 @@
     for (const server of ['i-8', 'i-6', 'i-3'])
       void a.noteServerExit(request, { server, trial: `trial of ${request}` });
   await until(() => a.counts.shutOut === 2);
-  expect([a.standing('crashing', 'r'), a.standing('good', 'r')]).toEqual(['shut-out', 'shut-out']);
+  expect([a.runDecision('crashing', 'r'), a.runDecision('good', 'r')]).toEqual(['shut-out', 'shut-out']);
   clock.advance(5_000);
-  expect([a.standing('crashing', 'r'), a.standing('good', 'r')]).toEqual(['open', 'open']);
+  expect([a.runDecision('crashing', 'r'), a.runDecision('good', 'r')]).toEqual(['open', 'open']);
   void a.noteServerExit('crashing', { server: 'i-1', trial: 'r' });
   a.noteSuccess('good');
   await until(() => a.counts.suspected === 1);
   clock.advance(5_000);
-  expect([a.standing('crashing', 'q'), a.standing('good', 'q')]).toEqual(['shut-out', 'free']);
+  expect([a.runDecision('crashing', 'q'), a.runDecision('good', 'q')]).toEqual(['shut-out', 'free']);
 });
 
 test('should let a request ask for a second trial after its first one has failed', async () => {
