--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -1,6 +1,6 @@
 /** Carries one admitted request to backend servers until it has an answer. */
 import type { AnswerHeaders, BackendCallListener, CallFailure } from './backendCall.js';
-import { RequestTurn } from '../crashes/requestTurn.js';
+import { SuspicionGate } from '../crashes/suspicionGate.js';
 import { SharedInterval } from '../utils/sharedInterval.js';
 import { MISDIRECTED, noteAnswerHead } from './answerHead.js';
 import { AnswerReceiver } from './answerReceiver.js';
@@ -33,7 +33,7 @@
   private readonly _received: AnswerReceiver;
   private readonly _current: CurrentAttempt;
   private readonly _attempts: RequestAttempts;
-  private readonly _turn: RequestTurn;
+  private readonly _turn: SuspicionGate;
   private readonly _handover: RequestHandover;
   private readonly _handoverDelay: number;
   private readonly _final: FinalAnswer;
@@ -55,7 +55,7 @@
     this._final = new FinalAnswer(request.exchange, (outcome, fields) => this._onEnded(outcome, fields));
     this._handoverDelay = handoverDelay(services.random.fraction());
     this._attempts = new RequestAttempts(services, request, () => this._relay?.begun === true);
-    this._turn = new RequestTurn(services.suspicions, request, services.clock);
+    this._turn = new SuspicionGate(services.suspicions, request, services.clock);
     this._trace = new RequestTrace(request, services.log, services.metrics, services.clock);
     this._handover = new RequestHandover(services, request, this._attempts, this._trace, {
       callListener: (server) => this._listenerFor(server),
@@ -82,7 +82,7 @@
   /** Sends the request to the best server there is. */
   private _attempt(): void {
     if (this._final.given) return;
-    if (!this._turn.isFree) return void this._awaitTurn();
+    if (!this._turn.isOpen) return void this._awaitTurn();
     const found = this._attempts.find();
     if (found.kind === 'none') return this._giveUp(noAttemptOf(found)!);
     const { server } = found;
@@ -94,8 +94,8 @@
 
   /** The same request is suspected of ending its servers: it runs once at a time, if at all. */
   private async _awaitTurn(): Promise<void> {
-    if (this._turn.isAwaited) return;
-    const outcome = await this._turn.take();
+    if (this._turn.isWaiting) return;
+    const outcome = await this._turn.wait();
     if (outcome === 'granted') this._attempt();
     else if (!this._final.given) this._giveUp(outcome);
   }
@@ -184,7 +184,7 @@
 
   /** The connection broke off: if with the server, whoever sends the request next has to know. */
   private async _afterBreak(server: TrackedServer, failure: CallFailure): Promise<void> {
-    if (await this._turn.afterBreak(server.record)) server.health.noteUnreachable();
+    if (await this._turn.onConnectionBroken(server.record)) server.health.noteUnreachable();
     const hasGoneOn = this._current.call !== undefined || this._handover.isUnderWay;
     if (!hasGoneOn && !this._final.given) this._goOnAfter(failure);
   }
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -22,7 +22,7 @@
 async function shutOut(entry: Suspicions): Promise<void> {
   fixture.suspect(entry, 's-1', 's-2');
   const turn = fixture.turn(entry, 'trial');
-  await turn.take();
+  await turn.wait();
   void entry.noteServerExit('f', { server: 's-3', trial: turn.id });
   turn.release();
   await until(() => fixture.held?.ends.length === 3 && fixture.held.trial === undefined);
--- a/tests/suspicions.spec.ts
+++ b/tests/suspicions.spec.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import type { Suspicion } from '../src/crashes/suspicion.js';
-import { RequestTurn } from '../src/crashes/requestTurn.js';
+import { SuspicionGate } from '../src/crashes/suspicionGate.js';
 import type { Suspicions } from '../src/crashes/suspicions.js';
 import type { ManualClock } from '../src/utils/clock.js';
 import type { ScriptedStore } from './fixtures/scriptedStore.js';
@@ -35,7 +35,7 @@
   return fixture.held;
 }
 
-function turn(suspicions: Suspicions, id: string): RequestTurn {
+function turn(suspicions: Suspicions, id: string): SuspicionGate {
   return fixture.turn(suspicions, id);
 }
 
@@ -49,7 +49,7 @@
   const [a, b] = [entry('a'), entry('b')];
   suspect(a, 's-1', 's-2');
   const first = turn(a, 'r');
-  expect(await first.take()).toEqual('granted');
+  expect(await first.wait()).toEqual('granted');
   await tell();
   expect([a.runDecision('f', first.id), b.runDecision('f', 'other')]).toEqual(['mine', 'held']);
 });
@@ -57,7 +57,7 @@
 test('should write an end and the trial that follows it at once', async () => {
   const a = entry('a');
   suspect(a, 's-1', 's-2');
-  await turn(a, 'r').take();
+  await turn(a, 'r').wait();
   const { revision } = await store.list(KIND);
   expect(revision).toEqual(2);
 });
@@ -67,8 +67,8 @@
   suspect(a, 's-1', 's-2');
   suspect(b, 's-3', 's-4');
   const [first, second] = [turn(a, 'r'), turn(b, 'q')];
-  const waiting = second.take();
-  expect(await first.take()).toEqual('granted');
+  const waiting = second.wait();
+  expect(await first.wait()).toEqual('granted');
   await until(() => a.runDecision('f', first.id) === 'mine' && b.runDecision('f', second.id) === 'held');
   expect(held()?.ends.length).toEqual(4);
   first.noteSuccess();
@@ -80,9 +80,9 @@
 test('should clear a request that ends well anywhere, and let those go on that wait', async () => {
   const [a, b] = [entry('a'), entry('b')];
   suspect(a, 's-1', 's-2');
-  await turn(a, 'r').take();
+  await turn(a, 'r').wait();
   await tell();
-  const waiting = turn(b, 'q').take();
+  const waiting = turn(b, 'q').wait();
   turn(b, 'earlier').noteSuccess();
   expect(await waiting).toEqual('granted');
   await until(() => held() === undefined);
@@ -94,9 +94,9 @@
   const [a, b] = [entry('a'), entry('b')];
   suspect(a, 's-1', 's-2');
   const first = turn(a, 'r');
-  await first.take();
+  await first.wait();
   await tell();
-  const waiting = turn(b, 'q').take();
+  const waiting = turn(b, 'q').wait();
   void a.noteServerExit('f', { server: 's-3', trial: first.id });
   await until(() => held()?.ends.length === 3);
   await tell();
@@ -117,12 +117,12 @@
   store.refusesWrites = true;
   void a.noteServerExit('f', END);
   const first = turn(a, 'r');
-  expect(await first.take()).toEqual('granted');
+  expect(await first.wait()).toEqual('granted');
   void a.noteServerExit('f', { server: 's-2', trial: first.id });
   first.release();
   clock.advance(REST);
   const second = turn(a, 'q');
-  expect(await second.take()).toEqual('granted');
+  expect(await second.wait()).toEqual('granted');
   void a.noteServerExit('f', { server: 's-3', trial: second.id });
   expect(a.runDecision('f', 'p')).toEqual('shut-out');
   store.refusesWrites = false;
@@ -132,7 +132,7 @@
 test('should end the trial of an entry that has ended, or has started again', async () => {
   const [a, b] = [entry('a'), entry('b')];
   suspect(a, 's-1', 's-2');
-  await turn(a, 'r').take();
+  await turn(a, 'r').wait();
   await tell();
   expect(b.runDecision('f', 'q')).toEqual('held');
   live.delete('a');
@@ -145,7 +145,7 @@
 test('should end a trial that lasts too long', async () => {
   const [a, b] = [entry('a'), entry('b')];
   suspect(a, 's-1', 's-2');
-  await turn(a, 'r').take();
+  await turn(a, 'r').wait();
   await tell();
   clock.advance(3_001);
   expect(b.runDecision('f', 'q')).toEqual('open');
@@ -155,7 +155,7 @@
   const a = entry('a');
   suspect(a, 's-1', 's-2');
   const first = turn(a, 'r');
-  await first.take();
+  await first.wait();
   expect(a.runDecision('f', 'q')).toEqual('held');
   first.release();
   expect(a.runDecision('f', 'q')).toEqual('open');
@@ -165,8 +165,8 @@
   const a = entry('a');
   suspect(a, 's-1', 's-2');
   const [first, second] = [turn(a, 'r'), turn(a, 'q')];
-  await first.take();
-  const waiting = second.take();
+  await first.wait();
+  const waiting = second.wait();
   second.release();
   first.release();
   expect(await waiting).toEqual('time');
@@ -177,10 +177,10 @@
   const a = entry('a');
   for (const server of ['s-1', 's-2', 's-3']) void a.noteServerExit('f', { server, trial: 'r' });
   await until(() => a.counts.shutOut === 1);
-  expect(await turn(a, 'q').take()).toEqual('ends servers');
+  expect(await turn(a, 'q').wait()).toEqual('ends servers');
   clock.advance(600_000);
   const later = turn(a, 'p');
-  expect(await later.take()).toEqual('granted');
+  expect(await later.wait()).toEqual('granted');
   expect(a.runDecision('f', 'other')).toEqual('held');
   void a.noteServerExit('f', { server: 's-4', trial: later.id });
   expect(a.runDecision('f', later.id)).toEqual('shut-out');
@@ -190,7 +190,7 @@
   const a = entry('a');
   suspect(a, 's-1', 's-2');
   const [first, second] = [turn(a, ''), turn(a, '')];
-  await first.take();
+  await first.wait();
   expect(a.runDecision('f', second.id)).toEqual('held');
 });
 
@@ -206,7 +206,7 @@
   const { revision } = await store.list(KIND);
   void a.noteServerExit('f', END);
   const next = turn(a, 'r');
-  expect(await next.take()).toEqual('granted');
+  expect(await next.wait()).toEqual('granted');
   expect(a.runDecision('f', 'other')).toEqual('held');
   next.noteSuccess();
   next.release();
@@ -218,7 +218,7 @@
   const a = entry('a');
   void a.noteServerExit('f', END);
   const next = turn(a, 'r');
-  await next.take();
+  await next.wait();
   next.release();
   await until(() => held() !== undefined);
   expect(held()).toEqual({ ends: [END] });
@@ -268,20 +268,20 @@
   const a = entry('a');
   void a.noteServerExit('f', END);
   const first = turn(a, 'r');
-  await first.take();
+  await first.wait();
   const former = first.id;
   void a.noteServerExit('f', { server: 's-2', trial: former });
-  expect(first.isFree).toEqual(false);
+  expect(first.isOpen).toEqual(false);
   clock.advance(REST);
-  expect(await first.take()).toEqual('granted');
-  expect([first.isFree, first.id === former]).toEqual([true, false]);
+  expect(await first.wait()).toEqual('granted');
+  expect([first.isOpen, first.id === former]).toEqual([true, false]);
 });
 
 test('should not call a request shut out that waits for its turn until its time is over', async () => {
   const a = entry('a');
   void a.noteServerExit('f', END);
-  await turn(a, 'r').take();
-  const waiting = turn(a, 'q').take();
+  await turn(a, 'r').wait();
+  const waiting = turn(a, 'q').wait();
   clock.advance(DEADLINE);
   a.endTrial('f', 'another');
   expect(await waiting).toEqual('time');
