--- a/src/crashes/suspicionGate.ts
+++ b/src/crashes/suspicionGate.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../utils/clock.js';
 import type { ServerProcess } from './serverExitChecker.js';
 import type { RunDecision } from './runDecision.js';
-import type { Suspicions } from './suspicions.js';
+import type { SuspicionTracker } from './suspicionTracker.js';
 
 /** What a turn is about. */
 export interface GatedRequest {
@@ -25,7 +25,7 @@
 let gatesCreated = 0;
 
 export class SuspicionGate {
-  private readonly _suspicions: Suspicions;
+  private readonly _suspicions: SuspicionTracker;
   private readonly _request: GatedRequest;
   private readonly _clock: Clock;
   private readonly _name: string;
@@ -37,7 +37,7 @@
   private _hasState = false;
   private _isReleased = false;
 
-  constructor(suspicions: Suspicions, request: GatedRequest, clock: Clock) {
+  constructor(suspicions: SuspicionTracker, request: GatedRequest, clock: Clock) {
     this._suspicions = suspicions;
     this._request = request;
     this._clock = clock;
--- a/src/crashes/suspicions.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -28,7 +28,7 @@
 import { SuspicionWriter } from './suspicionWriter.js';
 
 /** What the suspicions work with. */
-export interface SuspicionsOptions {
+export interface SuspicionTrackerOptions {
   /** This entry. */
   box: string;
   replica: RecordReplica;
@@ -44,43 +44,43 @@
 }
 
 /** When the last end of a request became known. */
-interface LastEnd {
+interface LastExit {
   ends: number;
   /** Monotonic milliseconds. */
   at: number;
 }
 
 /** How long a request waits for the store to take what it is told of it: callers of good requests wait as long. */
-const WRITE_MILLISECONDS = 250;
+const WRITE_WAIT_MILLISECONDS = 250;
 /**
  * A request that ends its servers does so soon after they begin to run it. A longer trial holds up no others, who may be many and
  * have done nothing.
  */
-const LONGEST_TRIAL_MILLISECONDS = 3_000;
+const MAX_TRIAL_MILLISECONDS = 3_000;
 /** Nobody has come again with a suspected request for so long. */
-const FORGET_SUSPECTED_MILLISECONDS = 60_000;
-const FORGET_SHUT_OUT_MILLISECONDS = 24 * 3_600_000;
-const TIDY_INTERVAL_MILLISECONDS = 10_000;
+const SUSPECTED_TTL_MILLISECONDS = 60_000;
+const SHUT_OUT_TTL_MILLISECONDS = 24 * 3_600_000;
+const CLEANUP_INTERVAL_MILLISECONDS = 10_000;
 /** Beyond so many the servers end for another cause, as with their racks, and the store is spared. */
-const MOST_SUSPICIONS = 1_000;
-const MOST_PENDING = 200;
+const MAX_SUSPICIONS = 1_000;
+const MAX_PENDING = 200;
 /** How often a request that waits looks whether the entry of the trial still lives. */
-const LOOK_MILLISECONDS = 250;
+const RECHECK_INTERVAL_MILLISECONDS = 250;
 
-export class Suspicions {
-  private readonly _options: SuspicionsOptions;
+export class SuspicionTracker {
+  private readonly _options: SuspicionTrackerOptions;
   private readonly _copies: SuspicionCopies;
   private readonly _writer: SuspicionWriter;
   private readonly _restorer: SuspicionRestorer;
   private readonly _exitChecker: ServerExitChecker;
   private readonly _successCredits = new SuccessCredits();
-  private readonly _lastEnds = new LRUCache<string, LastEnd>({ max: MOST_SUSPICIONS + MOST_PENDING });
+  private readonly _lastExits = new LRUCache<string, LastExit>({ max: MAX_SUSPICIONS + MAX_PENDING });
   private readonly _waiting = new Map<string, Set<() => void>>();
   /** Requests of this process that have asked for a trial. */
   private readonly _claims = new Set<string>();
   private readonly _timer: NodeJS.Timeout;
 
-  constructor(options: SuspicionsOptions) {
+  constructor(options: SuspicionTrackerOptions) {
     const { replica, unreadable, clock } = options;
     this._options = options;
     this._exitChecker = new ServerExitChecker(options.log);
@@ -88,7 +88,7 @@
     this._copies.on('change', (fingerprint, endsBefore) => this._onChange(fingerprint, endsBefore));
     this._writer = new SuspicionWriter({ ...options, kind: replica.kind, copies: this._copies });
     this._restorer = new SuspicionRestorer({ ...options, copies: this._copies, writer: this._writer });
-    this._timer = setInterval(() => this._tidy(), TIDY_INTERVAL_MILLISECONDS).unref();
+    this._timer = setInterval(() => this._removeStale(), CLEANUP_INTERVAL_MILLISECONDS).unref();
   }
 
   /** Whether nothing is suspected, so that no request needs to be looked up. */
@@ -110,9 +110,9 @@
       suspicion,
       request,
       ownsTrial: trial?.request === request && trial.box === this._options.box,
-      isTrialExpired: trial?.request === this._lapsedTrial(this._copies.of(fingerprint)),
+      isTrialExpired: trial?.request === this._expiredTrial(this._copies.of(fingerprint)),
       millisecondsSinceLastExit:
-        this._options.clock.now() - (this._lastEnds.get(fingerprint)?.at ?? Number.NEGATIVE_INFINITY),
+        this._options.clock.now() - (this._lastExits.get(fingerprint)?.at ?? Number.NEGATIVE_INFINITY),
       isExplainedByOthers:
         suspicion !== undefined && isShutOut(suspicion) && this._isExplained(fingerprint, suspicion),
     });
@@ -128,31 +128,31 @@
     const { log } = this._options;
     if (this._successCredits.spend(fingerprint))
       return log.decision('suspicion.spared', { fingerprint, ...end });
-    const areMany = this._copies.size >= MOST_SUSPICIONS || this._writer.pending >= MOST_PENDING;
-    if (areMany && !this._writer.of(fingerprint))
+    const isFull = this._copies.size >= MAX_SUSPICIONS || this._writer.pending >= MAX_PENDING;
+    if (isFull && !this._writer.of(fingerprint))
       return log.state('suspicion.not-kept', { fingerprint, server: end.server });
     const told = this._change(fingerprint, (suspicion) => withServerExit(suspicion, end));
     const ends = this._writer.of(fingerprint)?.ends.length ?? 0;
-    this._noteEnds(fingerprint, ends);
+    this._recordExitCount(fingerprint, ends);
     log.decision('suspicion.end', { fingerprint, ...end, ends });
-    await atMost(told, WRITE_MILLISECONDS);
+    await atMost(told, WRITE_WAIT_MILLISECONDS);
   }
 
   /** Asks for the trial of a suspected request; afterwards its standing tells whether it has it. */
   async claim(fingerprint: string, request: string, milliseconds: number): Promise<void> {
     const { box } = this._options;
-    const lapsed = this._lapsedTrial(this._copies.of(fingerprint));
+    const lapsed = this._expiredTrial(this._copies.of(fingerprint));
     const trial = {
       box,
       request,
-      milliseconds: Math.ceil(Math.min(milliseconds, LONGEST_TRIAL_MILLISECONDS)),
+      milliseconds: Math.ceil(Math.min(milliseconds, MAX_TRIAL_MILLISECONDS)),
     };
     this._claims.add(request);
     const claimed = this._change(
       fingerprint,
       (suspicion) => suspicion && withTrial(suspicion, trial, lapsed),
     );
-    await atMost(claimed, WRITE_MILLISECONDS);
+    await atMost(claimed, WRITE_WAIT_MILLISECONDS);
   }
 
   /** A trial is over, and its request may ask for another one. */
@@ -184,7 +184,7 @@
     let wake: () => void = () => undefined;
     const woken = new Promise<void>((resolve) => (wake = resolve));
     waiting.add(wake);
-    await atMost(woken, Math.min(milliseconds, LOOK_MILLISECONDS));
+    await atMost(woken, Math.min(milliseconds, RECHECK_INTERVAL_MILLISECONDS));
     waiting.delete(wake);
     if (waiting.size === 0) this._waiting.delete(fingerprint);
   }
@@ -219,7 +219,7 @@
   }
 
   /** The trial that is over though nobody has said so: its entry was killed, or cannot reach the store. */
-  private _lapsedTrial(stored: StoredSuspicion): string | undefined {
+  private _expiredTrial(stored: StoredSuspicion): string | undefined {
     const trial = stored.suspicion?.trial;
     if (!trial) return undefined;
     const { box, isLive } = this._options;
@@ -230,21 +230,22 @@
 
   private _onChange(fingerprint: string, endsBefore: number): void {
     const suspicion = this._writer.of(fingerprint);
-    if (!suspicion) this._lastEnds.delete(fingerprint);
-    else if (suspicion.ends.length > endsBefore) this._onEnds(fingerprint, suspicion);
+    if (!suspicion) this._lastExits.delete(fingerprint);
+    else if (suspicion.ends.length > endsBefore) this._onNewExits(fingerprint, suspicion);
     this._wake(fingerprint);
   }
 
-  private _onEnds(fingerprint: string, suspicion: Suspicion): void {
-    this._noteEnds(fingerprint, suspicion.ends.length);
+  private _onNewExits(fingerprint: string, suspicion: Suspicion): void {
+    this._recordExitCount(fingerprint, suspicion.ends.length);
     if (!isShutOut(suspicion)) return;
     const servers = suspicion.ends.map(({ server }) => server);
     this._options.log.state('suspicion.shut-out', { fingerprint, servers });
   }
 
-  private _noteEnds(fingerprint: string, ends: number): void {
-    const known = this._lastEnds.get(fingerprint);
-    if (!known || known.ends < ends) this._lastEnds.set(fingerprint, { ends, at: this._options.clock.now() });
+  private _recordExitCount(fingerprint: string, ends: number): void {
+    const known = this._lastExits.get(fingerprint);
+    if (!known || known.ends < ends)
+      this._lastExits.set(fingerprint, { ends, at: this._options.clock.now() });
   }
 
   private _wake(fingerprint: string): void {
@@ -252,17 +253,17 @@
   }
 
   /** Removes what nobody has come again with; the others find it in their copies. */
-  private _tidy(): void {
+  private _removeStale(): void {
     if (!this._options.isReading()) return;
     for (const [fingerprint, stored] of this._copies.all()) {
       const { suspicion } = stored;
       if (!suspicion) continue;
-      const keptFor = isShutOut(suspicion) ? FORGET_SHUT_OUT_MILLISECONDS : FORGET_SUSPECTED_MILLISECONDS;
-      if (this._age(stored) > keptFor) void this._forget(fingerprint, suspicion);
+      const keptFor = isShutOut(suspicion) ? SHUT_OUT_TTL_MILLISECONDS : SUSPECTED_TTL_MILLISECONDS;
+      if (this._age(stored) > keptFor) void this._remove(fingerprint, suspicion);
     }
   }
 
-  private async _forget(fingerprint: string, forgotten: Suspicion): Promise<void> {
+  private async _remove(fingerprint: string, forgotten: Suspicion): Promise<void> {
     this._options.log.decision('suspicion.forgotten', { fingerprint, ends: forgotten.ends.length });
     // one that has changed meanwhile is another object by then, and stays
     const change = (suspicion: Suspicion | undefined): Suspicion | undefined =>
--- a/src/serving/forwardServices.ts
+++ b/src/serving/forwardServices.ts
@@ -1,5 +1,5 @@
 /** What all requests of a gateway share. */
-import type { Suspicions } from '../crashes/suspicions.js';
+import type { SuspicionTracker } from '../crashes/suspicionTracker.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { ServingMetrics } from '../telemetry/servingMetrics.js';
 import type { Clock } from '../utils/clock.js';
@@ -12,7 +12,7 @@
   names: HeaderNames;
   pool: ServerPool;
   gate: VersionGate;
-  suspicions: Suspicions;
+  suspicions: SuspicionTracker;
   clock: Clock;
   random: Random;
   log: EventLog;
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -1,5 +1,5 @@
 /** The records of the platform that a gateway follows, and whether it can trust its copies. */
-import { Suspicions } from '../crashes/suspicions.js';
+import { SuspicionTracker } from '../crashes/suspicionTracker.js';
 import { RetainedRecords } from '../records/retainedRecords.js';
 import { KindFollower } from '../records/kindFollower.js';
 import { RecordRelay } from '../records/recordRelay.js';
@@ -49,7 +49,7 @@
   readonly configuration: RecordReplica;
   readonly servers: RecordReplica;
   readonly versions: RecordReplica;
-  readonly suspicions: Suspicions;
+  readonly suspicions: SuspicionTracker;
   readonly decoded: DecodedServers;
   readonly relay: RecordRelay;
   private readonly _suspicions: RecordReplica;
@@ -147,9 +147,9 @@
     this.relay.close();
   }
 
-  private _createSuspicions(options: PlatformFollowersOptions): Suspicions {
+  private _createSuspicions(options: PlatformFollowersOptions): SuspicionTracker {
     const { platform, own, ranking } = options;
-    return new Suspicions({
+    return new SuspicionTracker({
       ...options,
       ...platform,
       box: own.box,
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -1,7 +1,7 @@
 /** Suspicions that the store has lost, as it was rolled back: nobody else writes them again. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
-import type { Suspicions } from '../src/crashes/suspicions.js';
+import type { SuspicionTracker } from '../src/crashes/suspicionTracker.js';
 import { pause } from '../src/utils/timers.js';
 import { KIND, SuspicionsFixture } from './fixtures/suspicionsFixture.js';
 import { until } from './fixtures/until.js';
@@ -14,12 +14,12 @@
 
 afterEach(() => fixture.close());
 
-function standings(...entries: Suspicions[]): string[] {
+function standings(...entries: SuspicionTracker[]): string[] {
   return entries.map((entry) => entry.runDecision('f', 'other'));
 }
 
 /** Lets a request be at the ends of two servers, and of a third as its trial. */
-async function shutOut(entry: Suspicions): Promise<void> {
+async function shutOut(entry: SuspicionTracker): Promise<void> {
   fixture.suspect(entry, 's-1', 's-2');
   const turn = fixture.turn(entry, 'trial');
   await turn.wait();
--- a/tests/suspicions.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 import type { Suspicion } from '../src/crashes/suspicion.js';
 import { SuspicionGate } from '../src/crashes/suspicionGate.js';
-import type { Suspicions } from '../src/crashes/suspicions.js';
+import type { SuspicionTracker } from '../src/crashes/suspicionTracker.js';
 import type { ManualClock } from '../src/utils/clock.js';
 import type { ScriptedStore } from './fixtures/scriptedStore.js';
 import { KIND, REST, SuspicionsFixture } from './fixtures/suspicionsFixture.js';
@@ -23,7 +23,7 @@
 
 afterEach(() => fixture.close());
 
-function entry(box: string): Suspicions {
+function entry(box: string): SuspicionTracker {
   return fixture.entry(box);
 }
 
@@ -35,11 +35,11 @@
   return fixture.held;
 }
 
-function turn(suspicions: Suspicions, id: string): SuspicionGate {
+function turn(suspicions: SuspicionTracker, id: string): SuspicionGate {
   return fixture.turn(suspicions, id);
 }
 
-function suspect(suspicions: Suspicions, ...servers: [string, string]): void {
+function suspect(suspicions: SuspicionTracker, ...servers: [string, string]): void {
   fixture.suspect(suspicions, ...servers);
 }
 
