--- a/src/crashes/runDecision.ts
+++ b/src/crashes/runDecision.ts
@@ -24,7 +24,7 @@
 }
 
 /** Ends after which a request rests before its next trial. */
-const ENDS_BEFORE_REST = 2;
+const EXITS_BEFORE_REST = 2;
 /**
  * Where several requests end servers at the same time, a good one may meet them at two of its own in a row. After this time they
  * are known, and its next trial tells.
@@ -51,7 +51,7 @@
     const rest = isExplained ? EXPLAINED_MILLISECONDS : SHUT_OUT_MILLISECONDS;
     if (sinceEnd < rest) return 'shut-out';
   }
-  const isResting = suspicion.ends.length >= ENDS_BEFORE_REST && sinceEnd < REST_MILLISECONDS;
+  const isResting = suspicion.ends.length >= EXITS_BEFORE_REST && sinceEnd < REST_MILLISECONDS;
   const isTried = suspicion.trial !== undefined && !isMine && !isLapsed;
   return isResting || isTried ? 'held' : 'open';
 }
--- a/src/crashes/serverExitChecker.ts
+++ b/src/crashes/serverExitChecker.ts
@@ -14,9 +14,9 @@
 }
 
 /** Nobody listens at the address. */
-const REFUSED = 'ECONNREFUSED';
+const CONNECTION_REFUSED = 'ECONNREFUSED';
 /** A box that says nothing for so long does not tell whether its server has ended. */
-const CHECK_MILLISECONDS = 300;
+const CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 /** Asks by opening a connection. One check at a time for each life, whatever the number of requests that it broke off. */
 export class ServerExitChecker {
@@ -38,7 +38,7 @@
 
   private async _check({ id, address }: ServerProcess): Promise<boolean> {
     const outcome = await connectOutcome(address);
-    const ended = outcome === REFUSED;
+    const ended = outcome === CONNECTION_REFUSED;
     this._log.decision('server.checked', { server: id, ended, outcome });
     return ended;
   }
@@ -54,7 +54,7 @@
       socket.destroy();
       resolve(outcome);
     };
-    const timer = setTimeout(() => finish('silent'), CHECK_MILLISECONDS);
+    const timer = setTimeout(() => finish('silent'), CONNECT_TIMEOUT_MILLISECONDS);
     socket.once('connect', () => finish('connected'));
     socket.once('error', (error) => finish(errorCode(error)));
   });
--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -30,12 +30,12 @@
  * Ends that tell a request which ends its servers from one whose servers ended by chance. One of them has to be that of a trial:
  * several servers that end at one moment, as with their rack, say little of any request that ran at all of them.
  */
-const ENDS_TO_SHUT_OUT = 3;
+const EXITS_TO_SHUT_OUT = 3;
 /** The latest are kept: more say nothing new. */
-const MOST_ENDS = 8;
+const MAX_EXITS = 8;
 
 export function isShutOut({ ends }: Suspicion): boolean {
-  return ends.length >= ENDS_TO_SHUT_OUT && ends.some(({ trial }) => trial !== '');
+  return ends.length >= EXITS_TO_SHUT_OUT && ends.some(({ trial }) => trial !== '');
 }
 
 /**
@@ -47,7 +47,7 @@
   const known = ends.find(({ server }) => server === end.server);
   if (known && (known.trial !== '' || end.trial === '')) return { ...suspicion, ends };
   const others = ends.filter((other) => other !== known);
-  return { ...suspicion, ends: [...others, end].slice(-MOST_ENDS) };
+  return { ...suspicion, ends: [...others, end].slice(-MAX_EXITS) };
 }
 
 /** Whether the trial of `request` has ended a server. */
@@ -73,13 +73,13 @@
 }
 
 /** Merges what was `known` before the store was rolled back into what it has now. */
-export function withKnown(stored: Suspicion | undefined, known: Suspicion): Suspicion {
+export function restoreKnown(stored: Suspicion | undefined, known: Suspicion): Suspicion {
   if (!stored || isPartOf(stored, known)) return known;
   return known.ends.reduce<Suspicion>(withServerExit, stored);
 }
 
 /** Removes again what was `cleared` before the store was rolled back, unless new ends have come since. */
-export function withoutCleared(stored: Suspicion | undefined, cleared: Suspicion): Suspicion | undefined {
+export function removeCleared(stored: Suspicion | undefined, cleared: Suspicion): Suspicion | undefined {
   return stored && isPartOf(stored, cleared) ? undefined : stored;
 }
 
@@ -90,7 +90,7 @@
 }
 
 const suspicionSchema = z.object({
-  ends: z.array(z.object({ server: z.string(), trial: z.string() })).max(MOST_ENDS),
+  ends: z.array(z.object({ server: z.string(), trial: z.string() })).max(MAX_EXITS),
   trial: z
     .object({ box: z.string(), request: z.string(), milliseconds: z.number().nonnegative() })
     .optional(),
--- a/src/crashes/suspicionCopies.ts
+++ b/src/crashes/suspicionCopies.ts
@@ -32,14 +32,14 @@
 }
 
 /** Suspicions whose removal is remembered. */
-const MOST_CLEARED = 1_000;
+const MAX_CLEARED = 1_000;
 
 export class SuspicionCopies extends EventEmitter<SuspicionCopiesEvents> {
   private readonly _replica: RecordReplica;
   private readonly _unreadable: UnreadableRecords;
   private readonly _clock: Clock;
   private readonly _stored = new Map<string, StoredSuspicion>();
-  private readonly _cleared = new LRUCache<string, Suspicion>({ max: MOST_CLEARED });
+  private readonly _cleared = new LRUCache<string, Suspicion>({ max: MAX_CLEARED });
 
   constructor(replica: RecordReplica, unreadable: UnreadableRecords, clock: Clock) {
     super();
@@ -48,7 +48,7 @@
     this._clock = clock;
     replica.on('change', ({ cause }) => {
       if (cause === 'rollback') this.emit('rollback', this._known());
-      this._takeReplica();
+      this._applyReplica();
     });
   }
 
@@ -61,24 +61,24 @@
     return [...this._stored];
   }
 
-  of(fingerprint: string): StoredSuspicion {
+  get(fingerprint: string): StoredSuspicion {
     return this._stored.get(fingerprint) ?? { suspicion: undefined, revision: 0, seenAt: this._clock.now() };
   }
 
   /** Takes what the store holds as of `revision`, by the answer to a write; returns whether it is newer. */
-  note(fingerprint: string, revision: number, suspicion: Suspicion | undefined): boolean {
+  update(fingerprint: string, revision: number, suspicion: Suspicion | undefined): boolean {
     const known = this._stored.get(fingerprint);
     if (known && known.revision >= revision) return false;
-    this._noteCleared(fingerprint, suspicion);
+    this._trackCleared(fingerprint, suspicion);
     this._stored.set(fingerprint, { suspicion, revision, seenAt: this._clock.now() });
     this.emit('change', fingerprint, known?.suspicion?.ends.length ?? 0);
     return true;
   }
 
   /** The same where a write found another object, or none. */
-  noteObject(fingerprint: string, object: StoredObject | undefined): boolean {
-    if (object) return this.note(fingerprint, object.revision, this._read(object));
-    this._noteCleared(fingerprint, undefined);
+  updateFromObject(fingerprint: string, object: StoredObject | undefined): boolean {
+    if (object) return this.update(fingerprint, object.revision, this._read(object));
+    this._trackCleared(fingerprint, undefined);
     const isNewer = this._stored.delete(fingerprint);
     this.emit('change', fingerprint, 0);
     return isNewer;
@@ -87,10 +87,10 @@
   /** Takes an object as what the store holds, even if it is older than the copy. */
   replace(fingerprint: string, object: StoredObject): void {
     this._stored.delete(fingerprint);
-    this.noteObject(fingerprint, object);
+    this.updateFromObject(fingerprint, object);
   }
 
-  private _noteCleared(fingerprint: string, suspicion: Suspicion | undefined): void {
+  private _trackCleared(fingerprint: string, suspicion: Suspicion | undefined): void {
     const former = this._stored.get(fingerprint)?.suspicion;
     if (suspicion) this._cleared.delete(fingerprint);
     else if (former) this._cleared.set(fingerprint, former);
@@ -103,14 +103,14 @@
     return { suspected: new Map(suspected), cleared: new Map(this._cleared.entries()) };
   }
 
-  private _takeReplica(): void {
+  private _applyReplica(): void {
     for (const object of this._replica.objects.values()) {
       const known = this._stored.get(object.name);
-      if (!known || known.revision < object.revision) this.noteObject(object.name, object);
+      if (!known || known.revision < object.revision) this.updateFromObject(object.name, object);
     }
     for (const [fingerprint, { revision }] of this._stored) {
       const isGone = !this._replica.objects.has(fingerprint) && revision <= this._replica.revision;
-      if (isGone) this.noteObject(fingerprint, undefined);
+      if (isGone) this.updateFromObject(fingerprint, undefined);
     }
   }
 
--- a/src/crashes/suspicionRestorer.ts
+++ b/src/crashes/suspicionRestorer.ts
@@ -2,7 +2,7 @@
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Random } from '../utils/random.js';
 import { pause } from '../utils/timers.js';
-import { withKnown, withoutCleared } from './suspicion.js';
+import { restoreKnown, removeCleared } from './suspicion.js';
 import type { KnownSuspicions, SuspicionCopies } from './suspicionCopies.js';
 import type { SuspicionWriter } from './suspicionWriter.js';
 
@@ -35,28 +35,28 @@
 
   private async _restore(known: KnownSuspicions): Promise<void> {
     const { suspected, cleared } = known;
-    this._proposeSuspected(known);
+    this._queueSuspected(known);
     // the copies are replaced next: only then is what was cleared there again
     await Promise.resolve();
-    this._proposeCleared(known);
+    this._queueCleared(known);
     this._options.log.state('suspicions.restoring', { suspected: suspected.size, cleared: cleared.size });
     await pause(this._waitMilliseconds(), this._stopped.signal);
     for (const fingerprint of [...suspected.keys(), ...cleared.keys()]) {
       if (this._stopped.signal.aborted) return;
-      await this._options.writer.writeProposed(fingerprint);
+      await this._options.writer.flush(fingerprint);
     }
   }
 
-  private _proposeSuspected({ suspected }: KnownSuspicions): void {
+  private _queueSuspected({ suspected }: KnownSuspicions): void {
     for (const [fingerprint, known] of suspected)
-      this._options.writer.propose(fingerprint, (suspicion) => withKnown(suspicion, known));
+      this._options.writer.queue(fingerprint, (suspicion) => restoreKnown(suspicion, known));
   }
 
-  private _proposeCleared({ cleared }: KnownSuspicions): void {
+  private _queueCleared({ cleared }: KnownSuspicions): void {
     const { copies, writer } = this._options;
     for (const [fingerprint, former] of cleared) {
-      if (copies.of(fingerprint).suspicion)
-        writer.propose(fingerprint, (suspicion) => withoutCleared(suspicion, former));
+      if (copies.get(fingerprint).suspicion)
+        writer.queue(fingerprint, (suspicion) => removeCleared(suspicion, former));
     }
   }
 
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -104,13 +104,13 @@
 
   /** How the same requests as `request` stand, for `request` itself. */
   runDecision(fingerprint: string, request: string): RunDecision {
-    const suspicion = this._writer.of(fingerprint);
+    const suspicion = this._writer.get(fingerprint);
     const trial = suspicion?.trial;
     return decideRun({
       suspicion,
       request,
       ownsTrial: trial?.request === request && trial.box === this._options.box,
-      isTrialExpired: trial?.request === this._expiredTrial(this._copies.of(fingerprint)),
+      isTrialExpired: trial?.request === this._expiredTrial(this._copies.get(fingerprint)),
       millisecondsSinceLastExit:
         this._options.clock.now() - (this._lastExits.get(fingerprint)?.at ?? Number.NEGATIVE_INFINITY),
       isExplainedByOthers:
@@ -129,10 +129,10 @@
     if (this._successCredits.spend(fingerprint))
       return log.decision('suspicion.spared', { fingerprint, ...end });
     const isFull = this._copies.size >= MAX_SUSPICIONS || this._writer.pending >= MAX_PENDING;
-    if (isFull && !this._writer.of(fingerprint))
+    if (isFull && !this._writer.get(fingerprint))
       return log.state('suspicion.not-kept', { fingerprint, server: end.server });
     const told = this._change(fingerprint, (suspicion) => withServerExit(suspicion, end));
-    const ends = this._writer.of(fingerprint)?.ends.length ?? 0;
+    const ends = this._writer.get(fingerprint)?.ends.length ?? 0;
     this._recordExitCount(fingerprint, ends);
     log.decision('suspicion.end', { fingerprint, ...end, ends });
     await atMost(told, WRITE_WAIT_MILLISECONDS);
@@ -141,7 +141,7 @@
   /** Asks for the trial of a suspected request; afterwards its standing tells whether it has it. */
   async claim(fingerprint: string, request: string, milliseconds: number): Promise<void> {
     const { box } = this._options;
-    const lapsed = this._expiredTrial(this._copies.of(fingerprint));
+    const lapsed = this._expiredTrial(this._copies.get(fingerprint));
     const trial = {
       box,
       request,
@@ -158,21 +158,21 @@
   /** A trial is over, and its request may ask for another one. */
   endTrial(fingerprint: string, request: string): void {
     this._claims.delete(request);
-    if (this._writer.of(fingerprint)?.trial?.request !== request) return;
+    if (this._writer.get(fingerprint)?.trial?.request !== request) return;
     void this._change(fingerprint, (suspicion) => suspicion && withoutTrial(suspicion, request));
   }
 
   /** A request is over that has been at the end of a server, or asked for a trial. What it leaves behind is told to all. */
   release(fingerprint: string, request: string): void {
     this._claims.delete(request);
-    if (!this._writer.of(fingerprint)) return;
-    void this._writer.change(fingerprint, (suspicion) => suspicion && withoutTrial(suspicion, request));
+    if (!this._writer.get(fingerprint)) return;
+    void this._writer.write(fingerprint, (suspicion) => suspicion && withoutTrial(suspicion, request));
   }
 
   /** The request has ended well: it does not end each server that runs it. */
   noteSuccess(fingerprint: string): void {
     this._successCredits.add(fingerprint);
-    if (this.isEmpty || !this._writer.of(fingerprint)) return;
+    if (this.isEmpty || !this._writer.get(fingerprint)) return;
     this._options.log.decision('suspicion.cleared', { fingerprint });
     void this._change(fingerprint, () => undefined);
   }
@@ -200,10 +200,10 @@
    * next one, and each write has its price.
    */
   private async _change(fingerprint: string, change: SuspicionChange): Promise<void> {
-    const ends = change(this._writer.of(fingerprint))?.ends.length ?? 0;
-    if (ends > 1 || this._writer.isTold(fingerprint)) await this._writer.change(fingerprint, change);
+    const ends = change(this._writer.get(fingerprint))?.ends.length ?? 0;
+    if (ends > 1 || this._writer.isStored(fingerprint)) await this._writer.write(fingerprint, change);
     else {
-      this._writer.propose(fingerprint, change);
+      this._writer.queue(fingerprint, change);
       this._wake(fingerprint);
     }
   }
@@ -229,7 +229,7 @@
   }
 
   private _onChange(fingerprint: string, endsBefore: number): void {
-    const suspicion = this._writer.of(fingerprint);
+    const suspicion = this._writer.get(fingerprint);
     if (!suspicion) this._lastExits.delete(fingerprint);
     else if (suspicion.ends.length > endsBefore) this._onNewExits(fingerprint, suspicion);
     this._wake(fingerprint);
@@ -268,6 +268,6 @@
     // one that has changed meanwhile is another object by then, and stays
     const change = (suspicion: Suspicion | undefined): Suspicion | undefined =>
       isDeepStrictEqual(suspicion, forgotten) ? undefined : suspicion;
-    await this._writer.change(fingerprint, change);
+    await this._writer.write(fingerprint, change);
   }
 }
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -9,7 +9,7 @@
 import { pause } from '../utils/timers.js';
 import type { StoredObject } from '../records/watchableStore.js';
 import type { Suspicion } from './suspicion.js';
-import { withKnown } from './suspicion.js';
+import { restoreKnown } from './suspicion.js';
 import type { SuspicionCopies } from './suspicionCopies.js';
 
 /** What becomes of a suspicion; undefined stands for none. Made anew on what another entry has written meanwhile. */
@@ -33,10 +33,10 @@
 }
 
 /** Writes under way at once: more would keep the store's other calls of this process waiting while it is silent. */
-const MOST_WRITES = 8;
+const MAX_CONCURRENT_WRITES = 8;
 const RETRY = { firstMilliseconds: 40, longestMilliseconds: 500 };
 /** A store that is silent for longer than this finds what it lacks in the suspicions that come next. */
-const LONGEST_MILLISECONDS = 30_000;
+const GIVE_UP_MILLISECONDS = 30_000;
 
 export class SuspicionWriter {
   private readonly _options: SuspicionWriterOptions;
@@ -44,14 +44,14 @@
   /** Those of the pending that are being written. */
   private readonly _writing = new Set<string>();
   /** Revisions of conflicting objects that were older than the copy, by fingerprint. */
-  private readonly _older = new Map<string, number>();
+  private readonly _olderConflicts = new Map<string, number>();
   private readonly _stopped = new AbortController();
   private readonly _waiting: (() => void)[] = [];
   private _writes = 0;
 
   constructor(options: SuspicionWriterOptions) {
     this._options = options;
-    options.copies.on('change', (fingerprint) => this._dropIfDone(fingerprint));
+    options.copies.on('change', (fingerprint) => this._dropIfStored(fingerprint));
   }
 
   /** Suspicions that wait to be written. */
@@ -60,30 +60,30 @@
   }
 
   /** The suspicion as it is once all is written that waits. */
-  of(fingerprint: string): Suspicion | undefined {
-    const { suspicion } = this._options.copies.of(fingerprint);
-    return applied(suspicion, this._pending.get(fingerprint) ?? []);
+  get(fingerprint: string): Suspicion | undefined {
+    const { suspicion } = this._options.copies.get(fingerprint);
+    return applyAll(suspicion, this._pending.get(fingerprint) ?? []);
   }
 
   /** Whether the store has a suspicion, or is about to get one. */
-  isTold(fingerprint: string): boolean {
-    return this._writing.has(fingerprint) || this._options.copies.of(fingerprint).revision > 0;
+  isStored(fingerprint: string): boolean {
+    return this._writing.has(fingerprint) || this._options.copies.get(fingerprint).revision > 0;
   }
 
   /** Notes a change that is written with the next one, or never if that undoes it. */
-  propose(fingerprint: string, apply: SuspicionChange): void {
+  queue(fingerprint: string, apply: SuspicionChange): void {
     this._add(fingerprint, apply, () => undefined);
-    const isUndone = !this.isTold(fingerprint) && this.of(fingerprint) === undefined;
+    const isUndone = !this.isStored(fingerprint) && this.get(fingerprint) === undefined;
     if (isUndone) this._pending.delete(fingerprint);
   }
 
   /** Writes what has been proposed, unless the store has it by now. */
-  async writeProposed(fingerprint: string): Promise<void> {
-    if (this._pending.has(fingerprint)) await this.change(fingerprint, (suspicion) => suspicion);
+  async flush(fingerprint: string): Promise<void> {
+    if (this._pending.has(fingerprint)) await this.write(fingerprint, (suspicion) => suspicion);
   }
 
   /** Resolves when the change, and all that was proposed before, has been written, or given up. */
-  async change(fingerprint: string, apply: SuspicionChange): Promise<void> {
+  async write(fingerprint: string, apply: SuspicionChange): Promise<void> {
     await new Promise<void>((done) => {
       this._add(fingerprint, apply, done);
       if (this._writing.has(fingerprint)) return;
@@ -110,11 +110,11 @@
   }
 
   /** Drops changes that another entry has written meanwhile. */
-  private _dropIfDone(fingerprint: string): void {
+  private _dropIfStored(fingerprint: string): void {
     const pending = this._pending.get(fingerprint);
     if (!pending || this._writing.has(fingerprint)) return;
-    const { suspicion } = this._options.copies.of(fingerprint);
-    if (isDeepStrictEqual(applied(suspicion, pending), suspicion)) this._pending.delete(fingerprint);
+    const { suspicion } = this._options.copies.get(fingerprint);
+    if (isDeepStrictEqual(applyAll(suspicion, pending), suspicion)) this._pending.delete(fingerprint);
   }
 
   private async _writeAll(fingerprint: string): Promise<void> {
@@ -122,32 +122,33 @@
     const backoff = new Backoff(RETRY, random);
     for (let pending = this._pending.get(fingerprint)!; pending.length > 0;) {
       try {
-        this._settle(pending, await this._writeOnce(fingerprint, [...pending]));
+        this._resolveFirst(pending, await this._writeOnce(fingerprint, [...pending]));
       } catch (error) {
         const age = Math.round(clock.now() - pending[0].since);
-        const givenUp = age > LONGEST_MILLISECONDS || this._stopped.signal.aborted;
+        const givenUp = age > GIVE_UP_MILLISECONDS || this._stopped.signal.aborted;
         log.state('suspicion.not-written', { fingerprint, reason: errorText(error), age, givenUp });
-        if (givenUp) this._settle(pending, pending.length);
+        if (givenUp) this._resolveFirst(pending, pending.length);
         else await pause(backoff.nextWait(), this._stopped.signal);
       }
     }
     this._pending.delete(fingerprint);
     this._writing.delete(fingerprint);
-    this._older.delete(fingerprint);
+    this._olderConflicts.delete(fingerprint);
   }
 
   /** Writes what the changes come to; returns how many of them are done, none when another entry has written. */
   private async _writeOnce(fingerprint: string, changes: readonly PendingChange[]): Promise<number> {
     const { copies } = this._options;
-    const { suspicion, revision } = copies.of(fingerprint);
-    const next = applied(suspicion, changes);
+    const { suspicion, revision } = copies.get(fingerprint);
+    const next = applyAll(suspicion, changes);
     if (isDeepStrictEqual(next, suspicion)) return changes.length;
-    const answer = await this._send(fingerprint, suspicion ? revision : 0, next);
+    const answer = await this._call(fingerprint, suspicion ? revision : 0, next);
     if (answer.kind === 'done') {
-      copies.note(fingerprint, answer.revision, next);
+      copies.update(fingerprint, answer.revision, next);
       return changes.length;
     }
-    if (!copies.noteObject(fingerprint, answer.object)) this._onOlder(fingerprint, answer.object);
+    if (!copies.updateFromObject(fingerprint, answer.object))
+      this._onOlderConflict(fingerprint, answer.object);
     return 0;
   }
 
@@ -155,22 +156,23 @@
    * A conflict with an object that is older than the copy: the copy may have been updated meanwhile. The same object again means that the
    * store was rolled back without saying so.
    */
-  private _onOlder(fingerprint: string, object: StoredObject | undefined): void {
+  private _onOlderConflict(fingerprint: string, object: StoredObject | undefined): void {
     const { copies } = this._options;
-    const known = copies.of(fingerprint).suspicion;
-    const isToldAgain = object !== undefined && this._older.get(fingerprint) === object.revision;
+    const known = copies.get(fingerprint).suspicion;
+    const isToldAgain = object !== undefined && this._olderConflicts.get(fingerprint) === object.revision;
     if (!isToldAgain) {
-      if (object) this._older.set(fingerprint, object.revision);
+      if (object) this._olderConflicts.set(fingerprint, object.revision);
       throw new StepError('suspicion.write', 'a conflict with an object that is older than the copy');
     }
-    this._older.delete(fingerprint);
+    this._olderConflicts.delete(fingerprint);
     copies.replace(fingerprint, object);
-    if (known) this._addFirst(fingerprint, (suspicion) => withKnown(suspicion, known));
+    if (known) this._addFirst(fingerprint, (suspicion) => restoreKnown(suspicion, known));
   }
 
-  private async _send(name: string, revision: number, next: Suspicion | undefined): Promise<WriteAnswer> {
+  private async _call(name: string, revision: number, next: Suspicion | undefined): Promise<WriteAnswer> {
     const { store, kind } = this._options;
-    while (this._writes >= MOST_WRITES) await new Promise<void>((resume) => this._waiting.push(resume));
+    while (this._writes >= MAX_CONCURRENT_WRITES)
+      await new Promise<void>((resume) => this._waiting.push(resume));
     this._writes++;
     try {
       const object = { kind, name, revision };
@@ -181,11 +183,14 @@
     }
   }
 
-  private _settle(pending: PendingChange[], count: number): void {
+  private _resolveFirst(pending: PendingChange[], count: number): void {
     for (const { done } of pending.splice(0, count)) done();
   }
 }
 
-function applied(suspicion: Suspicion | undefined, changes: readonly PendingChange[]): Suspicion | undefined {
+function applyAll(
+  suspicion: Suspicion | undefined,
+  changes: readonly PendingChange[],
+): Suspicion | undefined {
   return changes.reduce<Suspicion | undefined>((current, { apply }) => apply(current), suspicion);
 }
