--- a/src/records/lagWatch.ts
+++ b/src/records/lagDetector.ts
@@ -1,15 +1,15 @@
 /** Notices copies that lack a change which another source has known for too long. */
 
 /** How long a copy may lack a change: as long as readers gather minor changes (500 ms), and a stamp (300 ms), with a margin. */
-const LONGEST_LAG_MILLISECONDS = 1_000;
+const MAX_LAG_MILLISECONDS = 1_000;
 
 interface Lag {
   /** Revision of the change that is lacking. */
-  change: number;
+  missingRevision: number;
   since: number;
 }
 
-export class LagWatch {
+export class LagDetector {
   private readonly _lags = new Map<string, Lag>();
 
   /**
@@ -17,17 +17,17 @@
    * that any source knows. Revisions up to which copies are complete say nothing here: they rise with changes of other
    * kinds at each call to the store, and calls of different readers end at different times.
    */
-  isTooLong(kind: string, revision: number, newestChange: number, now: number): boolean {
+  exceedsLimit(kind: string, revision: number, newestChange: number, now: number): boolean {
     const lag = this._lags.get(kind);
     if (newestChange <= revision) {
       this._lags.delete(kind);
       return false;
     }
-    if (!lag || lag.change <= revision) {
-      this._lags.set(kind, { change: newestChange, since: now });
+    if (!lag || lag.missingRevision <= revision) {
+      this._lags.set(kind, { missingRevision: newestChange, since: now });
       return false;
     }
-    if (now - lag.since <= LONGEST_LAG_MILLISECONDS) return false;
+    if (now - lag.since <= MAX_LAG_MILLISECONDS) return false;
     this._lags.delete(kind);
     return true;
   }
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../utils/clock.js';
 import { errorText } from '../utils/stepError.js';
 import { FailedSources } from './failedSources.js';
-import { LagWatch } from './lagWatch.js';
+import { LagDetector } from './lagDetector.js';
 import type { RecordRelay } from './recordRelay.js';
 import type { RecordState } from './recordState.js';
 import { freshnessOf } from './recordState.js';
@@ -48,7 +48,7 @@
   private readonly _options: RecordSourcesOptions;
   private readonly _links = new Map<string, SourceLink>();
   private readonly _failed: FailedSources;
-  private readonly _lag = new LagWatch();
+  private readonly _lag = new LagDetector();
   private _startedAt = 0;
   private _shouldReadSince: number | undefined;
   private _readingSince = 0;
@@ -210,7 +210,7 @@
     const { state, clock, reader } = this._options;
     for (const { kind, revision } of state.replicas) {
       const newest = [...this._links.values()].map((link) => newestOf(kind, link.stamp));
-      if (!this._lag.isTooLong(kind, revision, Math.max(0, ...newest), clock.now())) continue;
+      if (!this._lag.exceedsLimit(kind, revision, Math.max(0, ...newest), clock.now())) continue;
       if (reader.confirmedAt > Number.NEGATIVE_INFINITY) reader.refresh();
       else if (this._primary !== '') this._fail(this._primary, `behind in ${kind}`);
     }
