--- a/src/records/recordRelay.ts
+++ b/src/records/recordRelay.ts
@@ -4,7 +4,7 @@
 import type { RecordChanges, RecordSubscribe } from '../protocol/recordMessages.js';
 import type { RecordReplica, ReplicaChange } from './recordReplica.js';
 import type { RecordState } from './recordState.js';
-import { toldObject } from './toldObject.js';
+import { toWireObject } from './wireObject.js';
 
 /** How often listeners are told how current the copies are: they go elsewhere after a second without. */
 const STAMP_INTERVAL_MILLISECONDS = 300;
@@ -36,7 +36,7 @@
   }
 
   /** Tells all listeners at once how current the copies are. */
-  tellStamp(): void {
+  sendStamps(): void {
     for (const wantsChanges of [true, false]) {
       this._broadcast(wantsChanges, this._state.stamp(wantsChanges));
     }
@@ -49,14 +49,14 @@
 
   private _subscribe(connection: ControlConnection, { wantsChanges, revisions }: RecordSubscribe): void {
     this._listeners.set(connection, wantsChanges);
-    this._timer ??= setInterval(() => this.tellStamp(), STAMP_INTERVAL_MILLISECONDS);
+    this._timer ??= setInterval(() => this.sendStamps(), STAMP_INTERVAL_MILLISECONDS);
     if (wantsChanges) {
       for (const replica of this._state.replicas) {
-        if (replica.revision > (revisions[replica.kind] ?? 0)) connection.send(wholeOf(replica));
+        if (replica.revision > (revisions[replica.kind] ?? 0)) connection.send(fullMessage(replica));
       }
     }
     for (const replica of this._state.replicas) {
-      if (replica.retained.length > 0) connection.send(this._state.toldRetained(replica));
+      if (replica.retained.length > 0) connection.send(this._state.retainedMessage(replica));
     }
     connection.send(this._state.stamp(wantsChanges));
   }
@@ -71,7 +71,7 @@
   private _onChange(replica: RecordReplica, change: ReplicaChange): void {
     // listeners retain and release by themselves
     if (change.cause === 'retained') return;
-    this._broadcast(true, change.whole ? wholeOf(replica) : changesOf(replica, change));
+    this._broadcast(true, change.whole ? fullMessage(replica) : changesMessage(replica, change));
     this._broadcast(true, this._state.stamp(true));
   }
 
@@ -85,18 +85,18 @@
   }
 }
 
-function wholeOf({ kind, revision, stored }: RecordReplica): RecordChanges {
-  const told = stored.map(toldObject);
+function fullMessage({ kind, revision, stored }: RecordReplica): RecordChanges {
+  const told = stored.map(toWireObject);
   return { type: 'record-changes', kind, revision, whole: true, objects: told, gone: [] };
 }
 
-function changesOf({ kind, revision }: RecordReplica, { changes }: ReplicaChange): RecordChanges {
+function changesMessage({ kind, revision }: RecordReplica, { changes }: ReplicaChange): RecordChanges {
   return {
     type: 'record-changes',
     kind,
     revision,
     whole: false,
-    objects: changes.filter(({ gone }) => !gone).map(({ object }) => toldObject(object)),
+    objects: changes.filter(({ gone }) => !gone).map(({ object }) => toWireObject(object)),
     gone: changes.filter(({ gone }) => gone).map(({ object }) => object.name),
   };
 }
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -14,7 +14,7 @@
 import { SourceLink } from './sourceLink.js';
 import { generationOf, startOfGeneration } from './storeRevision.js';
 import type { StoreReader } from './storeReader.js';
-import { storedObject } from './toldObject.js';
+import { fromWireObject } from './wireObject.js';
 import type { WatchableStore } from './watchableStore.js';
 
 /** What the sources work with. */
@@ -127,7 +127,7 @@
     if (reader.isLost && !this._failed.has(own.address)) {
       this._fail(own.address, 'has lost the store');
       state.noteLost();
-      relay.tellStamp();
+      relay.sendStamps();
     }
     if (!reader.isReading || clock.now() - this._readingSince < OPENING_MILLISECONDS) return;
     if (clock.now() - reader.confirmedAt > UNCONFIRMED_MILLISECONDS) this._fail(own.address, 'own reading');
@@ -199,7 +199,7 @@
     const { reader, log } = this._options;
     const isReader = reader.confirmedAt > Number.NEGATIVE_INFINITY;
     const primary = isReader ? '' : (sources[0]?.address ?? '');
-    for (const [address, link] of this._links) link.want(address === primary);
+    for (const [address, link] of this._links) link.setWantsChanges(address === primary);
     if (primary === this._primary) return;
     this._primary = primary;
     log.state('records.source', { source: primary === '' ? 'store' : primary });
@@ -229,17 +229,17 @@
       const { kind, revision, retained } = replica;
       if (generationOf(stamp.revisions[kind] ?? 0) !== generationOf(revision)) continue;
       const step = link.retainedExchange.next(kind, retained.length, stamp.retained[kind] ?? 0);
-      if (step === 'tell') link.tellRetained(state.toldRetained(replica));
-      else if (step === 'ask') link.askForRetained();
+      if (step === 'tell') link.sendRetained(state.retainedMessage(replica));
+      else if (step === 'ask') link.requestRetained();
     }
   }
 
   private _onChanges({ kind, revision, whole, objects, gone }: RecordChanges): void {
     const replica = this._options.state.replica(kind);
     if (!replica) return;
-    if (whole) return replica.takeListing({ revision, objects: objects.map(storedObject) });
+    if (whole) return replica.takeListing({ revision, objects: objects.map(fromWireObject) });
     replica.takeChanges(revision, [
-      ...objects.map((object) => ({ object: storedObject(object), gone: false })),
+      ...objects.map((object) => ({ object: fromWireObject(object), gone: false })),
       ...gone.map((name) => ({ object: { name, revision, value: undefined }, gone: true })),
     ]);
   }
--- a/src/records/recordState.ts
+++ b/src/records/recordState.ts
@@ -2,7 +2,7 @@
 import type { RecordStamp, RecordsRetained } from '../protocol/recordMessages.js';
 import type { Clock } from '../utils/clock.js';
 import type { RecordReplica } from './recordReplica.js';
-import { storedObject, toldObject } from './toldObject.js';
+import { fromWireObject, toWireObject } from './wireObject.js';
 
 /** How current copies are; monotonic milliseconds, -infinity for never. */
 export interface Freshness {
@@ -76,10 +76,10 @@
   }
 
   /** The retained records of a kind, as a message. */
-  toldRetained({ kind, revision, retained }: RecordReplica): RecordsRetained {
+  retainedMessage({ kind, revision, retained }: RecordReplica): RecordsRetained {
     const now = this._clock.now();
     const records = retained.map(({ object, gone, since }) => ({
-      object: toldObject(object),
+      object: toWireObject(object),
       gone,
       retainedMilliseconds: Math.max(0, now - since),
     }));
@@ -90,7 +90,7 @@
   takeRetained({ kind, revision, records }: RecordsRetained): void {
     const now = this._clock.now();
     const taken = records.map(({ object, gone, retainedMilliseconds }) => ({
-      object: storedObject(object),
+      object: fromWireObject(object),
       gone,
       since: now - retainedMilliseconds,
     }));
--- a/src/records/sourceLink.ts
+++ b/src/records/sourceLink.ts
@@ -44,19 +44,19 @@
   }
 
   /** Asks for changes beside stamps, or no longer. */
-  want(wantsChanges: boolean): void {
+  setWantsChanges(wantsChanges: boolean): void {
     if (wantsChanges === this._wantsChanges) return;
     this._wantsChanges = wantsChanges;
     if (this._connection) this._subscribe(this._connection);
   }
 
   /** Sends retained records. */
-  tellRetained(records: RecordsRetained): void {
+  sendRetained(records: RecordsRetained): void {
     this._connection?.send(records);
   }
 
   /** Asks for the retained records of the source, by subscribing again. */
-  askForRetained(): void {
+  requestRetained(): void {
     if (this._connection) this._subscribe(this._connection);
   }
 
--- a/src/records/toldObject.ts
+++ b/src/records/wireObject.ts
@@ -3,21 +3,21 @@
 import { parseJson } from '../utils/json.js';
 import type { StoredObject } from './watchableStore.js';
 
-export type ToldObject = RecordChanges['objects'][number];
+export type WireObject = RecordChanges['objects'][number];
 
 /** Texts of the values of objects, written once for all that ask. */
-const texts = new WeakMap<StoredObject, string>();
+const jsonByObject = new WeakMap<StoredObject, string>();
 
 /** An object as it is passed on. */
-export function toldObject(object: StoredObject): ToldObject {
+export function toWireObject(object: StoredObject): WireObject {
   const { name, revision, value } = object;
   if (value === undefined) return { name, revision };
-  const json = texts.get(object) ?? JSON.stringify(value);
-  texts.set(object, json);
+  const json = jsonByObject.get(object) ?? JSON.stringify(value);
+  jsonByObject.set(object, json);
   return { name, revision, json };
 }
 
 /** The object that was passed on; without a value where nobody could read one. */
-export function storedObject({ name, revision, json }: ToldObject): StoredObject {
+export function fromWireObject({ name, revision, json }: WireObject): StoredObject {
   return { name, revision, value: json === undefined ? undefined : parseJson(json) };
 }
