--- a/src/records/kindFollower.ts
+++ b/src/records/kindFollower.ts
@@ -94,7 +94,7 @@
     const { replica, log, gatherMilliseconds, gatherMinorMilliseconds } = this._options;
     if ('objects' in answer) {
       this._noteOlder(answer.revision);
-      replica.takeListing(answer);
+      replica.applyListing(answer);
       this._revision = answer.revision;
       return 0;
     }
@@ -104,7 +104,7 @@
       return 0;
     }
     this._revision = answer.revision;
-    const weight = replica.takeChanges(answer.revision, answer.changes);
+    const weight = replica.applyChanges(answer.revision, answer.changes);
     return weight === 'urgent' ? gatherMilliseconds : gatherMinorMilliseconds;
   }
 
--- a/src/records/recordRelay.ts
+++ b/src/records/recordRelay.ts
@@ -29,7 +29,7 @@
   attach(connection: ControlConnection): void {
     connection.on('message', (message) => {
       if (message.type === 'record-subscribe') this._subscribe(connection, message);
-      if (message.type === 'records-retained') this._state.takeRetained(message);
+      if (message.type === 'records-retained') this._state.adoptRetained(message);
     });
     connection.once('close', () => this._forget(connection));
     connection.start();
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -8,10 +8,13 @@
 import type { KindListing, ObjectChange, StoredObject } from './watchableStore.js';
 
 /** How much a change matters: `minor` may wait for others, `none` changes nothing that is used. */
-export type ChangeWeight = 'none' | 'minor' | 'urgent';
+export type ChangeUrgency = 'none' | 'minor' | 'urgent';
 
 /** Weighs a change of one object; undefined stands for an object that is not there. */
-export type WeighChange = (before: StoredObject | undefined, after: StoredObject | undefined) => ChangeWeight;
+export type ClassifyChange = (
+  before: StoredObject | undefined,
+  after: StoredObject | undefined,
+) => ChangeUrgency;
 
 /** What caused a change: the `store`, a `rollback` of it, or that records are `retained` or released after one. */
 export type ChangeCause = 'store' | 'rollback' | 'retained';
@@ -41,7 +44,7 @@
   readonly kind: string;
   /** The objects in force. */
   readonly objects = new Map<string, StoredObject>();
-  private readonly _weigh: WeighChange;
+  private readonly _classify: ClassifyChange;
   private readonly _retained: RetainedRecords | undefined;
   private _revision = 0;
   private _newestChange = 0;
@@ -49,10 +52,10 @@
   private _early: EarlyRecords[] = [];
 
   /** Without `retained`, a rollback takes effect as it is. */
-  constructor(kind: string, weigh: WeighChange = () => 'urgent', retained?: RetainedRecords) {
+  constructor(kind: string, weigh: ClassifyChange = () => 'urgent', retained?: RetainedRecords) {
     super();
     this.kind = kind;
-    this._weigh = weigh;
+    this._classify = weigh;
     this._retained = retained;
     this.setMaxListeners(0);
   }
@@ -80,14 +83,14 @@
   }
 
   /** Takes objects that may be seconds old, until there is a copy. */
-  takeProvisional(objects: readonly StoredObject[]): void {
+  applyProvisional(objects: readonly StoredObject[]): void {
     if (this._revision > 0) return;
     for (const object of objects) this.objects.set(object.name, object);
     this.emit('change', { cause: 'store', whole: true, changes: [] });
   }
 
   /** Replaces the copy, unless the listing is older than it. */
-  takeListing(listing: KindListing): void {
+  applyListing(listing: KindListing): void {
     const { revision } = listing;
     if (revision < this._revision) return;
     const isFirst = this._revision === 0;
@@ -100,7 +103,7 @@
   }
 
   /** Takes what has changed up to `revision`, in the generation of the copy; returns how much that matters. */
-  takeChanges(revision: number, changes: readonly ObjectChange[]): ChangeWeight {
+  applyChanges(revision: number, changes: readonly ObjectChange[]): ChangeUrgency {
     if (revision <= this._revision || !this._isOfThisGeneration(revision)) return 'none';
     const newer = changes.filter((change) => this._isNewer(change));
     const weight = this._apply(newer, 'change');
@@ -110,7 +113,7 @@
   }
 
   /** Takes over records that another entry retains, whose copy is as of `revision`. */
-  takeRetained(revision: number, records: readonly RetainedRecord[]): void {
+  adoptRetained(revision: number, records: readonly RetainedRecord[]): void {
     const isEarly = this._revision === 0 || generationOf(revision) > generationOf(this._revision);
     if (isEarly) this._early = [...this._early, { revision, records }].slice(-MOST_EARLY);
     if (isEarly || !this._isOfThisGeneration(revision)) return;
@@ -132,13 +135,13 @@
   }
 
   /** Notes that the copy is as the store had it at `revision`, with what is used of its changes up to `newestChange`. */
-  noteRevision(revision: number, newestChange: number): void {
+  advanceRevision(revision: number, newestChange: number): void {
     if (!this._isOfThisGeneration(revision)) return;
     this._revision = Math.max(this._revision, revision);
     this._newestChange = Math.max(this._newestChange, newestChange);
   }
 
-  private _replace({ revision, objects }: KindListing, isRollback: boolean): ChangeWeight {
+  private _replace({ revision, objects }: KindListing, isRollback: boolean): ChangeUrgency {
     const stored = new Map(objects.map((object) => [object.name, object]));
     const retained = this.retained.map(({ object }) => object);
     const known = new Map([...retained, ...this.objects.values()].map((object) => [object.name, object]));
@@ -154,7 +157,7 @@
   private _takeEarly(): void {
     const early = this._early;
     this._early = [];
-    for (const { revision, records } of early) this.takeRetained(revision, records);
+    for (const { revision, records } of early) this.adoptRetained(revision, records);
   }
 
   private _isOfThisGeneration(revision: number): boolean {
@@ -178,8 +181,8 @@
   }
 
   /** Applies changes of the store as far as they come into force. */
-  private _apply(changes: readonly ObjectChange[], by: StoredBy = 'listing'): ChangeWeight {
-    let weight: ChangeWeight = 'none';
+  private _apply(changes: readonly ObjectChange[], by: StoredBy = 'listing'): ChangeUrgency {
+    let weight: ChangeUrgency = 'none';
     for (const { object, gone } of changes) {
       const { name, revision } = object;
       this._newestChange = Math.max(this._newestChange, revision);
@@ -188,9 +191,9 @@
       const storedBefore = this._storedOf(name);
       const stored = gone ? undefined : object;
       const believed = this._retained ? this._retained.judge(name, stored, by) : stored;
-      weight = heavier(weight, this._set(name, believed));
+      weight = moreUrgent(weight, this._set(name, believed));
       // listeners retain and release by themselves: they need what changes in the store behind a retained record
-      if (wasRetained) weight = heavier(weight, this._weigh(storedBefore, stored));
+      if (wasRetained) weight = moreUrgent(weight, this._classify(storedBefore, stored));
     }
     return weight;
   }
@@ -201,8 +204,8 @@
     if (isUsed) this.emit('change', { cause: 'retained', whole: false, changes: [] });
   }
 
-  private _set(name: string, object: StoredObject | undefined): ChangeWeight {
-    const weight = this._weigh(this.objects.get(name), object);
+  private _set(name: string, object: StoredObject | undefined): ChangeUrgency {
+    const weight = this._classify(this.objects.get(name), object);
     if (!object) this.objects.delete(name);
     else {
       this.objects.set(name, object);
@@ -212,7 +215,7 @@
   }
 }
 
-function heavier(a: ChangeWeight, b: ChangeWeight): ChangeWeight {
-  const order: readonly ChangeWeight[] = ['none', 'minor', 'urgent'];
+function moreUrgent(a: ChangeUrgency, b: ChangeUrgency): ChangeUrgency {
+  const order: readonly ChangeUrgency[] = ['none', 'minor', 'urgent'];
   return order.indexOf(a) >= order.indexOf(b) ? a : b;
 }
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -86,7 +86,7 @@
       state.replicas.map(async (replica) => {
         try {
           const { objects } = await store.listStale(replica.kind, this._stopped.signal);
-          replica.takeProvisional(objects);
+          replica.applyProvisional(objects);
         } catch (error) {
           if (this._stopped.signal.aborted) return;
           log.state('records.no-stale-copy', { kind: replica.kind, reason: errorText(error) });
@@ -154,7 +154,7 @@
       revisions: () => state.revisions,
       onStamp: (stamp) => this._onStamp(address, stamp),
       onChanges: (changes) => this._onChanges(changes),
-      onRetained: (records) => state.takeRetained(records),
+      onRetained: (records) => state.adoptRetained(records),
       onLost: (reason) => this._onLost(address, reason),
     });
     this._links.set(address, link);
@@ -237,8 +237,8 @@
   private _onChanges({ kind, revision, whole, objects, gone }: RecordChanges): void {
     const replica = this._options.state.replica(kind);
     if (!replica) return;
-    if (whole) return replica.takeListing({ revision, objects: objects.map(fromWireObject) });
-    replica.takeChanges(revision, [
+    if (whole) return replica.applyListing({ revision, objects: objects.map(fromWireObject) });
+    replica.applyChanges(revision, [
       ...objects.map((object) => ({ object: fromWireObject(object), gone: false })),
       ...gone.map((name) => ({ object: { name, revision, value: undefined }, gone: true })),
     ]);
--- a/src/records/recordState.ts
+++ b/src/records/recordState.ts
@@ -66,7 +66,7 @@
   confirmByStamp(stamp: RecordStamp): void {
     this.confirm(freshnessOf(stamp, this._clock.now()));
     for (const [kind, revision] of Object.entries(stamp.revisions)) {
-      this.replica(kind)?.noteRevision(revision, stamp.newestChanges[kind] ?? 0);
+      this.replica(kind)?.advanceRevision(revision, stamp.newestChanges[kind] ?? 0);
     }
   }
 
@@ -87,14 +87,14 @@
   }
 
   /** Takes over records that another entry retains. */
-  takeRetained({ kind, revision, records }: RecordsRetained): void {
+  adoptRetained({ kind, revision, records }: RecordsRetained): void {
     const now = this._clock.now();
     const taken = records.map(({ object, gone, retainedMilliseconds }) => ({
       object: fromWireObject(object),
       gone,
       since: now - retainedMilliseconds,
     }));
-    this.replica(kind)?.takeRetained(revision, taken);
+    this.replica(kind)?.adoptRetained(revision, taken);
   }
 
   /** `withChanges` says that the receiver has been sent all changes. */
--- a/src/serving/decodedServers.ts
+++ b/src/serving/decodedServers.ts
@@ -1,5 +1,5 @@
 /** Records of backend servers, each decoded once. */
-import type { ChangeWeight } from '../records/recordReplica.js';
+import type { ChangeUrgency } from '../records/recordReplica.js';
 import type { UnreadableRecords } from '../records/unreadableRecords.js';
 import type { StoredObject } from '../records/watchableStore.js';
 import type { BackendServerRecord } from './backendServerRecord.js';
@@ -26,7 +26,7 @@
   }
 
   /** How much a change matters to those who choose servers: which version one serves is told sooner by its agent. */
-  weigh(before: StoredObject | undefined, after: StoredObject | undefined): ChangeWeight {
+  weigh(before: StoredObject | undefined, after: StoredObject | undefined): ChangeUrgency {
     const old = before && this.of(before);
     const next = after && this.of(after);
     if (!old || !next) return old === next ? 'none' : 'urgent';
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -3,7 +3,7 @@
 import { RetainedRecords } from '../records/retainedRecords.js';
 import { KindFollower } from '../records/kindFollower.js';
 import { RecordRelay } from '../records/recordRelay.js';
-import type { WeighChange } from '../records/recordReplica.js';
+import type { ClassifyChange } from '../records/recordReplica.js';
 import { RecordReplica } from '../records/recordReplica.js';
 import type { RecordSourcesOptions } from '../records/recordSources.js';
 import { RecordSources } from '../records/recordSources.js';
@@ -61,8 +61,8 @@
     const { platform, clock, log } = options;
     const { store, reader, unreadable } = platform;
     this.decoded = new DecodedServers(reader, unreadable);
-    const weighServer: WeighChange = (before, after) => this.decoded.weigh(before, after);
-    const replicaOf = (kind: string, policy: RollbackPolicy, weigh?: WeighChange): RecordReplica =>
+    const weighServer: ClassifyChange = (before, after) => this.decoded.weigh(before, after);
+    const replicaOf = (kind: string, policy: RollbackPolicy, weigh?: ClassifyChange): RecordReplica =>
       new RecordReplica(
         kind,
         weigh,
--- a/tests/recordReplica.spec.ts
+++ b/tests/recordReplica.spec.ts
@@ -29,52 +29,52 @@
 
 function filled(revision: number): RecordReplica {
   const replica = new RecordReplica('servers');
-  replica.takeListing({ revision, objects: [object('a', 5), object('b', 7)] });
+  replica.applyListing({ revision, objects: [object('a', 5), object('b', 7)] });
   return replica;
 }
 
 test('should take changes that follow its listing', () => {
   const replica = filled(10);
-  replica.takeChanges(12, [set('c', 11), gone('a', 12)]);
+  replica.applyChanges(12, [set('c', 11), gone('a', 12)]);
   expect(names(replica)).toEqual(['b', 'c']);
   expect(replica.revision).toEqual(12);
 });
 
 test('should not go back with a listing that is older than its copy', () => {
   const replica = filled(10);
-  replica.takeListing({ revision: 9, objects: [] });
+  replica.applyListing({ revision: 9, objects: [] });
   expect(names(replica)).toEqual(['a', 'b']);
   expect(replica.revision).toEqual(10);
 });
 
 test('should not bring back what has been deleted when an older change comes late', () => {
   const replica = filled(10);
-  replica.takeChanges(12, [gone('a', 11)]);
-  replica.takeChanges(11, [set('a', 11)]);
-  replica.takeChanges(13, [set('a', 10), set('b', 13)]);
+  replica.applyChanges(12, [gone('a', 11)]);
+  replica.applyChanges(11, [set('a', 11)]);
+  replica.applyChanges(13, [set('a', 10), set('b', 13)]);
   expect(names(replica)).toEqual(['b']);
   expect(replica.objects.get('b')?.revision).toEqual(13);
 });
 
 test('should not lose what has been made anew when an older deletion comes late', () => {
   const replica = filled(10);
-  replica.takeChanges(14, [set('a', 14)]);
-  replica.takeChanges(15, [gone('a', 12)]);
+  replica.applyChanges(14, [set('a', 14)]);
+  replica.applyChanges(15, [gone('a', 12)]);
   expect(names(replica)).toEqual(['a', 'b']);
 });
 
 test('should take a deletion that carries the revision of the last change', () => {
   const replica = filled(10);
-  replica.takeChanges(11, [gone('b', 7)]);
+  replica.applyChanges(11, [gone('b', 7)]);
   expect(names(replica)).toEqual(['a']);
 });
 
 test('should tell its newest change apart from how far it is known to be complete', () => {
   const replica = filled(10);
   expect([replica.revision, replica.newestChange]).toEqual([10, 7]);
-  replica.takeChanges(30, []);
+  replica.applyChanges(30, []);
   expect([replica.revision, replica.newestChange]).toEqual([30, 7]);
-  replica.takeChanges(31, [set('a', 31)]);
+  replica.applyChanges(31, [set('a', 31)]);
   expect(replica.newestChange).toEqual(31);
 });
 
@@ -84,10 +84,10 @@
   );
   const seen: ReplicaChange[] = [];
   replica.on('change', (change) => void seen.push(change));
-  replica.takeListing({ revision: 1, objects: [object('a', 1, 'x')] });
-  replica.takeListing({ revision: 2, objects: [object('a', 2, 'x')] });
-  expect(replica.takeChanges(3, [{ object: object('a', 3, 'x'), gone: false }])).toEqual('none');
-  expect(replica.takeChanges(4, [{ object: object('a', 4, 'y'), gone: false }])).toEqual('urgent');
+  replica.applyListing({ revision: 1, objects: [object('a', 1, 'x')] });
+  replica.applyListing({ revision: 2, objects: [object('a', 2, 'x')] });
+  expect(replica.applyChanges(3, [{ object: object('a', 3, 'x'), gone: false }])).toEqual('none');
+  expect(replica.applyChanges(4, [{ object: object('a', 4, 'y'), gone: false }])).toEqual('urgent');
   expect(seen.map(({ whole }) => whole)).toEqual([true, false]);
 });
 
--- a/tests/retainedRecords.spec.ts
+++ b/tests/retainedRecords.spec.ts
@@ -38,7 +38,7 @@
 }
 
 function remove(name: string, revision: number): void {
-  replica.takeChanges(revision, [{ object: object(name, revision), gone: true }]);
+  replica.applyChanges(revision, [{ object: object(name, revision), gone: true }]);
 }
 
 function names(of = replica): string[] {
@@ -53,15 +53,15 @@
 
 /** The store had `a` and `b`, removed `b`, and is rolled back to when it had both. */
 function rollBackWithGone(): void {
-  replica.takeListing(listing(at(0, 5), object('a', at(0, 1)), object('b', at(0, 2))));
+  replica.applyListing(listing(at(0, 5), object('a', at(0, 1)), object('b', at(0, 2))));
   remove('b', at(0, 6));
-  replica.takeListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
+  replica.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
 }
 
 test('should not bring back what had gone when a later listing lacks it too', () => {
   rollBackWithGone();
   expect(names()).toEqual(['a']);
-  replica.takeListing(listing(at(1, 4), object('a', at(1, 1))));
+  replica.applyListing(listing(at(1, 4), object('a', at(1, 1))));
   letLapse();
   expect(names()).toEqual(['a']);
 });
@@ -74,52 +74,52 @@
 
 test('should take what had gone once it is written anew', () => {
   rollBackWithGone();
-  replica.takeChanges(at(1, 4), [{ object: object('b', at(1, 4)), gone: false }]);
+  replica.applyChanges(at(1, 4), [{ object: object('b', at(1, 4)), gone: false }]);
   expect(names()).toEqual(['a', 'b']);
 });
 
 test('should take a deletion that carries the revision of the change before', () => {
-  replica.takeListing(listing(at(0, 5), object('a', at(0, 4), 'draining')));
-  replica.takeListing(listing(at(1, 3), object('a', at(1, 1))));
+  replica.applyListing(listing(at(0, 5), object('a', at(0, 4), 'draining')));
+  replica.applyListing(listing(at(1, 3), object('a', at(1, 1))));
   expect(replica.objects.get('a')?.value).toEqual('draining');
-  replica.takeChanges(at(1, 4), [{ object: object('a', at(1, 1)), gone: true }]);
+  replica.applyChanges(at(1, 4), [{ object: object('a', at(1, 1)), gone: true }]);
   expect(names()).toEqual([]);
 });
 
 test('should remember what came and went in one answer', () => {
-  replica.takeListing(listing(at(0, 5)));
-  replica.takeChanges(at(0, 7), [
+  replica.applyListing(listing(at(0, 5)));
+  replica.applyChanges(at(0, 7), [
     { object: object('b', at(0, 6)), gone: false },
     { object: object('b', at(0, 7)), gone: true },
   ]);
-  replica.takeListing(listing(at(1, 6), object('b', at(1, 6))));
+  replica.applyListing(listing(at(1, 6), object('b', at(1, 6))));
   expect(names()).toEqual([]);
 });
 
 test('should not take for gone what a listing lacks after an outage', () => {
-  replica.takeListing(listing(at(0, 5), object('b', at(0, 2))));
+  replica.applyListing(listing(at(0, 5), object('b', at(0, 2))));
   mayHaveLapsed = true;
-  replica.takeListing(listing(at(0, 6)));
+  replica.applyListing(listing(at(0, 6)));
   mayHaveLapsed = false;
-  replica.takeListing(listing(at(1, 3), object('b', at(1, 2))));
+  replica.applyListing(listing(at(1, 3), object('b', at(1, 2))));
   expect(names()).toEqual(['b']);
 });
 
 test('should retain over a second rollback what another entry had told after the first', () => {
   rollBackWithGone();
   const other = replicaOf();
-  other.takeListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
-  other.takeRetained(replica.revision, replica.retained);
+  other.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
+  other.adoptRetained(replica.revision, replica.retained);
   expect(names(other)).toEqual(['a']);
-  other.takeListing(listing(at(2, 3), object('a', at(2, 1)), object('b', at(2, 2))));
+  other.applyListing(listing(at(2, 3), object('a', at(2, 1)), object('b', at(2, 2))));
   expect(names(other)).toEqual(['a']);
 });
 
 test('should wait with what another entry retains until it has a copy of that generation', () => {
   rollBackWithGone();
   const other = replicaOf();
-  other.takeRetained(replica.revision, replica.retained);
-  other.takeListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
+  other.adoptRetained(replica.revision, replica.retained);
+  other.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
   expect(names(other)).toEqual(['a']);
 });
 
@@ -127,8 +127,8 @@
   rollBackWithGone();
   clock.advance(RETAINED);
   const other = replicaOf();
-  other.takeListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
-  other.takeRetained(replica.revision, replica.retained);
+  other.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
+  other.adoptRetained(replica.revision, replica.retained);
   expect(names(other)).toEqual(['a', 'b']);
 });
 
