--- a/src/crashes/runDecision.ts
+++ b/src/crashes/runDecision.ts
@@ -24,12 +24,12 @@
 }
 
 /** Ends after which a request rests before its next trial. */
-const EXITS_BEFORE_REST = 2;
+const EXITS_BEFORE_PAUSE = 2;
 /**
  * Where several requests end servers at the same time, a good one may meet them at two of its own in a row. After this time they
  * are known, and its next trial tells.
  */
-const REST_MILLISECONDS = 1_000;
+const PAUSE_MILLISECONDS = 1_000;
 /** Servers and weights change: after so long a request that was shut out may have one more trial, which costs a server at worst. */
 export const SHUT_OUT_MILLISECONDS = 600_000;
 /** The same where another one is as likely to have ended the servers: one more trial of each tells them apart. */
@@ -45,13 +45,13 @@
     isExplainedByOthers: isExplained,
   } = facts;
   if (!suspicion) return 'free';
-  const isAtWork = isMine && !hasFailedTrial(suspicion, request);
-  if (isAtWork) return 'mine';
+  const isRunningTrial = isMine && !hasFailedTrial(suspicion, request);
+  if (isRunningTrial) return 'mine';
   if (isShutOut(suspicion)) {
-    const rest = isExplained ? EXPLAINED_MILLISECONDS : SHUT_OUT_MILLISECONDS;
-    if (sinceEnd < rest) return 'shut-out';
+    const blockedFor = isExplained ? EXPLAINED_MILLISECONDS : SHUT_OUT_MILLISECONDS;
+    if (sinceEnd < blockedFor) return 'shut-out';
   }
-  const isResting = suspicion.ends.length >= EXITS_BEFORE_REST && sinceEnd < REST_MILLISECONDS;
-  const isTried = suspicion.trial !== undefined && !isMine && !isLapsed;
-  return isResting || isTried ? 'held' : 'open';
+  const isPausing = suspicion.ends.length >= EXITS_BEFORE_PAUSE && sinceEnd < PAUSE_MILLISECONDS;
+  const isTrialTaken = suspicion.trial !== undefined && !isMine && !isLapsed;
+  return isPausing || isTrialTaken ? 'held' : 'open';
 }
--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -56,9 +56,9 @@
 }
 
 /** Begins a trial, unless another one is under way; that of `lapsed` is not any more. */
-export function withTrial(suspicion: Suspicion, trial: Trial, lapsed?: string): Suspicion {
-  const isUnderWay = suspicion.trial !== undefined && suspicion.trial.request !== lapsed;
-  return isUnderWay ? suspicion : { ...suspicion, trial };
+export function withTrial(suspicion: Suspicion, trial: Trial, expired?: string): Suspicion {
+  const isRunning = suspicion.trial !== undefined && suspicion.trial.request !== expired;
+  return isRunning ? suspicion : { ...suspicion, trial };
 }
 
 /** Ends the trial of `request`; that of another goes on. */
--- a/src/crashes/suspicionGate.ts
+++ b/src/crashes/suspicionGate.ts
@@ -52,8 +52,8 @@
   /** Whether the request may run now, without waiting. */
   get isOpen(): boolean {
     if (this._suspicions.isEmpty) return true;
-    const standing = this._runDecision();
-    return standing === 'free' || standing === 'mine';
+    const decision = this._runDecision();
+    return decision === 'free' || decision === 'mine';
   }
 
   /** Whether somebody waits for {@link SuspicionGate.wait}. */
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -98,8 +98,8 @@
 
   /** Requests that are suspected, and those of them that run no more. */
   get counts(): { suspected: number; shutOut: number } {
-    const known = this._copies.all().flatMap(([, { suspicion }]) => suspicion ?? []);
-    return { suspected: known.length, shutOut: known.filter(isShutOut).length };
+    const suspicions = this._copies.all().flatMap(([, { suspicion }]) => suspicion ?? []);
+    return { suspected: suspicions.length, shutOut: suspicions.filter(isShutOut).length };
   }
 
   /** How the same requests as `request` stand, for `request` itself. */
@@ -131,17 +131,17 @@
     const isFull = this._copies.size >= MAX_SUSPICIONS || this._writer.pending >= MAX_PENDING;
     if (isFull && !this._writer.get(fingerprint))
       return log.state('suspicion.not-kept', { fingerprint, server: end.server });
-    const told = this._change(fingerprint, (suspicion) => withServerExit(suspicion, end));
+    const written = this._change(fingerprint, (suspicion) => withServerExit(suspicion, end));
     const ends = this._writer.get(fingerprint)?.ends.length ?? 0;
     this._recordExitCount(fingerprint, ends);
     log.decision('suspicion.end', { fingerprint, ...end, ends });
-    await atMost(told, WRITE_WAIT_MILLISECONDS);
+    await atMost(written, WRITE_WAIT_MILLISECONDS);
   }
 
   /** Asks for the trial of a suspected request; afterwards its standing tells whether it has it. */
   async claim(fingerprint: string, request: string, milliseconds: number): Promise<void> {
     const { box } = this._options;
-    const lapsed = this._expiredTrial(this._copies.get(fingerprint));
+    const expired = this._expiredTrial(this._copies.get(fingerprint));
     const trial = {
       box,
       request,
@@ -150,7 +150,7 @@
     this._claims.add(request);
     const claimed = this._change(
       fingerprint,
-      (suspicion) => suspicion && withTrial(suspicion, trial, lapsed),
+      (suspicion) => suspicion && withTrial(suspicion, trial, expired),
     );
     await atMost(claimed, WRITE_WAIT_MILLISECONDS);
   }
@@ -223,8 +223,8 @@
     const trial = stored.suspicion?.trial;
     if (!trial) return undefined;
     const { box, isLive } = this._options;
-    const isOfFormerLife = trial.box === box && !this._claims.has(trial.request);
-    const isOver = isOfFormerLife || !isLive(trial.box) || this._age(stored) > trial.milliseconds;
+    const isOfPreviousProcess = trial.box === box && !this._claims.has(trial.request);
+    const isOver = isOfPreviousProcess || !isLive(trial.box) || this._age(stored) > trial.milliseconds;
     return isOver ? trial.request : undefined;
   }
 
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -158,15 +158,15 @@
    */
   private _onOlderConflict(fingerprint: string, object: StoredObject | undefined): void {
     const { copies } = this._options;
-    const known = copies.get(fingerprint).suspicion;
-    const isToldAgain = object !== undefined && this._olderConflicts.get(fingerprint) === object.revision;
-    if (!isToldAgain) {
+    const copy = copies.get(fingerprint).suspicion;
+    const isRepeated = object !== undefined && this._olderConflicts.get(fingerprint) === object.revision;
+    if (!isRepeated) {
       if (object) this._olderConflicts.set(fingerprint, object.revision);
       throw new StepError('suspicion.write', 'a conflict with an object that is older than the copy');
     }
     this._olderConflicts.delete(fingerprint);
     copies.replace(fingerprint, object);
-    if (known) this._addFirst(fingerprint, (suspicion) => restoreKnown(suspicion, known));
+    if (copy) this._addFirst(fingerprint, (suspicion) => restoreKnown(suspicion, copy));
   }
 
   private async _call(name: string, revision: number, next: Suspicion | undefined): Promise<WriteAnswer> {
--- a/src/records/kindFollower.ts
+++ b/src/records/kindFollower.ts
@@ -15,9 +15,9 @@
   random: Random;
   log: EventLog;
   /** How long changes are gathered after an urgent one, so that many of them cost one call. */
-  gatherMilliseconds: number;
+  urgentBatchMilliseconds: number;
   /** The same after changes that are not urgent. */
-  gatherMinorMilliseconds: number;
+  minorBatchMilliseconds: number;
 }
 
 const WATCH_WAIT_MILLISECONDS = 20_000;
@@ -27,7 +27,7 @@
 export class KindFollower {
   private readonly _options: KindFollowerOptions;
   private _stopped = new AbortController();
-  private _asking = new AbortController();
+  private _request = new AbortController();
   /** Revision from which to watch; undefined when the kind has to be listed. */
   private _revision: number | undefined;
   private _reachable = false;
@@ -53,7 +53,7 @@
   /** Ends; {@link KindFollower.start} may follow. */
   stop(): void {
     this._stopped.abort();
-    this._asking.abort();
+    this._request.abort();
     this._reachable = false;
   }
 
@@ -61,39 +61,44 @@
   refresh(): void {
     this._revision = undefined;
     this._reachable = false;
-    this._asking.abort();
+    this._request.abort();
   }
 
   private async _follow(stopped: AbortSignal): Promise<void> {
     const backoff = new Backoff(RETRY, this._options.random);
     while (!stopped.aborted) {
-      const asking = new AbortController();
-      this._asking = asking;
+      const request = new AbortController();
+      this._request = request;
       try {
-        const answer = await this._ask(asking.signal);
+        const answer = await this._listOrWatch(request.signal);
         if (stopped.aborted) return;
         this._onAnswer();
         backoff.reset();
-        await pause(this._take(answer), stopped);
+        await pause(this._applyAnswer(answer), stopped);
       } catch (error) {
-        if (stopped.aborted || asking.signal.aborted) continue;
-        this._onSilence(errorText(error));
+        if (stopped.aborted || request.signal.aborted) continue;
+        this._onFailure(errorText(error));
         await pause(backoff.nextWait(), stopped);
       }
     }
   }
 
-  private async _ask(signal: AbortSignal): Promise<KindListing | KindChanges> {
+  private async _listOrWatch(signal: AbortSignal): Promise<KindListing | KindChanges> {
     const { replica, store } = this._options;
     if (this._revision === undefined) return await store.list(replica.kind, signal);
     return await store.watch(replica.kind, this._revision, WATCH_WAIT_MILLISECONDS, signal);
   }
 
   /** Takes an answer; returns how long to gather what follows, in milliseconds. */
-  private _take(answer: KindListing | KindChanges): number {
-    const { replica, log, gatherMilliseconds, gatherMinorMilliseconds } = this._options;
+  private _applyAnswer(answer: KindListing | KindChanges): number {
+    const {
+      replica,
+      log,
+      urgentBatchMilliseconds: gatherMilliseconds,
+      minorBatchMilliseconds: gatherMinorMilliseconds,
+    } = this._options;
     if ('objects' in answer) {
-      this._noteOlder(answer.revision);
+      this._logOlderListing(answer.revision);
       replica.applyListing(answer);
       this._revision = answer.revision;
       return 0;
@@ -109,7 +114,7 @@
   }
 
   /** The replica passes over a listing that is older than it. */
-  private _noteOlder(revision: number): void {
+  private _logOlderListing(revision: number): void {
     const { replica, log } = this._options;
     if (revision >= replica.revision) return;
     const held = revisionFields(replica.revision);
@@ -128,7 +133,7 @@
     log.state('store.reachable', { kind: replica.kind, ...revisionFields(replica.revision) });
   }
 
-  private _onSilence(reason: string): void {
+  private _onFailure(reason: string): void {
     this._revision = undefined;
     if (!this._reachable) return;
     this._reachable = false;
--- a/src/records/recordRelay.ts
+++ b/src/records/recordRelay.ts
@@ -75,19 +75,19 @@
     this._broadcast(true, this._state.stamp(true));
   }
 
-  private _broadcast(toThoseWithChanges: boolean, message: Message): void {
-    const told = [...this._listeners].filter(([, wantsChanges]) => wantsChanges === toThoseWithChanges);
-    if (told.length === 0) return;
+  private _broadcast(toChangeListeners: boolean, message: Message): void {
+    const receivers = [...this._listeners].filter(([, wantsChanges]) => wantsChanges === toChangeListeners);
+    if (receivers.length === 0) return;
     ControlConnection.broadcast(
-      told.map(([connection]) => connection),
+      receivers.map(([connection]) => connection),
       message,
     );
   }
 }
 
 function fullMessage({ kind, revision, stored }: RecordReplica): RecordChanges {
-  const told = stored.map(toWireObject);
-  return { type: 'record-changes', kind, revision, whole: true, objects: told, gone: [] };
+  const wireObjects = stored.map(toWireObject);
+  return { type: 'record-changes', kind, revision, whole: true, objects: wireObjects, gone: [] };
 }
 
 function changesMessage({ kind, revision }: RecordReplica, { changes }: ReplicaChange): RecordChanges {
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -3,7 +3,7 @@
  * may stay in force.
  */
 import { EventEmitter } from 'node:events';
-import type { RetainedRecord, RetainedRecords, StoredBy } from './retainedRecords.js';
+import type { RetainedRecord, RetainedRecords, ObservedVia } from './retainedRecords.js';
 import { generationOf } from './storeRevision.js';
 import type { KindListing, ObjectChange, StoredObject } from './watchableStore.js';
 
@@ -33,7 +33,7 @@
 }
 
 /** Messages of other entries that wait for a copy: each holds all that its sender retains. */
-const MOST_EARLY = 8;
+const MAX_EARLY_MESSAGES = 8;
 
 interface RecordReplicaEvents {
   change: [ReplicaChange];
@@ -77,9 +77,9 @@
 
   /** All objects as the store has them. */
   get stored(): readonly StoredObject[] {
-    const believed = [...this.objects.values()].filter(({ name }) => !this._retained?.has(name));
-    const inPlace = this.retained.flatMap(({ object }) => this._retained?.storedInPlaceOf(object.name) ?? []);
-    return [...believed, ...inPlace];
+    const inForce = [...this.objects.values()].filter(({ name }) => !this._retained?.has(name));
+    const hidden = this.retained.flatMap(({ object }) => this._retained?.storedInsteadOf(object.name) ?? []);
+    return [...inForce, ...hidden];
   }
 
   /** Takes objects that may be seconds old, until there is a copy. */
@@ -99,7 +99,7 @@
     this._revision = revision;
     const cause = isRollback ? 'rollback' : 'store';
     if (weight !== 'none' || isFirst || isRollback) this.emit('change', { cause, whole: true, changes: [] });
-    if (isFirst || isRollback) this._takeEarly();
+    if (isFirst || isRollback) this._adoptEarly();
   }
 
   /** Takes what has changed up to `revision`, in the generation of the copy; returns how much that matters. */
@@ -114,24 +114,24 @@
 
   /** Takes over records that another entry retains, whose copy is as of `revision`. */
   adoptRetained(revision: number, records: readonly RetainedRecord[]): void {
-    const isEarly = this._revision === 0 || generationOf(revision) > generationOf(this._revision);
-    if (isEarly) this._early = [...this._early, { revision, records }].slice(-MOST_EARLY);
-    if (isEarly || !this._isOfThisGeneration(revision)) return;
-    const taken = records.filter((record) =>
+    const isBeforeCopy = this._revision === 0 || generationOf(revision) > generationOf(this._revision);
+    if (isBeforeCopy) this._early = [...this._early, { revision, records }].slice(-MAX_EARLY_MESSAGES);
+    if (isBeforeCopy || !this._isOfThisGeneration(revision)) return;
+    const adopted = records.filter((record) =>
       this._retained?.adopt(record, this._storedOf(record.object.name)),
     );
-    if (taken.length > 0) this._believe(taken.map(({ object, gone }) => ({ object, gone })));
+    if (adopted.length > 0) this._putInForce(adopted.map(({ object, gone }) => ({ object, gone })));
   }
 
-  /** Releases retained records whose time is over ({@link RetainedRecords.releaseLapsed}). */
+  /** Releases retained records whose time is over ({@link RetainedRecords.releaseExpired}). */
   releaseRetained(regainedAt: number, confirmedAt: number): void {
     if (!this._retained || this._retained.size === 0) return;
-    const released = this._retained.releaseLapsed(regainedAt, confirmedAt);
+    const released = this._retained.releaseExpired(regainedAt, confirmedAt);
     const changes = [...released].flatMap(([name, stored]) => {
       const object = stored ?? this.objects.get(name);
       return object ? [{ object, gone: !stored }] : [];
     });
-    if (changes.length > 0) this._believe(changes);
+    if (changes.length > 0) this._putInForce(changes);
   }
 
   /** Notes that the copy is as the store had it at `revision`, with what is used of its changes up to `newestChange`. */
@@ -146,15 +146,15 @@
     const retained = this.retained.map(({ object }) => object);
     const known = new Map([...retained, ...this.objects.values()].map((object) => [object.name, object]));
     const gone = [...known.values()].filter(({ name }) => !stored.has(name));
-    if (isRollback) this._retained?.begin(this.objects, stored, revision);
-    else if (this._revision > 0) this._noteMissing(gone);
+    if (isRollback) this._retained?.onRollback(this.objects, stored, revision);
+    else if (this._revision > 0) this._rememberDeletions(gone);
     return this._apply([
       ...objects.map((object) => ({ object, gone: false })),
       ...gone.map((object) => ({ object, gone: true })),
     ]);
   }
 
-  private _takeEarly(): void {
+  private _adoptEarly(): void {
     const early = this._early;
     this._early = [];
     for (const { revision, records } of early) this.adoptRetained(revision, records);
@@ -165,7 +165,7 @@
   }
 
   private _storedOf(name: string): StoredObject | undefined {
-    return this._retained?.has(name) ? this._retained.storedInPlaceOf(name) : this.objects.get(name);
+    return this._retained?.has(name) ? this._retained.storedInsteadOf(name) : this.objects.get(name);
   }
 
   /** Whether a change is not in the copy yet. Deletions may carry the revision of the change before. */
@@ -175,41 +175,43 @@
   }
 
   /** Objects that a listing lacks have been deleted, unless the store lacked them before. */
-  private _noteMissing(objects: readonly StoredObject[]): void {
+  private _rememberDeletions(objects: readonly StoredObject[]): void {
     const deleted = objects.filter(({ name }) => this._storedOf(name));
-    for (const object of deleted) this._retained?.noteDeleted(object, 'listing');
+    for (const object of deleted) this._retained?.rememberDeletion(object, 'listing');
   }
 
   /** Applies changes of the store as far as they come into force. */
-  private _apply(changes: readonly ObjectChange[], by: StoredBy = 'listing'): ChangeUrgency {
+  private _apply(changes: readonly ObjectChange[], by: ObservedVia = 'listing'): ChangeUrgency {
     let weight: ChangeUrgency = 'none';
     for (const { object, gone } of changes) {
       const { name, revision } = object;
       this._newestChange = Math.max(this._newestChange, revision);
-      if (gone && by === 'change') this._retained?.noteDeleted(this.objects.get(name) ?? object, by);
+      if (gone && by === 'change') this._retained?.rememberDeletion(this.objects.get(name) ?? object, by);
       const wasRetained = this._retained?.has(name) ?? false;
       const storedBefore = this._storedOf(name);
       const stored = gone ? undefined : object;
-      const believed = this._retained ? this._retained.judge(name, stored, by) : stored;
-      weight = moreUrgent(weight, this._set(name, believed));
+      const inForce = this._retained ? this._retained.resolve(name, stored, by) : stored;
+      weight = moreUrgent(weight, this._setInForce(name, inForce));
       // listeners retain and release by themselves: they need what changes in the store behind a retained record
       if (wasRetained) weight = moreUrgent(weight, this._classify(storedBefore, stored));
     }
     return weight;
   }
 
-  private _believe(changes: readonly ObjectChange[]): void {
-    const weights = changes.map(({ object, gone }) => this._set(object.name, gone ? undefined : object));
+  private _putInForce(changes: readonly ObjectChange[]): void {
+    const weights = changes.map(({ object, gone }) =>
+      this._setInForce(object.name, gone ? undefined : object),
+    );
     const isUsed = weights.some((weight) => weight !== 'none');
     if (isUsed) this.emit('change', { cause: 'retained', whole: false, changes: [] });
   }
 
-  private _set(name: string, object: StoredObject | undefined): ChangeUrgency {
+  private _setInForce(name: string, object: StoredObject | undefined): ChangeUrgency {
     const weight = this._classify(this.objects.get(name), object);
     if (!object) this.objects.delete(name);
     else {
       this.objects.set(name, object);
-      this._retained?.noteWritten(name);
+      this._retained?.forgetDeletion(name);
     }
     return weight;
   }
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -34,21 +34,21 @@
 
 const TICK_MILLISECONDS = 100;
 /** Three stamps and the way. */
-const SILENT_MILLISECONDS = 1_000;
+const SILENCE_TIMEOUT_MILLISECONDS = 1_000;
 /** Two probes of the store, the time-out of one, and a stamp: a reader that is well confirms its copies more often. */
-const UNCONFIRMED_MILLISECONDS = 1_300;
+const CONFIRMATION_TIMEOUT_MILLISECONDS = 1_300;
 /** Time that a new source, or this process when it begins to read, has to become current. */
-const OPENING_MILLISECONDS = 1_000;
+const GRACE_MILLISECONDS = 1_000;
 /** The choice to read has to last so long, since entries that start learn of each other one after the other. */
 const SETTLE_MILLISECONDS = 250;
 /** Time after a start in which others may still be starting, so that they are dialled again before they are passed over. */
-const STARTING_MILLISECONDS = 700;
+const STARTUP_MILLISECONDS = 700;
 
 export class RecordSources {
   private readonly _options: RecordSourcesOptions;
   private readonly _links = new Map<string, SourceLink>();
   private readonly _failed: FailedSources;
-  private readonly _lag = new LagDetector();
+  private readonly _lagDetector = new LagDetector();
   private _startedAt = 0;
   private _shouldReadSince: number | undefined;
   private _readingSince = 0;
@@ -64,7 +64,7 @@
   start(): void {
     this._startedAt = this._options.clock.now();
     this._timer = setInterval(() => this._tick(), TICK_MILLISECONDS);
-    void this._takeStaleCopies();
+    void this._loadStaleCopies();
     this._tick();
   }
 
@@ -80,7 +80,7 @@
    * Takes what the store held some seconds ago, so that requests are served and other entries found at once, also where all
    * seeds are gone. The copies are not confirmed by that.
    */
-  private async _takeStaleCopies(): Promise<void> {
+  private async _loadStaleCopies(): Promise<void> {
     const { state, store, log } = this._options;
     await Promise.all(
       state.replicas.map(async (replica) => {
@@ -96,50 +96,51 @@
   }
 
   private _tick(): void {
-    this._noteFailures();
+    this._checkSources();
     const { own, seeds, ranking } = this._options;
     const hasFailed = (address: string): boolean => this._failed.has(address);
     const choice = chooseSources({ own, seeds, ranking: ranking(), hasFailed });
-    this._listenTo(choice.sources);
-    this._readIf(choice);
-    this._choosePrimary(choice.sources);
-    this._lookBehind();
+    this._updateLinks(choice.sources);
+    this._updateReading(choice);
+    this._selectPrimary(choice.sources);
+    this._checkLag();
     this._options.state.releaseRetained();
   }
 
-  private _fail(address: string, reason: string): void {
+  private _markFailed(address: string, reason: string): void {
     this._failed.add(address, reason);
     this._closeLink(address);
   }
 
-  private _noteFailures(): void {
+  private _checkSources(): void {
     for (const [address, link] of this._links) {
-      if (link.silentFor > SILENT_MILLISECONDS) this._fail(address, 'silent');
-      else if (link.stamp?.lost) this._fail(address, 'has lost the store');
-      else if (this._isUnconfirmed(link)) this._fail(address, 'does not reach the store');
+      if (link.silentFor > SILENCE_TIMEOUT_MILLISECONDS) this._markFailed(address, 'silent');
+      else if (link.stamp?.lost) this._markFailed(address, 'has lost the store');
+      else if (this._isUnconfirmed(link)) this._markFailed(address, 'does not reach the store');
     }
-    this._noteOwnFailure();
+    this._checkOwnReading();
   }
 
   /** Tells a loss of the store at once, so that others begin to read before what they rely on is too old. */
-  private _noteOwnFailure(): void {
+  private _checkOwnReading(): void {
     const { reader, own, clock, relay, state } = this._options;
     if (reader.isLost && !this._failed.has(own.address)) {
-      this._fail(own.address, 'has lost the store');
+      this._markFailed(own.address, 'has lost the store');
       state.noteLost();
       relay.sendStamps();
     }
-    if (!reader.isReading || clock.now() - this._readingSince < OPENING_MILLISECONDS) return;
-    if (clock.now() - reader.confirmedAt > UNCONFIRMED_MILLISECONDS) this._fail(own.address, 'own reading');
+    if (!reader.isReading || clock.now() - this._readingSince < GRACE_MILLISECONDS) return;
+    if (clock.now() - reader.confirmedAt > CONFIRMATION_TIMEOUT_MILLISECONDS)
+      this._markFailed(own.address, 'own reading');
   }
 
   private _isUnconfirmed(link: SourceLink): boolean {
     const now = this._options.clock.now();
-    if (!link.stamp || now - link.openedAt < OPENING_MILLISECONDS) return false;
-    return now - freshnessOf(link.stamp, link.stampedAt).confirmedAt > UNCONFIRMED_MILLISECONDS;
+    if (!link.stamp || now - link.openedAt < GRACE_MILLISECONDS) return false;
+    return now - freshnessOf(link.stamp, link.stampedAt).confirmedAt > CONFIRMATION_TIMEOUT_MILLISECONDS;
   }
 
-  private _listenTo(sources: readonly RecordSource[]): void {
+  private _updateLinks(sources: readonly RecordSource[]): void {
     const wanted = new Set(sources.map(({ address }) => address));
     for (const address of [...this._links.keys()]) if (!wanted.has(address)) this._closeLink(address);
     for (const address of wanted) if (!this._links.has(address)) this._openLink(address);
@@ -155,7 +156,7 @@
       onStamp: (stamp) => this._onStamp(address, stamp),
       onChanges: (changes) => this._onChanges(changes),
       onRetained: (records) => state.adoptRetained(records),
-      onLost: (reason) => this._onLost(address, reason),
+      onLost: (reason) => this._onLinkLost(address, reason),
     });
     this._links.set(address, link);
   }
@@ -165,14 +166,14 @@
     this._links.delete(address);
   }
 
-  private _onLost(address: string, reason: string): void {
+  private _onLinkLost(address: string, reason: string): void {
     this._links.delete(address);
-    const isStarting = this._options.clock.now() - this._startedAt < STARTING_MILLISECONDS;
-    if (!isStarting) this._fail(address, reason);
+    const isStarting = this._options.clock.now() - this._startedAt < STARTUP_MILLISECONDS;
+    if (!isStarting) this._markFailed(address, reason);
   }
 
   /** Begins to read when that is wanted for long enough, and ends when others are known to read. */
-  private _readIf({ reads, sources }: SourceChoice): void {
+  private _updateReading({ reads, sources }: SourceChoice): void {
     const { reader, clock } = this._options;
     const now = clock.now();
     this._shouldReadSince = reads ? (this._shouldReadSince ?? now) : undefined;
@@ -191,11 +192,11 @@
     const link = this._links.get(address);
     if (!link?.stamp) return false;
     const { confirmedAt } = freshnessOf(link.stamp, link.stampedAt);
-    return this._options.clock.now() - confirmedAt <= UNCONFIRMED_MILLISECONDS;
+    return this._options.clock.now() - confirmedAt <= CONFIRMATION_TIMEOUT_MILLISECONDS;
   }
 
   /** Takes changes from one source, and from none while the own reading is current. */
-  private _choosePrimary(sources: readonly RecordSource[]): void {
+  private _selectPrimary(sources: readonly RecordSource[]): void {
     const { reader, log } = this._options;
     const isReader = reader.confirmedAt > Number.NEGATIVE_INFINITY;
     const primary = isReader ? '' : (sources[0]?.address ?? '');
@@ -206,13 +207,13 @@
   }
 
   /** Notices that another source knows of changes that the copies lack: whoever brings them is not to be relied upon. */
-  private _lookBehind(): void {
+  private _checkLag(): void {
     const { state, clock, reader } = this._options;
     for (const { kind, revision } of state.replicas) {
       const newest = [...this._links.values()].map((link) => newestOf(kind, link.stamp));
-      if (!this._lag.exceedsLimit(kind, revision, Math.max(0, ...newest), clock.now())) continue;
+      if (!this._lagDetector.exceedsLimit(kind, revision, Math.max(0, ...newest), clock.now())) continue;
       if (reader.confirmedAt > Number.NEGATIVE_INFINITY) reader.refresh();
-      else if (this._primary !== '') this._fail(this._primary, `behind in ${kind}`);
+      else if (this._primary !== '') this._markFailed(this._primary, `behind in ${kind}`);
     }
   }
 
--- a/src/records/recordState.ts
+++ b/src/records/recordState.ts
@@ -13,16 +13,16 @@
 export class RecordState {
   readonly replicas: readonly RecordReplica[];
   private readonly _clock: Clock;
-  private readonly _ownReading: () => Freshness;
+  private readonly _ownFreshness: () => Freshness;
   private _confirmedAt = Number.NEGATIVE_INFINITY;
   private _regainedAt = Number.NEGATIVE_INFINITY;
   private _lostAt = Number.NEGATIVE_INFINITY;
 
   /** `ownReading` tells how current the copies are if this process reads the store itself. */
-  constructor(replicas: readonly RecordReplica[], clock: Clock, ownReading: () => Freshness) {
+  constructor(replicas: readonly RecordReplica[], clock: Clock, ownFreshness: () => Freshness) {
     this.replicas = replicas;
     this._clock = clock;
-    this._ownReading = ownReading;
+    this._ownFreshness = ownFreshness;
   }
 
   /** Milliseconds for which the copies have not been confirmed to be the newest; infinite when they never were. */
@@ -32,13 +32,13 @@
 
   /** Monotonic milliseconds at which the copies were last confirmed; -infinity when they never were. */
   get confirmedAt(): number {
-    this.confirm(this._ownReading());
+    this.confirm(this._ownFreshness());
     return this._confirmedAt;
   }
 
   /** Milliseconds since the store was regained after an outage; infinite when it never was lost. */
   get regainedFor(): number {
-    this.confirm(this._ownReading());
+    this.confirm(this._ownFreshness());
     return this._clock.now() - this._regainedAt;
   }
 
@@ -89,12 +89,12 @@
   /** Takes over records that another entry retains. */
   adoptRetained({ kind, revision, records }: RecordsRetained): void {
     const now = this._clock.now();
-    const taken = records.map(({ object, gone, retainedMilliseconds }) => ({
+    const retained = records.map(({ object, gone, retainedMilliseconds }) => ({
       object: fromWireObject(object),
       gone,
       since: now - retainedMilliseconds,
     }));
-    this.replica(kind)?.adoptRetained(revision, taken);
+    this.replica(kind)?.adoptRetained(revision, retained);
   }
 
   /** `withChanges` says that the receiver has been sent all changes. */
--- a/src/records/retainedRecords.ts
+++ b/src/records/retainedRecords.ts
@@ -27,25 +27,25 @@
 }
 
 /** How an object came: in a listing of all, or as a change that was just written. */
-export type StoredBy = 'listing' | 'change';
+export type ObservedVia = 'listing' | 'change';
 
 /** What retained records work with. */
 export interface RetainedRecordsOptions {
   kind: string;
   policy: RollbackPolicy;
   /** Whether objects may be missing only because they could not be renewed during an outage. */
-  mayHaveLapsed: () => boolean;
+  mayHaveExpired: () => boolean;
   clock: Clock;
   log: EventLog;
 }
 
 /** Deleted objects that are remembered, so that a rollback does not bring them back. */
-const MOST_DELETED = 2_000;
+const MAX_DELETED = 2_000;
 
 export class RetainedRecords {
   private readonly _options: RetainedRecordsOptions;
   private readonly _retentions = new Map<string, Retention>();
-  private readonly _deleted = new LRUCache<string, StoredObject>({ max: MOST_DELETED });
+  private readonly _deleted = new LRUCache<string, StoredObject>({ max: MAX_DELETED });
 
   constructor(options: RetainedRecordsOptions) {
     this._options = options;
@@ -60,7 +60,7 @@
   }
 
   /** What the store has in place of a retained record; undefined where it has nothing, or nothing is retained. */
-  storedInPlaceOf(name: string): StoredObject | undefined {
+  storedInsteadOf(name: string): StoredObject | undefined {
     return this._retentions.get(name)?.stored;
   }
 
@@ -69,13 +69,13 @@
   }
 
   /** Notes that an object was deleted. One that a listing lacks after an outage may only have lapsed meanwhile. */
-  noteDeleted(last: StoredObject, by: StoredBy): void {
-    const mayHaveLapsed = by === 'listing' && this._options.mayHaveLapsed();
+  rememberDeletion(last: StoredObject, by: ObservedVia): void {
+    const mayHaveLapsed = by === 'listing' && this._options.mayHaveExpired();
     if (!mayHaveLapsed) this._deleted.set(last.name, last);
   }
 
   /** Notes that an object exists. */
-  noteWritten(name: string): void {
+  forgetDeletion(name: string): void {
     this._deleted.delete(name);
   }
 
@@ -83,7 +83,7 @@
    * Compares the objects of `before` the rollback with those `stored` at `revision` after it. Retained records take that revision: they
    * are later than the snapshot, and earlier than what is written next.
    */
-  begin(
+  onRollback(
     before: ReadonlyMap<string, StoredObject>,
     stored: ReadonlyMap<string, StoredObject>,
     revision: number,
@@ -91,9 +91,12 @@
     this._retentions.clear();
     const since = this._options.clock.now();
     for (const object of before.values())
-      this._compare({ object: { ...object, revision }, gone: false, since }, stored.get(object.name));
+      this._retainIfDifferent(
+        { object: { ...object, revision }, gone: false, since },
+        stored.get(object.name),
+      );
     for (const object of this._deleted.values())
-      this._compare({ object, gone: true, since }, stored.get(object.name));
+      this._retainIfDifferent({ object, gone: true, since }, stored.get(object.name));
     const { kind, log } = this._options;
     log.state('records.rolled-back', { kind, ...revisionFields(revision), retained: this._retentions.size });
   }
@@ -102,9 +105,9 @@
   adopt(record: RetainedRecord, stored: StoredObject | undefined): boolean {
     const { name } = record.object;
     const known = this._retentions.get(name);
-    const isNewer = known ? !known.gone && this._outweighs(record, known.object) : !this._deleted.has(name);
+    const isNewer = known ? !known.gone && this._supersedes(record, known.object) : !this._deleted.has(name);
     if (!isNewer) return false;
-    const milliseconds = this._timeOf(record, stored);
+    const milliseconds = this._retentionMilliseconds(record, stored);
     const isOver = this._options.clock.now() - record.since >= milliseconds;
     if (isOver) return false;
     if (record.gone) this._deleted.set(name, record.object);
@@ -113,7 +116,7 @@
   }
 
   /** The object in force where the store has `stored` now. */
-  judge(name: string, stored: StoredObject | undefined, by: StoredBy): StoredObject | undefined {
+  resolve(name: string, stored: StoredObject | undefined, by: ObservedVia): StoredObject | undefined {
     const retention = this._retentions.get(name);
     if (!retention) return stored;
     if (this._isConfirmed(retention, stored, by)) {
@@ -128,7 +131,7 @@
    * Releases records whose time is over. It runs while the store answers: since it was regained at `regainedAt`, up to `confirmedAt`, both
    * in monotonic milliseconds. Returns what the store has in place of each.
    */
-  releaseLapsed(regainedAt: number, confirmedAt: number): ReadonlyMap<string, StoredObject | undefined> {
+  releaseExpired(regainedAt: number, confirmedAt: number): ReadonlyMap<string, StoredObject | undefined> {
     const released = new Map<string, StoredObject | undefined>();
     for (const [name, { since, milliseconds, stored }] of this._retentions) {
       if (confirmedAt - Math.max(since, regainedAt) < milliseconds) continue;
@@ -139,8 +142,8 @@
   }
 
   /** Retains a record for as long as the policy says, if at all. */
-  private _compare(record: RetainedRecord, stored: StoredObject | undefined): void {
-    const milliseconds = this._timeOf(record, stored);
+  private _retainIfDifferent(record: RetainedRecord, stored: StoredObject | undefined): void {
+    const milliseconds = this._retentionMilliseconds(record, stored);
     if (milliseconds > 0) this._retain(record, stored, milliseconds);
   }
 
@@ -159,22 +162,22 @@
     });
   }
 
-  private _timeOf({ object, gone }: RetainedRecord, stored: StoredObject | undefined): number {
+  private _retentionMilliseconds({ object, gone }: RetainedRecord, stored: StoredObject | undefined): number {
     const { policy } = this._options;
     if (gone) return stored ? policy.deleted(object, stored) : 0;
     if (!stored) return policy.missing(object);
     return isDeepStrictEqual(object.value, stored.value) ? 0 : policy.replaced(object, stored);
   }
 
-  private _outweighs(record: RetainedRecord, known: StoredObject): boolean {
+  private _supersedes(record: RetainedRecord, known: StoredObject): boolean {
     return !record.gone && this._options.policy.replaced(record.object, known) > 0;
   }
 
   /** Whether the store has written the retained record again, or a later one. */
-  private _isConfirmed(retention: Retention, stored: StoredObject | undefined, by: StoredBy): boolean {
+  private _isConfirmed(retention: Retention, stored: StoredObject | undefined, by: ObservedVia): boolean {
     const isWritten = by === 'change' || stored?.revision !== retention.stored?.revision;
     if (!isWritten) return false;
-    return retention.gone || !stored || this._timeOf(retention, stored) === 0;
+    return retention.gone || !stored || this._retentionMilliseconds(retention, stored) === 0;
   }
 
   private _release(name: string, reason: string): void {
--- a/src/records/sourceChoice.ts
+++ b/src/records/sourceChoice.ts
@@ -8,7 +8,7 @@
 }
 
 /** What a choice depends on. */
-export interface SourceSituation {
+export interface SourceChoiceInput {
   own: RecordSource;
   /** Live entries in an order that all of them work out alike. */
   ranking: readonly RecordSource[];
@@ -30,14 +30,14 @@
  * Entries that read the store, of however many there are: calls to the store have their price. With one reader, all copies
  * would be as old as that one takes them to be; with two, each entry notices when either falls behind.
  */
-export const READERS = 2;
+export const READER_COUNT = 2;
 
 /** The first few that have not failed are read from; one that is among them reads the store. */
-export function chooseSources(situation: SourceSituation): SourceChoice {
+export function chooseSources(situation: SourceChoiceInput): SourceChoice {
   const { own, hasFailed } = situation;
   const candidates = candidatesOf(situation);
   const working = candidates.filter(({ address }) => !hasFailed(address));
-  const chosen = working.slice(0, READERS);
+  const chosen = working.slice(0, READER_COUNT);
   const sources = chosen.filter(({ address }) => address !== own.address);
   // when all have failed, the store is silent for all: each looks for itself whether it is back
   const reads = chosen.length === 0 || sources.length < chosen.length;
@@ -45,8 +45,8 @@
 }
 
 /** Seeds stand in for the ranking while this process knows of no other; they may be gone, so that it comes last itself. */
-function candidatesOf({ own, ranking, seeds }: SourceSituation): readonly RecordSource[] {
+function candidatesOf({ own, ranking, seeds }: SourceChoiceInput): readonly RecordSource[] {
   if (ranking.some(({ address }) => address !== own.address)) return ranking;
-  const named = seeds.map((address) => (address === own.address ? own : { box: address, address }));
-  return named.includes(own) ? named : [...named, own];
+  const fromSettings = seeds.map((address) => (address === own.address ? own : { box: address, address }));
+  return fromSettings.includes(own) ? fromSettings : [...fromSettings, own];
 }
--- a/src/records/storeProbe.ts
+++ b/src/records/storeProbe.ts
@@ -68,12 +68,12 @@
 
   private async _run(stopped: AbortSignal): Promise<void> {
     while (!stopped.aborted) {
-      const askedAt = this._options.clock.now();
+      const sentAt = this._options.clock.now();
       try {
         const generation = await this._options.store.probe(TIMEOUT_MILLISECONDS, stopped);
-        if (!stopped.aborted) this._onAnswer(askedAt, generation);
+        if (!stopped.aborted) this._onAnswer(sentAt, generation);
       } catch (error) {
-        if (!stopped.aborted) this._onSilence(errorText(error));
+        if (!stopped.aborted) this._onFailure(errorText(error));
       }
       await pause(this._isLost ? LOST_INTERVAL_MILLISECONDS : INTERVAL_MILLISECONDS, stopped);
     }
@@ -81,7 +81,7 @@
 
   private _onAnswer(askedAt: number, generation: number): void {
     this._answeredAt = askedAt;
-    this._noteGeneration(generation);
+    this._updateGeneration(generation);
     if (this._isLost) {
       this._isLost = false;
       this._regainedAt = this._options.clock.now();
@@ -90,7 +90,7 @@
     this.emit('answered');
   }
 
-  private _noteGeneration(generation: number): void {
+  private _updateGeneration(generation: number): void {
     const former = this._generation;
     this._generation = generation;
     if (former === undefined || former === generation) return;
@@ -98,7 +98,7 @@
     this.emit('rollback');
   }
 
-  private _onSilence(reason: string): void {
+  private _onFailure(reason: string): void {
     if (this._isLost) return;
     this._isLost = true;
     this._options.log.state('store.lost', { reason });
--- a/src/records/wireObject.ts
+++ b/src/records/wireObject.ts
@@ -6,14 +6,14 @@
 export type WireObject = RecordChanges['objects'][number];
 
 /** Texts of the values of objects, written once for all that ask. */
-const jsonByObject = new WeakMap<StoredObject, string>();
+const jsonTexts = new WeakMap<StoredObject, string>();
 
 /** An object as it is passed on. */
 export function toWireObject(object: StoredObject): WireObject {
   const { name, revision, value } = object;
   if (value === undefined) return { name, revision };
-  const json = jsonByObject.get(object) ?? JSON.stringify(value);
-  jsonByObject.set(object, json);
+  const json = jsonTexts.get(object) ?? JSON.stringify(value);
+  jsonTexts.set(object, json);
   return { name, revision, json };
 }
 
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -66,7 +66,7 @@
       new RecordReplica(
         kind,
         weigh,
-        new RetainedRecords({ kind, policy, mayHaveLapsed: () => this.isEchoing, clock, log }),
+        new RetainedRecords({ kind, policy, mayHaveExpired: () => this.isEchoing, clock, log }),
       );
     this.configuration = replicaOf(
       reader.kinds.configuration,
@@ -169,8 +169,8 @@
       store: platform.store,
       random,
       log,
-      gatherMilliseconds,
-      gatherMinorMilliseconds,
+      urgentBatchMilliseconds: gatherMilliseconds,
+      minorBatchMilliseconds: gatherMinorMilliseconds,
     });
   }
 
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -8,7 +8,7 @@
 import { LONGEST_GATHER_MILLISECONDS } from '../src/staging/connectedEntries.js';
 import { PEER_TIMEOUT_MILLISECONDS, asking } from './fixtures/askingDirectory.js';
 import { DirectoryFixture } from './fixtures/directoryFixture.js';
-import { HoldingRelay } from './fixtures/holdingRelay.js';
+import { StallingProxy } from './fixtures/stallingProxy.js';
 import { until } from './fixtures/until.js';
 
 let fixture: DirectoryFixture;
@@ -71,13 +71,13 @@
   const short = new DirectoryFixture(1_000);
   const [own, silent, live] = ['a', 'b', 'c'].map((box) => short.addEntry(box));
   const agents = await short.addAgents(4);
-  const relays = agents.map(({ address }) => new HoldingRelay(address));
+  const relays = agents.map(({ address }) => new StallingProxy(address));
   const ways = await Promise.all(relays.map(async (relay) => await relay.listen()));
   try {
     for (const each of [own, live]) each.select(agents);
     silent.select(agents.map((agent, index) => ({ ...agent, address: ways[index] })));
     await until(() => own.names('b') && own.names('c') && silent.links.connected === agents.length);
-    for (const relay of relays) relay.hold();
+    for (const relay of relays) relay.stall();
     await until(() => !own.names('b') && own.names('c'));
   } finally {
     short.stop();
--- a/tests/foreignRecords.spec.ts
+++ b/tests/foreignRecords.spec.ts
@@ -142,7 +142,7 @@
   });
   const gateway = new GatewayDaemon(settings, {
     platform: {
-      store: new PlatformStore(storeAddress, (kind, reason) => unreadable.noteNameless(kind, reason)),
+      store: new PlatformStore(storeAddress, (kind, reason) => unreadable.reportNameless(kind, reason)),
       reader,
       unreadable,
     },
--- a/tests/originConnections.spec.ts
+++ b/tests/originConnections.spec.ts
@@ -11,7 +11,7 @@
 import { expect } from 'earl';
 import { PlatformOrigin } from '../platform/runner.js';
 import { PlatformOriginStandin } from '../standins/platformOriginStandin.js';
-import { HoldingRelay } from './fixtures/holdingRelay.js';
+import { StallingProxy } from './fixtures/stallingProxy.js';
 
 const SHAPE = { model: 'm0', chunks: 4, chunkBytes: 8_192 };
 const BOXES = 9;
@@ -23,7 +23,7 @@
 
 let standin: PlatformOriginStandin;
 let address: string;
-let relays: HoldingRelay[];
+let relays: StallingProxy[];
 
 beforeEach(async () => {
   relays = [];
@@ -39,14 +39,14 @@
 
 /** A box's way to the origin, and its client. */
 interface Box {
-  relay: HoldingRelay;
+  relay: StallingProxy;
   origin: PlatformOrigin;
 }
 
 async function boot(): Promise<Box[]> {
   return await Promise.all(
     Array.from({ length: BOXES }, async () => {
-      const relay = new HoldingRelay(address);
+      const relay = new StallingProxy(address);
       relays.push(relay);
       return { relay, origin: new PlatformOrigin(await relay.listen()) };
     }),
@@ -68,7 +68,7 @@
   for (let loss = 0; loss < LOSSES; loss++) {
     const boxes = await boot();
     await Promise.all(boxes.map(async (box) => await draw(box)));
-    for (const { relay } of boxes) relay.hold();
+    for (const { relay } of boxes) relay.stall();
   }
   const last = await boot();
   const manifests = await Promise.allSettled(
--- a/tests/platformStore.spec.ts
+++ b/tests/platformStore.spec.ts
@@ -31,8 +31,8 @@
     store,
     random: new SeededRandom(1),
     log,
-    gatherMilliseconds: 20,
-    gatherMinorMilliseconds: 20,
+    urgentBatchMilliseconds: 20,
+    minorBatchMilliseconds: 20,
   });
 });
 
--- a/tests/recordSources.spec.ts
+++ b/tests/recordSources.spec.ts
@@ -3,7 +3,7 @@
 import { afterEach, beforeEach, test } from 'node:test';
 import { isDeepStrictEqual } from 'node:util';
 import { expect } from 'earl';
-import { READERS } from '../src/records/sourceChoice.js';
+import { READER_COUNT } from '../src/records/sourceChoice.js';
 import { PlatformStore } from '../platform/store.js';
 import { PlatformStoreStandin } from '../standins/platformStoreStandin.js';
 import { freePort } from './fixtures/freePort.js';
@@ -11,7 +11,7 @@
 import { until } from './fixtures/until.js';
 
 /** Each reader watches four kinds. */
-const WATCHES = READERS * 4;
+const WATCHES = READER_COUNT * 4;
 
 let standin: PlatformStoreStandin;
 let store: PlatformStore;
@@ -36,7 +36,7 @@
   await Promise.all(entries.map(async (entry, index) => await entry.start(ports[index])));
   await until(() => entries.every((entry) => entry.held === 1 && entry.followers.isCurrent));
   // the others are current as soon as one reads; the second one may begin a tick later
-  await until(() => entries.slice(0, READERS).every((entry) => entry.followers.isReading));
+  await until(() => entries.slice(0, READER_COUNT).every((entry) => entry.followers.isReading));
 }
 
 function strongCalls(): string[] {
@@ -77,7 +77,7 @@
 
 test('should notice a reader whose watches hang, by what the other one has', async () => {
   await startEntries(4);
-  entries[0].store.deaf = true;
+  entries[0].store.watchesHang = true;
   standin.put('config', 'main', 2);
   await until(() => entries.every((entry) => entry.held === 2));
   await until(() => entries.every((entry) => entry.followers.isCurrent));
--- a/tests/retainedRecords.spec.ts
+++ b/tests/retainedRecords.spec.ts
@@ -10,18 +10,18 @@
 
 const RETAINED = 1_000;
 let clock: ManualClock;
-let mayHaveLapsed: boolean;
+let mayHaveExpired: boolean;
 let replica: RecordReplica;
 
 function replicaOf(): RecordReplica {
   const policy = { replaced: () => RETAINED, missing: () => RETAINED, deleted: () => RETAINED };
-  const options = { kind: 'servers', policy, mayHaveLapsed: () => mayHaveLapsed, clock, log: quietLog() };
+  const options = { kind: 'servers', policy, mayHaveExpired: () => mayHaveExpired, clock, log: quietLog() };
   return new RecordReplica('servers', undefined, new RetainedRecords(options));
 }
 
 beforeEach(() => {
   clock = new ManualClock();
-  mayHaveLapsed = false;
+  mayHaveExpired = false;
   replica = replicaOf();
 });
 
@@ -98,9 +98,9 @@
 
 test('should not take for gone what a listing lacks after an outage', () => {
   replica.applyListing(listing(at(0, 5), object('b', at(0, 2))));
-  mayHaveLapsed = true;
+  mayHaveExpired = true;
   replica.applyListing(listing(at(0, 6)));
-  mayHaveLapsed = false;
+  mayHaveExpired = false;
   replica.applyListing(listing(at(1, 3), object('b', at(1, 2))));
   expect(names()).toEqual(['b']);
 });
--- a/tests/serverExitChecker.spec.ts
+++ b/tests/serverExitChecker.spec.ts
@@ -6,14 +6,14 @@
 import { EventLog } from '../src/telemetry/eventLog.js';
 import { freePort } from './fixtures/freePort.js';
 
-function notedEnds(): { ends: ServerExitChecker; lines: string[] } {
+function checkerWithLog(): { ends: ServerExitChecker; lines: string[] } {
   const lines: string[] = [];
   const log = new EventLog({ write: (line) => void lines.push(line) }, 'decision');
   return { ends: new ServerExitChecker(log), lines };
 }
 
 test('should hold a server for ended at whose address nobody listens, and ask once for all', async () => {
-  const { ends, lines } = notedEnds();
+  const { ends, lines } = checkerWithLog();
   const server = { id: 'a', address: `127.0.0.1:${await freePort()}`, startedAt: 0 };
   expect(await Promise.all([ends.hasExited(server), ends.hasExited(server)])).toEqual([true, true]);
   expect(lines.length).toEqual(1);
@@ -28,7 +28,7 @@
     const listener = net.createServer(onConnection);
     await new Promise<void>((resolve) => listener.listen(0, '127.0.0.1', resolve));
     const { port } = listener.address() as net.AddressInfo;
-    const { ends } = notedEnds();
+    const { ends } = checkerWithLog();
     expect(await ends.hasExited({ id: 'a', address: `127.0.0.1:${port}`, startedAt: 0 })).toEqual(false);
     listener.close();
   }
--- a/tests/sourceChoice.spec.ts
+++ b/tests/sourceChoice.spec.ts
@@ -1,7 +1,7 @@
 /** From whom an entry takes its copies, and whether it reads the store itself. */
 import { test } from 'node:test';
 import { expect } from 'earl';
-import type { RecordSource, SourceSituation } from '../src/records/sourceChoice.js';
+import type { RecordSource, SourceChoiceInput } from '../src/records/sourceChoice.js';
 import { chooseSources } from '../src/records/sourceChoice.js';
 
 function source(box: string): RecordSource {
@@ -10,7 +10,11 @@
 
 const RANKING = ['a', 'b', 'c', 'd', 'e'].map(source);
 
-function choice(own: string, failed: readonly string[] = [], changes: Partial<SourceSituation> = {}): string {
+function choice(
+  own: string,
+  failed: readonly string[] = [],
+  changes: Partial<SourceChoiceInput> = {},
+): string {
   const { reads, sources } = chooseSources({
     own: RANKING.find(({ box }) => box === own) ?? source(own),
     ranking: RANKING,
--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -27,87 +27,87 @@
   return fixture.entry(box);
 }
 
-async function tell(): Promise<void> {
-  await fixture.tell();
+async function syncAndRest(): Promise<void> {
+  await fixture.syncAndRest();
 }
 
 function held(): Suspicion | undefined {
   return fixture.held;
 }
 
-function turn(suspicions: SuspicionTracker, id: string): SuspicionGate {
-  return fixture.turn(suspicions, id);
+function gate(tracker: SuspicionTracker, id: string): SuspicionGate {
+  return fixture.gate(tracker, id);
 }
 
-function suspect(suspicions: SuspicionTracker, ...servers: [string, string]): void {
-  fixture.suspect(suspicions, ...servers);
+function reportTwoExits(tracker: SuspicionTracker, ...servers: [string, string]): void {
+  fixture.reportTwoExits(tracker, ...servers);
 }
 
 const END = { server: 's-1', trial: '' };
 
 test('should run a suspected request once at a time over all entries', async () => {
   const [a, b] = [entry('a'), entry('b')];
-  suspect(a, 's-1', 's-2');
-  const first = turn(a, 'r');
+  reportTwoExits(a, 's-1', 's-2');
+  const first = gate(a, 'r');
   expect(await first.wait()).toEqual('granted');
-  await tell();
+  await syncAndRest();
   expect([a.runDecision('f', first.id), b.runDecision('f', 'other')]).toEqual(['mine', 'held']);
 });
 
 test('should write an end and the trial that follows it at once', async () => {
   const a = entry('a');
-  suspect(a, 's-1', 's-2');
-  await turn(a, 'r').wait();
+  reportTwoExits(a, 's-1', 's-2');
+  await gate(a, 'r').wait();
   const { revision } = await store.list(KIND);
   expect(revision).toEqual(2);
 });
 
 test('should give a trial to one of two entries that ask before they hear of each other', async () => {
   const [a, b] = [entry('a'), entry('b')];
-  suspect(a, 's-1', 's-2');
-  suspect(b, 's-3', 's-4');
-  const [first, second] = [turn(a, 'r'), turn(b, 'q')];
+  reportTwoExits(a, 's-1', 's-2');
+  reportTwoExits(b, 's-3', 's-4');
+  const [first, second] = [gate(a, 'r'), gate(b, 'q')];
   const waiting = second.wait();
   expect(await first.wait()).toEqual('granted');
   await until(() => a.runDecision('f', first.id) === 'mine' && b.runDecision('f', second.id) === 'held');
   expect(held()?.ends.length).toEqual(4);
   first.noteSuccess();
   await until(() => held() === undefined);
-  await tell();
+  await syncAndRest();
   expect(await waiting).toEqual('granted');
 });
 
 test('should clear a request that ends well anywhere, and let those go on that wait', async () => {
   const [a, b] = [entry('a'), entry('b')];
-  suspect(a, 's-1', 's-2');
-  await turn(a, 'r').wait();
-  await tell();
-  const waiting = turn(b, 'q').wait();
-  turn(b, 'earlier').noteSuccess();
+  reportTwoExits(a, 's-1', 's-2');
+  await gate(a, 'r').wait();
+  await syncAndRest();
+  const waiting = gate(b, 'q').wait();
+  gate(b, 'earlier').noteSuccess();
   expect(await waiting).toEqual('granted');
   await until(() => held() === undefined);
-  await tell();
+  await syncAndRest();
   expect([a.isEmpty, b.isEmpty]).toEqual([true, true]);
 });
 
 test('should reject the copies that wait once the trial has shut the request out', async () => {
   const [a, b] = [entry('a'), entry('b')];
-  suspect(a, 's-1', 's-2');
-  const first = turn(a, 'r');
+  reportTwoExits(a, 's-1', 's-2');
+  const first = gate(a, 'r');
   await first.wait();
-  await tell();
-  const waiting = turn(b, 'q').wait();
+  await syncAndRest();
+  const waiting = gate(b, 'q').wait();
   void a.noteServerExit('f', { server: 's-3', trial: first.id });
   await until(() => held()?.ends.length === 3);
-  await tell();
+  await syncAndRest();
   expect(await waiting).toEqual('ends servers');
   expect(a.runDecision('f', first.id)).toEqual('shut-out');
 });
 
 test('should lose no end when two entries write at the same moment', async () => {
   const [a, b] = [entry('a'), entry('b')];
-  suspect(a, 's-1', 's-2');
-  suspect(b, 's-3', 's-4');
+  reportTwoExits(a, 's-1', 's-2');
+  reportTwoExits(b, 's-3', 's-4');
   await until(() => !(a.isEmpty || b.isEmpty));
   await until(() => held()?.ends.length === 4);
 });
@@ -116,12 +116,12 @@
   const a = entry('a');
   store.refusesWrites = true;
   void a.noteServerExit('f', END);
-  const first = turn(a, 'r');
+  const first = gate(a, 'r');
   expect(await first.wait()).toEqual('granted');
   void a.noteServerExit('f', { server: 's-2', trial: first.id });
   first.release();
   clock.advance(REST);
-  const second = turn(a, 'q');
+  const second = gate(a, 'q');
   expect(await second.wait()).toEqual('granted');
   void a.noteServerExit('f', { server: 's-3', trial: second.id });
   expect(a.runDecision('f', 'p')).toEqual('shut-out');
@@ -131,30 +131,30 @@
 
 test('should end the trial of an entry that has ended, or has started again', async () => {
   const [a, b] = [entry('a'), entry('b')];
-  suspect(a, 's-1', 's-2');
-  await turn(a, 'r').wait();
-  await tell();
+  reportTwoExits(a, 's-1', 's-2');
+  await gate(a, 'r').wait();
+  await syncAndRest();
   expect(b.runDecision('f', 'q')).toEqual('held');
   live.delete('a');
   expect(b.runDecision('f', 'q')).toEqual('open');
   const again = entry('a');
-  await tell();
+  await syncAndRest();
   expect(again.runDecision('f', 'q')).toEqual('open');
 });
 
 test('should end a trial that lasts too long', async () => {
   const [a, b] = [entry('a'), entry('b')];
-  suspect(a, 's-1', 's-2');
-  await turn(a, 'r').wait();
-  await tell();
+  reportTwoExits(a, 's-1', 's-2');
+  await gate(a, 'r').wait();
+  await syncAndRest();
   clock.advance(3_001);
   expect(b.runDecision('f', 'q')).toEqual('open');
 });
 
 test('should free the trial of a request that is over', async () => {
   const a = entry('a');
-  suspect(a, 's-1', 's-2');
-  const first = turn(a, 'r');
+  reportTwoExits(a, 's-1', 's-2');
+  const first = gate(a, 'r');
   await first.wait();
   expect(a.runDecision('f', 'q')).toEqual('held');
   first.release();
@@ -163,8 +163,8 @@
 
 test('should not ask for a trial for a caller who has left', async () => {
   const a = entry('a');
-  suspect(a, 's-1', 's-2');
-  const [first, second] = [turn(a, 'r'), turn(a, 'q')];
+  reportTwoExits(a, 's-1', 's-2');
+  const [first, second] = [gate(a, 'r'), gate(a, 'q')];
   await first.wait();
   const waiting = second.wait();
   second.release();
@@ -177,9 +177,9 @@
   const a = entry('a');
   for (const server of ['s-1', 's-2', 's-3']) void a.noteServerExit('f', { server, trial: 'r' });
   await until(() => a.counts.shutOut === 1);
-  expect(await turn(a, 'q').wait()).toEqual('ends servers');
+  expect(await gate(a, 'q').wait()).toEqual('ends servers');
   clock.advance(600_000);
-  const later = turn(a, 'p');
+  const later = gate(a, 'p');
   expect(await later.wait()).toEqual('granted');
   expect(a.runDecision('f', 'other')).toEqual('held');
   void a.noteServerExit('f', { server: 's-4', trial: later.id });
@@ -188,8 +188,8 @@
 
 test('should tell requests apart that use one id', async () => {
   const a = entry('a');
-  suspect(a, 's-1', 's-2');
-  const [first, second] = [turn(a, ''), turn(a, '')];
+  reportTwoExits(a, 's-1', 's-2');
+  const [first, second] = [gate(a, ''), gate(a, '')];
   await first.wait();
   expect(a.runDecision('f', second.id)).toEqual('held');
 });
@@ -205,7 +205,7 @@
   const a = entry('a');
   const { revision } = await store.list(KIND);
   void a.noteServerExit('f', END);
-  const next = turn(a, 'r');
+  const next = gate(a, 'r');
   expect(await next.wait()).toEqual('granted');
   expect(a.runDecision('f', 'other')).toEqual('held');
   next.noteSuccess();
@@ -217,7 +217,7 @@
 test('should tell all of a first end once the request is over without a good one', async () => {
   const a = entry('a');
   void a.noteServerExit('f', END);
-  const next = turn(a, 'r');
+  const next = gate(a, 'r');
   await next.wait();
   next.release();
   await until(() => held() !== undefined);
@@ -267,7 +267,7 @@
 test('should let a request ask for a second trial after its first one has failed', async () => {
   const a = entry('a');
   void a.noteServerExit('f', END);
-  const first = turn(a, 'r');
+  const first = gate(a, 'r');
   await first.wait();
   const former = first.id;
   void a.noteServerExit('f', { server: 's-2', trial: former });
@@ -280,8 +280,8 @@
 test('should not call a request shut out that waits for its turn until its time is over', async () => {
   const a = entry('a');
   void a.noteServerExit('f', END);
-  await turn(a, 'r').wait();
-  const waiting = turn(a, 'q').wait();
+  await gate(a, 'r').wait();
+  const waiting = gate(a, 'q').wait();
   clock.advance(DEADLINE);
   a.endTrial('f', 'another');
   expect(await waiting).toEqual('time');
