--- a/src/crashes/runDecision.ts
+++ b/src/crashes/runDecision.ts
@@ -45,19 +45,20 @@
   const {
     suspicion,
     request,
-    ownsTrial: isMine,
-    isTrialExpired: isLapsed,
-    millisecondsSinceLastExit: sinceEnd,
-    isExplainedByOthers: isExplained,
+    ownsTrial: ownsTrial,
+    isTrialExpired: isTrialExpired,
+    millisecondsSinceLastExit: millisecondsSinceLastExit,
+    isExplainedByOthers: isExplainedByOthers,
   } = facts;
   if (!suspicion) return 'run';
-  const isRunningTrial = isMine && !hasFailedTrial(suspicion, request);
+  const isRunningTrial = ownsTrial && !hasFailedTrial(suspicion, request);
   if (isRunningTrial) return 'run-as-trial';
   if (isShutOut(suspicion)) {
-    const blockedFor = isExplained ? EXPLAINED_MILLISECONDS : SHUT_OUT_MILLISECONDS;
-    if (sinceEnd < blockedFor) return 'shut-out';
+    const blockedFor = isExplainedByOthers ? EXPLAINED_MILLISECONDS : SHUT_OUT_MILLISECONDS;
+    if (millisecondsSinceLastExit < blockedFor) return 'shut-out';
   }
-  const isPausing = suspicion.ends.length >= EXITS_BEFORE_PAUSE && sinceEnd < PAUSE_MILLISECONDS;
-  const isTrialTaken = suspicion.trial !== undefined && !isMine && !isLapsed;
+  const isPausing =
+    suspicion.ends.length >= EXITS_BEFORE_PAUSE && millisecondsSinceLastExit < PAUSE_MILLISECONDS;
+  const isTrialTaken = suspicion.trial !== undefined && !ownsTrial && !isTrialExpired;
   return isPausing || isTrialTaken ? 'held' : 'claim-trial';
 }
--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -44,12 +44,12 @@
  * Adds a server exit. Each server counts once, however many entries report it and however many copies of the
  * request it ran. The report of a trial replaces one without a trial.
  */
-export function withServerExit(suspicion: Suspicion | undefined, end: ServerExit): Suspicion {
+export function withServerExit(suspicion: Suspicion | undefined, exit: ServerExit): Suspicion {
   const ends = suspicion?.ends ?? [];
-  const known = ends.find(({ server }) => server === end.server);
-  if (known && (known.trial !== '' || end.trial === '')) return { ...suspicion, ends };
+  const known = ends.find(({ server }) => server === exit.server);
+  if (known && (known.trial !== '' || exit.trial === '')) return { ...suspicion, ends };
   const others = ends.filter((other) => other !== known);
-  return { ...suspicion, ends: [...others, end].slice(-MAX_EXITS) };
+  return { ...suspicion, ends: [...others, exit].slice(-MAX_EXITS) };
 }
 
 /** Whether a server exited during the trial `request`. */
--- a/src/crashes/suspicionGate.ts
+++ b/src/crashes/suspicionGate.ts
@@ -34,7 +34,7 @@
 let gatesCreated = 0;
 
 export class SuspicionGate {
-  private readonly _suspicions: SuspicionTracker;
+  private readonly _tracker: SuspicionTracker;
   private readonly _request: GatedRequest;
   private readonly _clock: Clock;
   private readonly _name: string;
@@ -46,8 +46,8 @@
   private _hasState = false;
   private _isReleased = false;
 
-  constructor(suspicions: SuspicionTracker, request: GatedRequest, clock: Clock) {
-    this._suspicions = suspicions;
+  constructor(tracker: SuspicionTracker, request: GatedRequest, clock: Clock) {
+    this._tracker = tracker;
     this._request = request;
     this._clock = clock;
     this._name = `${request.exchange.requestId.slice(0, MAX_ID_LENGTH)}/${gatesCreated++}`;
@@ -60,7 +60,7 @@
 
   /** Whether the request may run now, without waiting. */
   get isOpen(): boolean {
-    if (this._suspicions.isEmpty) return true;
+    if (this._tracker.isEmpty) return true;
     const decision = this._runDecision();
     return decision === 'run' || decision === 'run-as-trial';
   }
@@ -84,25 +84,25 @@
    */
   async onConnectionBroken(server: ServerProcess): Promise<boolean> {
     const hadTrial = this._hasTrial;
-    if (!(await this._suspicions.hasExited(server))) return false;
+    if (!(await this._tracker.hasExited(server))) return false;
     const trial = hadTrial ? this.id : '';
     const serverProcess = server.startedAt > 0 ? `${server.id}@${server.startedAt}` : server.id;
     this._hasState = true;
     // once it has its answer, the caller may retry at another entry, which has to know of the exit by then
-    await this._suspicions.noteServerExit(this._request.fingerprint(), { server: serverProcess, trial });
+    await this._tracker.recordServerExit(this._request.fingerprint(), { server: serverProcess, trial });
     if (this._isReleased) this.release();
     return true;
   }
 
   /** Records that the request completed successfully. */
   noteSuccess(): void {
-    this._suspicions.noteSuccess(this._request.fingerprint());
+    this._tracker.noteSuccess(this._request.fingerprint());
   }
 
   /** Ends the request, so that the same request of another caller may get a trial. */
   release(): void {
     this._isReleased = true;
-    if (this._hasState) this._suspicions.release(this._request.fingerprint(), this.id);
+    if (this._hasState) this._tracker.release(this._request.fingerprint(), this.id);
   }
 
   private async _waitUntilDecided(): Promise<GateOutcome> {
@@ -114,20 +114,20 @@
       if (decision === 'shut-out') return 'ends servers';
       if (decision === 'run' || decision === 'run-as-trial') return 'granted';
       if (decision === 'claim-trial') await this._claimTrial(left());
-      else await this._suspicions.changed(fingerprint(), left());
+      else await this._tracker.changed(fingerprint(), left());
     }
     return 'time';
   }
 
   private async _claimTrial(leftMilliseconds: number): Promise<void> {
     const fingerprint = this._request.fingerprint();
-    if (this._hasState) this._suspicions.endTrial(fingerprint, this.id);
+    if (this._hasState) this._tracker.endTrial(fingerprint, this.id);
     this._hasState = true;
     this._trialsClaimed++;
-    await this._suspicions.claim(fingerprint, this.id, leftMilliseconds + TRIAL_MARGIN_MILLISECONDS);
+    await this._tracker.claim(fingerprint, this.id, leftMilliseconds + TRIAL_MARGIN_MILLISECONDS);
   }
 
   private _runDecision(): RunDecision {
-    return this._suspicions.runDecision(this._request.fingerprint(), this.id);
+    return this._tracker.runDecision(this._request.fingerprint(), this.id);
   }
 }
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -134,17 +134,17 @@
    * Records that a server exited while it had the request. Resolves when this is written to the store, if it is
    * to be written, at the latest after a short time.
    */
-  async noteServerExit(fingerprint: string, end: ServerExit): Promise<void> {
+  async recordServerExit(fingerprint: string, exit: ServerExit): Promise<void> {
     const { log } = this._options;
     if (this._successCredits.spend(fingerprint))
-      return log.decision('suspicion.spared', { fingerprint, ...end });
+      return log.decision('suspicion.spared', { fingerprint, ...exit });
     const isFull = this._copies.size >= MAX_SUSPICIONS || this._writer.pending >= MAX_PENDING;
     if (isFull && !this._writer.get(fingerprint))
-      return log.state('suspicion.not-kept', { fingerprint, server: end.server });
-    const written = this._change(fingerprint, (suspicion) => withServerExit(suspicion, end));
+      return log.state('suspicion.not-kept', { fingerprint, server: exit.server });
+    const written = this._change(fingerprint, (suspicion) => withServerExit(suspicion, exit));
     const ends = this._writer.get(fingerprint)?.ends.length ?? 0;
     this._recordExitCount(fingerprint, ends);
-    log.decision('suspicion.end', { fingerprint, ...end, ends });
+    log.decision('suspicion.end', { fingerprint, ...exit, ends });
     await atMost(written, WRITE_WAIT_MILLISECONDS);
   }
 
@@ -248,10 +248,10 @@
     return isOver ? trial.request : undefined;
   }
 
-  private _onChange(fingerprint: string, endsBefore: number): void {
+  private _onChange(fingerprint: string, exitsBefore: number): void {
     const suspicion = this._writer.get(fingerprint);
     if (!suspicion) this._lastExits.delete(fingerprint);
-    else if (suspicion.ends.length > endsBefore) this._onNewExits(fingerprint, suspicion);
+    else if (suspicion.ends.length > exitsBefore) this._onNewExits(fingerprint, suspicion);
     this._wake(fingerprint);
   }
 
@@ -283,11 +283,11 @@
     }
   }
 
-  private async _remove(fingerprint: string, forgotten: Suspicion): Promise<void> {
-    this._options.log.decision('suspicion.forgotten', { fingerprint, ends: forgotten.ends.length });
+  private async _remove(fingerprint: string, stale: Suspicion): Promise<void> {
+    this._options.log.decision('suspicion.forgotten', { fingerprint, ends: stale.ends.length });
     // a suspicion that has changed in the meantime stays
     const change = (suspicion: Suspicion | undefined): Suspicion | undefined =>
-      isDeepStrictEqual(suspicion, forgotten) ? undefined : suspicion;
+      isDeepStrictEqual(suspicion, stale) ? undefined : suspicion;
     await this._writer.write(fingerprint, change);
   }
 }
--- a/src/records/kindFollower.ts
+++ b/src/records/kindFollower.ts
@@ -102,8 +102,8 @@
     const {
       replica,
       log,
-      urgentBatchMilliseconds: gatherMilliseconds,
-      minorBatchMilliseconds: gatherMinorMilliseconds,
+      urgentBatchMilliseconds: urgentBatchMilliseconds,
+      minorBatchMilliseconds: minorBatchMilliseconds,
     } = this._options;
     if ('objects' in answer) {
       this._logOlderListing(answer.revision);
@@ -117,8 +117,8 @@
       return 0;
     }
     this._revision = answer.revision;
-    const weight = replica.applyChanges(answer.revision, answer.changes);
-    return weight === 'urgent' ? gatherMilliseconds : gatherMinorMilliseconds;
+    const urgency = replica.applyChanges(answer.revision, answer.changes);
+    return urgency === 'urgent' ? urgentBatchMilliseconds : minorBatchMilliseconds;
   }
 
   /** Logs a listing that is older than the replica, which ignores it. */
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -58,10 +58,10 @@
   private _early: EarlyRecords[] = [];
 
   /** Without `retained`, the copy follows the store through a rollback. */
-  constructor(kind: string, weigh: ClassifyChange = () => 'urgent', retained?: RetainedRecords) {
+  constructor(kind: string, classify: ClassifyChange = () => 'urgent', retained?: RetainedRecords) {
     super();
     this.kind = kind;
-    this._classify = weigh;
+    this._classify = classify;
     this._retained = retained;
     this.setMaxListeners(0);
   }
@@ -101,10 +101,10 @@
     if (revision < this._revision) return;
     const isFirst = this._revision === 0;
     const isRollback = !isFirst && !this._isOfThisGeneration(revision);
-    const weight = this._replace(listing, isRollback);
+    const urgency = this._replace(listing, isRollback);
     this._revision = revision;
     const cause = isRollback ? 'rollback' : 'store';
-    if (weight !== 'none' || isFirst || isRollback) this.emit('change', { cause, whole: true, changes: [] });
+    if (urgency !== 'none' || isFirst || isRollback) this.emit('change', { cause, whole: true, changes: [] });
     if (isFirst || isRollback) this._adoptEarly();
   }
 
@@ -115,10 +115,10 @@
   applyChanges(revision: number, changes: readonly ObjectChange[]): ChangeUrgency {
     if (revision <= this._revision || !this._isOfThisGeneration(revision)) return 'none';
     const newer = changes.filter((change) => this._isNewer(change));
-    const weight = this._apply(newer, 'change');
+    const urgency = this._apply(newer, 'change');
     this._revision = revision;
-    if (weight !== 'none') this.emit('change', { cause: 'store', whole: false, changes: newer });
-    return weight;
+    if (urgency !== 'none') this.emit('change', { cause: 'store', whole: false, changes: newer });
+    return urgency;
   }
 
   /** Adopts the records that another entry retains, whose copy is complete up to `revision`. */
@@ -194,7 +194,7 @@
 
   /** Applies changes of the store. A retained record stays in force until it is released. */
   private _apply(changes: readonly ObjectChange[], by: ObservedVia = 'listing'): ChangeUrgency {
-    let weight: ChangeUrgency = 'none';
+    let urgency: ChangeUrgency = 'none';
     for (const { object, gone } of changes) {
       const { name, revision } = object;
       this._newestChange = Math.max(this._newestChange, revision);
@@ -203,30 +203,30 @@
       const storedBefore = this._storedOf(name);
       const stored = gone ? undefined : object;
       const inForce = this._retained ? this._retained.resolve(name, stored, by) : stored;
-      weight = moreUrgent(weight, this._setInForce(name, inForce));
+      urgency = moreUrgent(urgency, this._setInForce(name, inForce));
       // listeners retain and release records by themselves, so they need the changes that a retained record
       // hides
-      if (wasRetained) weight = moreUrgent(weight, this._classify(storedBefore, stored));
+      if (wasRetained) urgency = moreUrgent(urgency, this._classify(storedBefore, stored));
     }
-    return weight;
+    return urgency;
   }
 
   private _putInForce(changes: readonly ObjectChange[]): void {
-    const weights = changes.map(({ object, gone }) =>
+    const urgencies = changes.map(({ object, gone }) =>
       this._setInForce(object.name, gone ? undefined : object),
     );
-    const isUsed = weights.some((weight) => weight !== 'none');
+    const isUsed = urgencies.some((urgency) => urgency !== 'none');
     if (isUsed) this.emit('change', { cause: 'retained', whole: false, changes: [] });
   }
 
   private _setInForce(name: string, object: StoredObject | undefined): ChangeUrgency {
-    const weight = this._classify(this.objects.get(name), object);
+    const urgency = this._classify(this.objects.get(name), object);
     if (!object) this.objects.delete(name);
     else {
       this.objects.set(name, object);
       this._retained?.forgetDeletion(name);
     }
-    return weight;
+    return urgency;
   }
 }
 
--- a/src/records/retainedRecords.ts
+++ b/src/records/retainedRecords.ts
@@ -74,8 +74,8 @@
    * Remembers that an object was deleted. An object that a listing lacks after an outage may only have expired.
    */
   rememberDeletion(last: StoredObject, by: ObservedVia): void {
-    const mayHaveLapsed = by === 'listing' && this._options.mayHaveExpired();
-    if (!mayHaveLapsed) this._deleted.set(last.name, last);
+    const mayHaveExpired = by === 'listing' && this._options.mayHaveExpired();
+    if (!mayHaveExpired) this._deleted.set(last.name, last);
   }
 
   /** Forgets the deletion of an object that exists again. */
--- a/tests/serverExitChecker.spec.ts
+++ b/tests/serverExitChecker.spec.ts
@@ -6,16 +6,16 @@
 import { EventLog } from '../src/telemetry/eventLog.js';
 import { freePort } from './fixtures/freePort.js';
 
-function checkerWithLog(): { ends: ServerExitChecker; lines: string[] } {
+function checkerWithLog(): { checker: ServerExitChecker; lines: string[] } {
   const lines: string[] = [];
   const log = new EventLog({ write: (line) => void lines.push(line) }, 'decision');
-  return { ends: new ServerExitChecker(log), lines };
+  return { checker: new ServerExitChecker(log), lines };
 }
 
 test('should report an exit if nothing listens at the address, with one check for concurrent calls', async () => {
-  const { ends, lines } = checkerWithLog();
+  const { checker: checker, lines } = checkerWithLog();
   const server = { id: 'a', address: `127.0.0.1:${await freePort()}`, startedAt: 0 };
-  expect(await Promise.all([ends.hasExited(server), ends.hasExited(server)])).toEqual([true, true]);
+  expect(await Promise.all([checker.hasExited(server), checker.hasExited(server)])).toEqual([true, true]);
   expect(lines.length).toEqual(1);
   expect(lines[0]).toInclude('"ended":true,"outcome":"ECONNREFUSED"');
 });
@@ -28,7 +28,7 @@
     const listener = net.createServer(onConnection);
     await new Promise<void>((resolve) => listener.listen(0, '127.0.0.1', resolve));
     const { port } = listener.address() as net.AddressInfo;
-    const { ends } = checkerWithLog();
+    const { checker: ends } = checkerWithLog();
     expect(await ends.hasExited({ id: 'a', address: `127.0.0.1:${port}`, startedAt: 0 })).toEqual(false);
     listener.close();
   }
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -23,7 +23,7 @@
   fixture.reportTwoExits(entry, 's-1', 's-2');
   const gate = fixture.gate(entry, 'trial');
   await gate.wait();
-  void entry.noteServerExit('f', { server: 's-3', trial: gate.id });
+  void entry.recordServerExit('f', { server: 's-3', trial: gate.id });
   gate.release();
   await until(() => fixture.held?.ends.length === 3 && fixture.held.trial === undefined);
   await fixture.sync();
@@ -110,7 +110,7 @@
   fixture.store.rollBackTo(copy, { tellsGeneration: false });
   const { writes } = fixture.store;
   fixture.store.maxWrites = writes + 20;
-  void entry.noteServerExit('f', { server: 's-4', trial: '' });
+  void entry.recordServerExit('f', { server: 's-4', trial: '' });
   await until(() => fixture.held?.ends.length === 4);
   expect(fixture.store.writes - writes).toEqual(3);
 });
--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -9,7 +9,7 @@
 import type { SuspicionTracker } from '../src/crashes/suspicionTracker.js';
 import type { ManualClock } from '../src/utils/clock.js';
 import type { ScriptedStore } from './fixtures/scriptedStore.js';
-import { KIND, REST, SuspicionsFixture } from './fixtures/suspicionsFixture.js';
+import { KIND, PAUSE, SuspicionsFixture } from './fixtures/suspicionsFixture.js';
 import { until } from './fixtures/until.js';
 
 const DEADLINE = 6_000;
@@ -30,8 +30,8 @@
   return fixture.entry(box);
 }
 
-async function syncAndRest(): Promise<void> {
-  await fixture.syncAndRest();
+async function syncAfterPause(): Promise<void> {
+  await fixture.syncAfterPause();
 }
 
 function held(): Suspicion | undefined {
@@ -53,7 +53,7 @@
   reportTwoExits(a, 's-1', 's-2');
   const first = gate(a, 'r');
   expect(await first.wait()).toEqual('granted');
-  await syncAndRest();
+  await syncAfterPause();
   expect([a.runDecision('f', first.id), b.runDecision('f', 'other')]).toEqual(['run-as-trial', 'held']);
 });
 
@@ -78,7 +78,7 @@
   expect(held()?.ends.length).toEqual(4);
   first.noteSuccess();
   await until(() => held() === undefined);
-  await syncAndRest();
+  await syncAfterPause();
   expect(await waiting).toEqual('granted');
 });
 
@@ -86,12 +86,12 @@
   const [a, b] = [entry('a'), entry('b')];
   reportTwoExits(a, 's-1', 's-2');
   await gate(a, 'r').wait();
-  await syncAndRest();
+  await syncAfterPause();
   const waiting = gate(b, 'q').wait();
   gate(b, 'earlier').noteSuccess();
   expect(await waiting).toEqual('granted');
   await until(() => held() === undefined);
-  await syncAndRest();
+  await syncAfterPause();
   expect([a.isEmpty, b.isEmpty]).toEqual([true, true]);
 });
 
@@ -100,11 +100,11 @@
   reportTwoExits(a, 's-1', 's-2');
   const first = gate(a, 'r');
   await first.wait();
-  await syncAndRest();
+  await syncAfterPause();
   const waiting = gate(b, 'q').wait();
-  void a.noteServerExit('f', { server: 's-3', trial: first.id });
+  void a.recordServerExit('f', { server: 's-3', trial: first.id });
   await until(() => held()?.ends.length === 3);
-  await syncAndRest();
+  await syncAfterPause();
   expect(await waiting).toEqual('ends servers');
   expect(a.runDecision('f', first.id)).toEqual('shut-out');
 });
@@ -120,15 +120,15 @@
 test('should decide by its own knowledge while the store refuses writes, and write it later', async () => {
   const a = entry('a');
   store.refusesWrites = true;
-  void a.noteServerExit('f', END);
+  void a.recordServerExit('f', END);
   const first = gate(a, 'r');
   expect(await first.wait()).toEqual('granted');
-  void a.noteServerExit('f', { server: 's-2', trial: first.id });
+  void a.recordServerExit('f', { server: 's-2', trial: first.id });
   first.release();
-  clock.advance(REST);
+  clock.advance(PAUSE);
   const second = gate(a, 'q');
   expect(await second.wait()).toEqual('granted');
-  void a.noteServerExit('f', { server: 's-3', trial: second.id });
+  void a.recordServerExit('f', { server: 's-3', trial: second.id });
   expect(a.runDecision('f', 'p')).toEqual('shut-out');
   store.refusesWrites = false;
   await until(() => held()?.ends.length === 3);
@@ -138,12 +138,12 @@
   const [a, b] = [entry('a'), entry('b')];
   reportTwoExits(a, 's-1', 's-2');
   await gate(a, 'r').wait();
-  await syncAndRest();
+  await syncAfterPause();
   expect(b.runDecision('f', 'q')).toEqual('held');
   live.delete('a');
   expect(b.runDecision('f', 'q')).toEqual('claim-trial');
   const again = entry('a');
-  await syncAndRest();
+  await syncAfterPause();
   expect(again.runDecision('f', 'q')).toEqual('claim-trial');
 });
 
@@ -151,7 +151,7 @@
   const [a, b] = [entry('a'), entry('b')];
   reportTwoExits(a, 's-1', 's-2');
   await gate(a, 'r').wait();
-  await syncAndRest();
+  await syncAfterPause();
   clock.advance(3_001);
   expect(b.runDecision('f', 'q')).toEqual('claim-trial');
 });
@@ -180,14 +180,14 @@
 
 test('should allow one more trial after a long time, and none after that has failed', async () => {
   const a = entry('a');
-  for (const server of ['s-1', 's-2', 's-3']) void a.noteServerExit('f', { server, trial: 'r' });
+  for (const server of ['s-1', 's-2', 's-3']) void a.recordServerExit('f', { server, trial: 'r' });
   await until(() => a.counts.shutOut === 1);
   expect(await gate(a, 'q').wait()).toEqual('ends servers');
   clock.advance(600_000);
   const later = gate(a, 'p');
   expect(await later.wait()).toEqual('granted');
   expect(a.runDecision('f', 'other')).toEqual('held');
-  void a.noteServerExit('f', { server: 's-4', trial: later.id });
+  void a.recordServerExit('f', { server: 's-4', trial: later.id });
   expect(a.runDecision('f', later.id)).toEqual('shut-out');
 });
 
@@ -202,14 +202,14 @@
 test('should limit the suspicions that wait to be written while the store fails', async () => {
   const a = entry('a');
   store.refusesWrites = true;
-  for (let index = 0; index < 300; index++) void a.noteServerExit(`f-${index}`, END);
+  for (let index = 0; index < 300; index++) void a.recordServerExit(`f-${index}`, END);
   expect([a.runDecision('f-0', 'r'), a.runDecision('f-299', 'r')]).toEqual(['claim-trial', 'run']);
 });
 
 test('should not write to the store for a request that succeeds on its next server', async () => {
   const a = entry('a');
   const { revision } = await store.list(KIND);
-  void a.noteServerExit('f', END);
+  void a.recordServerExit('f', END);
   const next = gate(a, 'r');
   expect(await next.wait()).toEqual('granted');
   expect(a.runDecision('f', 'other')).toEqual('held');
@@ -221,7 +221,7 @@
 
 test('should write a first server exit once the request is over without success', async () => {
   const a = entry('a');
-  void a.noteServerExit('f', END);
+  void a.recordServerExit('f', END);
   const next = gate(a, 'r');
   await next.wait();
   next.release();
@@ -231,18 +231,18 @@
 
 test('should pause a request after two server exits, until other requests on these servers are suspected', async () => {
   const a = entry('a');
-  for (const server of ['s-1', 's-2']) void a.noteServerExit('f', { server, trial: '' });
+  for (const server of ['s-1', 's-2']) void a.recordServerExit('f', { server, trial: '' });
   expect(a.runDecision('f', 'r')).toEqual('held');
-  clock.advance(REST);
+  clock.advance(PAUSE);
   expect(a.runDecision('f', 'r')).toEqual('claim-trial');
 });
 
 test('should not suspect a request that has succeeded, up to a limit', async () => {
   const a = entry('a');
   for (let good = 0; good < 10; good++) a.noteSuccess('f');
-  for (const server of ['s-1', 's-2', 's-3']) void a.noteServerExit('f', { server, trial: '' });
+  for (const server of ['s-1', 's-2', 's-3']) void a.recordServerExit('f', { server, trial: '' });
   expect(a.runDecision('f', 'r')).toEqual('run');
-  void a.noteServerExit('f', { server: 's-4', trial: '' });
+  void a.recordServerExit('f', { server: 's-4', trial: '' });
   expect(a.runDecision('f', 'r')).toEqual('claim-trial');
 });
 
@@ -257,7 +257,7 @@
   const a = entry('a');
   for (const request of ['crashing', 'good'])
     for (const server of ['i-8', 'i-6', 'i-3'])
-      void a.noteServerExit(request, { server, trial: `trial of ${request}` });
+      void a.recordServerExit(request, { server, trial: `trial of ${request}` });
   await until(() => a.counts.shutOut === 2);
   expect([a.runDecision('crashing', 'r'), a.runDecision('good', 'r')]).toEqual(['shut-out', 'shut-out']);
   clock.advance(5_000);
@@ -265,7 +265,7 @@
     'claim-trial',
     'claim-trial',
   ]);
-  void a.noteServerExit('crashing', { server: 'i-1', trial: 'r' });
+  void a.recordServerExit('crashing', { server: 'i-1', trial: 'r' });
   a.noteSuccess('good');
   await until(() => a.counts.suspected === 1);
   clock.advance(5_000);
@@ -274,20 +274,20 @@
 
 test('should let a request claim a second trial after its first one has failed', async () => {
   const a = entry('a');
-  void a.noteServerExit('f', END);
+  void a.recordServerExit('f', END);
   const first = gate(a, 'r');
   await first.wait();
   const former = first.id;
-  void a.noteServerExit('f', { server: 's-2', trial: former });
+  void a.recordServerExit('f', { server: 's-2', trial: former });
   expect(first.isOpen).toEqual(false);
-  clock.advance(REST);
+  clock.advance(PAUSE);
   expect(await first.wait()).toEqual('granted');
   expect([first.isOpen, first.id === former]).toEqual([true, false]);
 });
 
 test('should report `time`, not a shut-out, for a request whose deadline passes while it waits', async () => {
   const a = entry('a');
-  void a.noteServerExit('f', END);
+  void a.recordServerExit('f', END);
   await gate(a, 'r').wait();
   const waiting = gate(a, 'q').wait();
   clock.advance(DEADLINE);
