--- a/src/crashes/runDecision.ts
+++ b/src/crashes/runDecision.ts
@@ -42,14 +42,8 @@
 const EXPLAINED_MILLISECONDS = 5_000;
 
 export function decideRun(facts: RunDecisionInput): RunDecision {
-  const {
-    suspicion,
-    request,
-    ownsTrial: ownsTrial,
-    isTrialExpired: isTrialExpired,
-    millisecondsSinceLastExit: millisecondsSinceLastExit,
-    isExplainedByOthers: isExplainedByOthers,
-  } = facts;
+  const { suspicion, request, ownsTrial, isTrialExpired, millisecondsSinceLastExit, isExplainedByOthers } =
+    facts;
   if (!suspicion) return 'run';
   const isRunningTrial = ownsTrial && !hasFailedTrial(suspicion, request);
   if (isRunningTrial) return 'run-as-trial';
--- a/src/crashes/suspicionGate.ts
+++ b/src/crashes/suspicionGate.ts
@@ -95,8 +95,8 @@
   }
 
   /** Records that the request completed successfully. */
-  noteSuccess(): void {
-    this._tracker.noteSuccess(this._request.fingerprint());
+  recordSuccess(): void {
+    this._tracker.recordSuccess(this._request.fingerprint());
   }
 
   /** Ends the request, so that the same request of another caller may get a trial. */
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -186,7 +186,7 @@
    * Records that the request completed successfully, which shows that it doesn't crash every server that runs
    * it.
    */
-  noteSuccess(fingerprint: string): void {
+  recordSuccess(fingerprint: string): void {
     this._successCredits.add(fingerprint);
     if (this.isEmpty || !this._writer.get(fingerprint)) return;
     this._options.log.decision('suspicion.cleared', { fingerprint });
--- a/src/records/kindFollower.ts
+++ b/src/records/kindFollower.ts
@@ -99,12 +99,7 @@
 
   /** Applies an answer; returns the delay before the next watch, in milliseconds. */
   private _applyAnswer(answer: KindListing | KindChanges): number {
-    const {
-      replica,
-      log,
-      urgentBatchMilliseconds: urgentBatchMilliseconds,
-      minorBatchMilliseconds: minorBatchMilliseconds,
-    } = this._options;
+    const { replica, log, urgentBatchMilliseconds, minorBatchMilliseconds } = this._options;
     if ('objects' in answer) {
       this._logOlderListing(answer.revision);
       replica.applyListing(answer);
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -193,16 +193,16 @@
   }
 
   /** Applies changes of the store. A retained record stays in force until it is released. */
-  private _apply(changes: readonly ObjectChange[], by: ObservedVia = 'listing'): ChangeUrgency {
+  private _apply(changes: readonly ObjectChange[], via: ObservedVia = 'listing'): ChangeUrgency {
     let urgency: ChangeUrgency = 'none';
     for (const { object, gone } of changes) {
       const { name, revision } = object;
       this._newestChange = Math.max(this._newestChange, revision);
-      if (gone && by === 'change') this._retained?.rememberDeletion(this.objects.get(name) ?? object, by);
+      if (gone && via === 'change') this._retained?.rememberDeletion(this.objects.get(name) ?? object, via);
       const wasRetained = this._retained?.has(name) ?? false;
       const storedBefore = this._storedOf(name);
       const stored = gone ? undefined : object;
-      const inForce = this._retained ? this._retained.resolve(name, stored, by) : stored;
+      const inForce = this._retained ? this._retained.resolve(name, stored, via) : stored;
       urgency = moreUrgent(urgency, this._setInForce(name, inForce));
       // listeners retain and release records by themselves, so they need the changes that a retained record
       // hides
--- a/src/records/retainedRecords.ts
+++ b/src/records/retainedRecords.ts
@@ -73,8 +73,8 @@
   /**
    * Remembers that an object was deleted. An object that a listing lacks after an outage may only have expired.
    */
-  rememberDeletion(last: StoredObject, by: ObservedVia): void {
-    const mayHaveExpired = by === 'listing' && this._options.mayHaveExpired();
+  rememberDeletion(last: StoredObject, via: ObservedVia): void {
+    const mayHaveExpired = via === 'listing' && this._options.mayHaveExpired();
     if (!mayHaveExpired) this._deleted.set(last.name, last);
   }
 
@@ -124,10 +124,10 @@
   }
 
   /** Returns the object in force, given that the store now has `stored`. */
-  resolve(name: string, stored: StoredObject | undefined, by: ObservedVia): StoredObject | undefined {
+  resolve(name: string, stored: StoredObject | undefined, via: ObservedVia): StoredObject | undefined {
     const retention = this._retentions.get(name);
     if (!retention) return stored;
-    if (this._isConfirmed(retention, stored, by)) {
+    if (this._isConfirmed(retention, stored, via)) {
       this._release(name, 'written again');
       return stored;
     }
@@ -161,12 +161,12 @@
     const { name } = record.object;
     this._retentions.set(name, { ...record, stored, milliseconds });
     const reason = record.gone ? 'deleted' : stored ? 'replaced' : 'missing';
-    const until = Number.isFinite(milliseconds) ? milliseconds : undefined;
+    const expiresAfter = Number.isFinite(milliseconds) ? milliseconds : undefined;
     log.state('record.retained', {
       kind,
       name,
       reason,
-      milliseconds: until,
+      milliseconds: expiresAfter,
       ...revisionFields(record.object.revision),
     });
   }
@@ -183,8 +183,8 @@
   }
 
   /** Whether the store has the retained record again, or a later version of it. */
-  private _isConfirmed(retention: Retention, stored: StoredObject | undefined, by: ObservedVia): boolean {
-    const isWritten = by === 'change' || stored?.revision !== retention.stored?.revision;
+  private _isConfirmed(retention: Retention, stored: StoredObject | undefined, via: ObservedVia): boolean {
+    const isWritten = via === 'change' || stored?.revision !== retention.stored?.revision;
     if (!isWritten) return false;
     return retention.gone || !stored || this._retentionMilliseconds(retention, stored) === 0;
   }
--- a/src/records/sourceChoice.ts
+++ b/src/records/sourceChoice.ts
@@ -37,9 +37,9 @@
 export const READER_COUNT = 2;
 
 /** The first candidates that haven't failed read the store; all other entries listen to them. */
-export function chooseSources(situation: SourceChoiceInput): SourceChoice {
-  const { own, hasFailed } = situation;
-  const candidates = candidatesOf(situation);
+export function chooseSources(input: SourceChoiceInput): SourceChoice {
+  const { own, hasFailed } = input;
+  const candidates = candidatesOf(input);
   const working = candidates.filter(({ address }) => !hasFailed(address));
   const chosen = working.slice(0, READER_COUNT);
   const sources = chosen.filter(({ address }) => address !== own.address);
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -139,7 +139,7 @@
     this._current.forget(server);
     if (this._received.isPassedOn) {
       server.health.note('succeeded');
-      this._turn.noteSuccess();
+      this._turn.recordSuccess();
       return this._final.endStream(server, answer.status);
     }
     this._judge(server, answer);
@@ -152,7 +152,7 @@
     if (verdict === 'not-run') return this._onRejected(server, status);
     this._mayHaveRun = true;
     server.health.note(verdict === 'failed' || verdict === 'unclear' ? 'failed' : 'succeeded');
-    if (isGoodEnd(verdict, status)) this._turn.noteSuccess();
+    if (isGoodEnd(verdict, status)) this._turn.recordSuccess();
     if (verdict !== 'answered' && this._attempts.repeatable && this._goOnElsewhere()) return;
     if (verdict === 'unclear') return this._final.refuse(OWN_STATUS.unclear, `status ${status} from server`);
     if (this._relay?.begun) return this._final.cut('stream could not be resumed');
--- a/tests/serverExitChecker.spec.ts
+++ b/tests/serverExitChecker.spec.ts
@@ -13,7 +13,7 @@
 }
 
 test('should report an exit if nothing listens at the address, with one check for concurrent calls', async () => {
-  const { checker: checker, lines } = checkerWithLog();
+  const { checker, lines } = checkerWithLog();
   const server = { id: 'a', address: `127.0.0.1:${await freePort()}`, startedAt: 0 };
   expect(await Promise.all([checker.hasExited(server), checker.hasExited(server)])).toEqual([true, true]);
   expect(lines.length).toEqual(1);
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -75,7 +75,7 @@
   await until(() => fixture.held !== undefined);
   await fixture.sync();
   const copy = fixture.store.copy();
-  entries[0].noteSuccess('f');
+  entries[0].recordSuccess('f');
   await until(() => fixture.held === undefined);
   await fixture.sync();
   fixture.store.rollBackTo(copy);
--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -76,7 +76,7 @@
     () => a.runDecision('f', first.id) === 'run-as-trial' && b.runDecision('f', second.id) === 'held',
   );
   expect(held()?.ends.length).toEqual(4);
-  first.noteSuccess();
+  first.recordSuccess();
   await until(() => held() === undefined);
   await syncAfterPause();
   expect(await waiting).toEqual('granted');
@@ -88,7 +88,7 @@
   await gate(a, 'r').wait();
   await syncAfterPause();
   const waiting = gate(b, 'q').wait();
-  gate(b, 'earlier').noteSuccess();
+  gate(b, 'earlier').recordSuccess();
   expect(await waiting).toEqual('granted');
   await until(() => held() === undefined);
   await syncAfterPause();
@@ -213,7 +213,7 @@
   const next = gate(a, 'r');
   expect(await next.wait()).toEqual('granted');
   expect(a.runDecision('f', 'other')).toEqual('held');
-  next.noteSuccess();
+  next.recordSuccess();
   next.release();
   expect(a.isEmpty).toEqual(true);
   expect((await store.list(KIND)).revision).toEqual(revision);
@@ -239,7 +239,7 @@
 
 test('should not suspect a request that has succeeded, up to a limit', async () => {
   const a = entry('a');
-  for (let good = 0; good < 10; good++) a.noteSuccess('f');
+  for (let good = 0; good < 10; good++) a.recordSuccess('f');
   for (const server of ['s-1', 's-2', 's-3']) void a.recordServerExit('f', { server, trial: '' });
   expect(a.runDecision('f', 'r')).toEqual('run');
   void a.recordServerExit('f', { server: 's-4', trial: '' });
@@ -266,7 +266,7 @@
     'claim-trial',
   ]);
   void a.recordServerExit('crashing', { server: 'i-1', trial: 'r' });
-  a.noteSuccess('good');
+  a.recordSuccess('good');
   await until(() => a.counts.suspected === 1);
   clock.advance(5_000);
   expect([a.runDecision('crashing', 'q'), a.runDecision('good', 'q')]).toEqual(['shut-out', 'run']);
