--- a/src/crashes/runDecision.ts
+++ b/src/crashes/runDecision.ts
@@ -26,18 +26,18 @@
 /** Server exits after which a request has to pause before its next trial. */
 const EXITS_BEFORE_PAUSE = 2;
 /**
- * When several harmful requests run at the same time, a harmless one may share two crashed servers with them in
- * a row. After this pause the harmful ones are known, and the next trial of the harmless one clears it.
+ * When several harmful requests run at the same time, a harmless one may share two crashed servers with them in a
+ * row. After this pause the harmful ones are known, and the next trial of the harmless one clears it.
  */
 const PAUSE_MILLISECONDS = 1_000;
 /**
- * Servers and weights change: after this time a request that is shut out may have another trial, which costs at
- * most one server.
+ * Servers and weights change: after this time a request that is shut out may have another trial, which costs at most
+ * one server.
  */
 export const SHUT_OUT_MILLISECONDS = 600_000;
 /**
- * The same for a request whose servers may all have been crashed by another one that is shut out: one more
- * trial of each tells which of them is harmful.
+ * The same for a request whose servers may all have been crashed by another one that is shut out: one more trial of
+ * each tells which of them is harmful.
  */
 const EXPLAINED_MILLISECONDS = 5_000;
 
--- a/src/crashes/serverExitChecker.ts
+++ b/src/crashes/serverExitChecker.ts
@@ -19,8 +19,7 @@
 const CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 /**
- * Checks by opening a connection. Each server has at most one check at a time, however many requests it broke
- * off.
+ * Checks by opening a connection. Each server has at most one check at a time, however many requests it broke off.
  */
 export class ServerExitChecker {
   private readonly _log: EventLog;
--- a/src/crashes/successCredits.ts
+++ b/src/crashes/successCredits.ts
@@ -1,13 +1,13 @@
 /**
- * Counts the requests that recently completed successfully on this entry. When a server exits while it runs one
- * of them, the cause is probably another request.
+ * Counts the requests that recently completed successfully on this entry. When a server exits while it runs one of
+ * them, the cause is probably another request.
  */
 import { LRUCache } from 'lru-cache';
 
 const MAX_REQUESTS = 4_096;
 /**
- * Server exits that earlier successes can offset. A request that turns harmful, for example with a new version
- * of the weights, costs at most this many servers before it is suspected.
+ * Server exits that earlier successes can offset. A request that turns harmful, for example with a new version of the
+ * weights, costs at most this many servers before it is suspected.
  */
 const MAX_CREDIT = 3;
 
@@ -19,9 +19,7 @@
     this._credits.set(fingerprint, Math.min(MAX_CREDIT, (this._credits.get(fingerprint) ?? 0) + 1));
   }
 
-  /**
-   * Spends one credit; returns whether there was one, so that a server exit doesn't count against the request.
-   */
+  /** Spends one credit; returns whether there was one, so that a server exit doesn't count against the request. */
   spend(fingerprint: string): boolean {
     const credit = this._credits.get(fingerprint) ?? 0;
     if (credit > 0) this._credits.set(fingerprint, credit - 1);
--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -28,9 +28,9 @@
 }
 
 /**
- * Number of server exits that shuts a request out; fewer may be chance. At least one of them has to happen during
- * a trial: several servers that exit at the same moment, as when a rack fails, say little about a request that
- * ran on all of them.
+ * Number of server exits that shuts a request out; fewer may be chance. At least one of them has to happen during a
+ * trial: several servers that exit at the same moment, as when a rack fails, say little about a request that ran on
+ * all of them.
  */
 const EXITS_TO_SHUT_OUT = 3;
 /** Only the latest exits are kept: more would change no decision. */
@@ -41,8 +41,8 @@
 }
 
 /**
- * Adds a server exit. Each server counts once, however many entries report it and however many copies of the
- * request it ran. The report of a trial replaces one without a trial.
+ * Adds a server exit. Each server counts once, however many entries report it and however many copies of the request
+ * it ran. The report of a trial replaces one without a trial.
  */
 export function withServerExit(suspicion: Suspicion | undefined, exit: ServerExit): Suspicion {
   const ends = suspicion?.ends ?? [];
--- a/src/crashes/suspicionCopies.ts
+++ b/src/crashes/suspicionCopies.ts
@@ -1,6 +1,5 @@
 /**
- * This entry's copies of the suspicions in the store, updated by its own writes at once and otherwise by its
- * replica.
+ * This entry's copies of the suspicions in the store, updated by its own writes at once and otherwise by its replica.
  */
 import { EventEmitter } from 'node:events';
 import { LRUCache } from 'lru-cache';
@@ -83,8 +82,8 @@
   }
 
   /**
-   * Updates a copy by the object in the store, undefined if there is none; returns whether that is newer than
-   * the copy.
+   * Updates a copy by the object in the store, undefined if there is none; returns whether that is newer than the
+   * copy.
    */
   updateFromObject(fingerprint: string, object: StoredObject | undefined): boolean {
     if (object) return this.update(fingerprint, object.revision, this._read(object));
--- a/src/crashes/suspicionGate.ts
+++ b/src/crashes/suspicionGate.ts
@@ -1,6 +1,5 @@
 /**
- * Decides when a request may run: at once, unless the same request is suspected of crashing the servers that
- * run it.
+ * Decides when a request may run: at once, unless the same request is suspected of crashing the servers that run it.
  */
 import type { Clock } from '../utils/clock.js';
 import type { ServerProcess } from './serverExitChecker.js';
@@ -16,10 +15,7 @@
   endsAt: number;
 }
 
-/**
- * How a wait ended. `ends servers`: the request is shut out. `time`: its deadline has passed, or it was
- * released.
- */
+/** How a wait ended. `ends servers`: the request is shut out. `time`: its deadline has passed, or it was released. */
 export type GateOutcome = 'granted' | 'ends servers' | 'time';
 
 /** Request ids are chosen by callers and may have any length. */
@@ -65,7 +61,7 @@
     return decision === 'run' || decision === 'run-as-trial';
   }
 
-  /** Whether somebody waits for {@link SuspicionGate.wait}. */
+  /** Whether a call of {@link SuspicionGate.wait} is pending. */
   get isWaiting(): boolean {
     return this._isWaiting;
   }
@@ -79,8 +75,8 @@
   }
 
   /**
-   * Handles a server that broke off the connection while it had the request. Resolves to whether its process
-   * has exited, which then counts against the request.
+   * Handles a server that broke off the connection while it had the request. Resolves to whether its process has
+   * exited, which then counts against the request.
    */
   async onConnectionBroken(server: ServerProcess): Promise<boolean> {
     const hadTrial = this._hasTrial;
--- a/src/crashes/suspicionRestorer.ts
+++ b/src/crashes/suspicionRestorer.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the suspicions that a rollback of the store has lost, and writes them again. Only entries write
- * suspicions, so nobody else restores them.
+ * Keeps the suspicions that a rollback of the store has lost, and writes them again. Only entries write suspicions,
+ * so nobody else restores them.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Random } from '../utils/random.js';
@@ -19,8 +19,8 @@
 }
 
 /**
- * After a rollback, each entry that reads the store waits a random part of this time before it restores, so
- * that usually only one of them has to write.
+ * After a rollback, each entry that reads the store waits a random part of this time before it restores, so that
+ * usually only one of them has to write.
  */
 const RESTORE_MILLISECONDS = 400;
 /** The other entries restore by this time, in case all entries that read the store have just started. */
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -1,11 +1,11 @@
 /**
- * Tracks which requests are suspected of crashing the servers that run them. All entries share this state
- * through the store.
+ * Tracks which requests are suspected of crashing the servers that run them. All entries share this state through the
+ * store.
  *
- * When a server exits, all requests that it ran become suspected. A suspected request runs only once at a time
- * in the whole system, which is called its trial. It is cleared when it completes successfully at any entry,
- * and shut out when too many servers have exited under it: from then on entries refuse it. While the store
- * doesn't answer, this entry decides by what it knows, so that it refuses no request that may be harmless.
+ * When a server exits, all requests that it ran become suspected. A suspected request runs only once at a time in the
+ * whole system, which is called its trial. It is cleared when it completes successfully at any entry, and shut out
+ * when too many servers have exited under it: from then on entries refuse it. While the store doesn't answer, this
+ * entry decides by what it knows, so that it refuses no request that may be harmless.
  */
 import { isDeepStrictEqual } from 'node:util';
 import { LRUCache } from 'lru-cache';
@@ -51,13 +51,11 @@
   at: number;
 }
 
-/**
- * How long a request waits for its change to be written. Callers of harmless requests have to wait for it too.
- */
+/** How long a request waits for its change to be written. Callers of harmless requests have to wait for it too. */
 const WRITE_WAIT_MILLISECONDS = 250;
 /**
- * A harmful request crashes its server soon after the server has started to run it. After this time a trial no
- * longer holds up the other callers of the same request, who may be many and whose requests may be harmless.
+ * A harmful request crashes its server soon after the server has started to run it. After this time a trial no longer
+ * holds up the other callers of the same request, who may be many and whose requests may be harmless.
  */
 const MAX_TRIAL_MILLISECONDS = 3_000;
 /** A suspicion is removed when it hasn't changed for this time, because nobody has repeated the request. */
@@ -66,8 +64,8 @@
 const SHUT_OUT_TTL_MILLISECONDS = 24 * 3_600_000;
 const CLEANUP_INTERVAL_MILLISECONDS = 10_000;
 /**
- * With more suspicions than this, servers exit for another cause, such as failing racks, and the store is
- * spared the writes.
+ * With more suspicions than this, servers exit for another cause, such as failing racks, and the store is spared the
+ * writes.
  */
 const MAX_SUSPICIONS = 1_000;
 const MAX_PENDING = 200;
@@ -131,8 +129,8 @@
   }
 
   /**
-   * Records that a server exited while it had the request. Resolves when this is written to the store, if it is
-   * to be written, at the latest after a short time.
+   * Records that a server exited while it had the request. Resolves when this is written to the store, if it is to be
+   * written, at the latest after a short time.
    */
   async recordServerExit(fingerprint: string, exit: ServerExit): Promise<void> {
     const { log } = this._options;
@@ -173,8 +171,8 @@
   }
 
   /**
-   * Ends a request that saw a server exit or claimed a trial, and writes what is known of it to the store for
-   * all entries.
+   * Ends a request that saw a server exit or claimed a trial, and writes what is known of it to the store for all
+   * entries.
    */
   release(fingerprint: string, request: string): void {
     this._claims.delete(request);
@@ -182,10 +180,7 @@
     void this._writer.write(fingerprint, (suspicion) => suspicion && withoutTrial(suspicion, request));
   }
 
-  /**
-   * Records that the request completed successfully, which shows that it doesn't crash every server that runs
-   * it.
-   */
+  /** Records that the request completed successfully, which shows that it doesn't crash every server that runs it. */
   recordSuccess(fingerprint: string): void {
     this._successCredits.add(fingerprint);
     if (this.isEmpty || !this._writer.get(fingerprint)) return;
@@ -212,9 +207,8 @@
   }
 
   /**
-   * Writes a change to the store once two servers have exited under the request, and only queues it before:
-   * most requests that see one server exit succeed on the next server, and each write is charged by the
-   * platform.
+   * Writes a change to the store once two servers have exited under the request, and only queues it before: most
+   * requests that see one server exit succeed on the next server, and each write has a cost on the platform.
    */
   private async _change(fingerprint: string, change: SuspicionChange): Promise<void> {
     const ends = change(this._writer.get(fingerprint))?.ends.length ?? 0;
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -1,6 +1,6 @@
 /**
- * Writes changes of suspicions to the store. No change is lost when another entry writes at the same time, or
- * when the store doesn't answer for a while.
+ * Writes changes of suspicions to the store. No change is lost when another entry writes at the same time, or when
+ * the store doesn't answer for a while.
  */
 import { isDeepStrictEqual } from 'node:util';
 import type { WritableStore, WriteAnswer } from '../records/writableStore.js';
@@ -16,8 +16,8 @@
 import type { SuspicionCopies } from './suspicionCopies.js';
 
 /**
- * Computes the next state of a suspicion, undefined if there is none. Applied again when another entry has
- * written in the meantime.
+ * Computes the next state of a suspicion, undefined if there is none. Applied again when another entry has written in
+ * the meantime.
  */
 export type SuspicionChange = (suspicion: Suspicion | undefined) => Suspicion | undefined;
 
@@ -41,8 +41,8 @@
 const MAX_CONCURRENT_WRITES = 8;
 const RETRY = { firstMilliseconds: 40, longestMilliseconds: 500 };
 /**
- * Age at which a change is given up. If the store is unavailable for longer, later suspicions make up for the
- * lost ones.
+ * Age at which a change is given up. If the store is unavailable for longer, later suspicions make up for the lost
+ * ones.
  */
 const GIVE_UP_MILLISECONDS = 30_000;
 
@@ -78,9 +78,7 @@
     return this._writing.has(fingerprint) || this._options.copies.get(fingerprint).revision > 0;
   }
 
-  /**
-   * Queues a change until the next call of `write` or `flush`. A later change may undo it before it is written.
-   */
+  /** Queues a change until the next call of `write` or `flush`. A later change may undo it before it is written. */
   queue(fingerprint: string, apply: SuspicionChange): void {
     this._add(fingerprint, apply, () => undefined);
     const isUndone = !this.isStored(fingerprint) && this.get(fingerprint) === undefined;
@@ -147,8 +145,8 @@
   }
 
   /**
-   * Writes the result of the changes. Returns how many of them are done, which is none if another entry has
-   * written first.
+   * Writes the result of the changes. Returns how many of them are done, which is none if another entry has written
+   * first.
    */
   private async _writeOnce(fingerprint: string, changes: readonly PendingChange[]): Promise<number> {
     const { copies } = this._options;
@@ -166,9 +164,9 @@
   }
 
   /**
-   * Handles a conflict with an object that is older than the copy. The first time, the copy may have been
-   * updated while the write was under way, so that the write is retried. The same object again means that the
-   * store was rolled back without a new generation.
+   * Handles a conflict with an object that is older than the copy. The first time, the copy may have been updated
+   * while the write was under way, so that the write is retried. The same object again means that the store was
+   * rolled back without a new generation.
    */
   private _onOlderConflict(fingerprint: string, object: StoredObject | undefined): void {
     const { copies } = this._options;
--- a/src/records/failedSources.ts
+++ b/src/records/failedSources.ts
@@ -3,8 +3,8 @@
 import type { Clock } from '../utils/clock.js';
 
 /**
- * Long enough for a frozen process or a network failure to recover, or for the next entry in the ranking to
- * start reading.
+ * Long enough for a frozen process or a network failure to recover, or for the next entry in the ranking to start
+ * reading.
  */
 const EXCLUSION_MILLISECONDS = 3_000;
 
--- a/src/records/kindFollower.ts
+++ b/src/records/kindFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a copy of all objects of one kind up to date: lists the store once, then watches it, and lists again
- * after a failure.
+ * Keeps a copy of all objects of one kind up to date: lists the store once, then watches it, and lists again after a
+ * failure.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import { Backoff } from '../utils/backoff.js';
@@ -45,8 +45,7 @@
   }
 
   /**
-   * Starts with a listing: a watch from the revision of the copy may hang if the store no longer has that
-   * revision.
+   * Starts with a listing: a watch from the revision of the copy may hang if the store no longer has that revision.
    */
   start(): void {
     if (!this._stopped.signal.aborted) return;
@@ -63,8 +62,8 @@
   }
 
   /**
-   * Aborts the pending call, which may never be answered, and lists at once. Until the listing arrives, the
-   * copy counts as unconfirmed.
+   * Aborts the pending call, which may never be answered, and lists at once. Until the listing arrives, the copy
+   * counts as unconfirmed.
    */
   refresh(): void {
     this._revision = undefined;
--- a/src/records/lagDetector.ts
+++ b/src/records/lagDetector.ts
@@ -13,10 +13,10 @@
   private readonly _lags = new Map<string, Lag>();
 
   /**
-   * Whether the copy of `kind`, complete up to `revision`, has lacked a change for too long. `newestChange` is
-   * the revision of the newest change of this kind that any source has. The revisions up to which sources are
-   * complete cannot be compared instead: they rise with changes of other kinds at each call to the store, and
-   * readers call the store at different times.
+   * Whether the copy of `kind`, complete up to `revision`, has lacked a change for too long. `newestChange` is the
+   * revision of the newest change of this kind that any source has. The revisions up to which sources are complete
+   * cannot be compared instead: they rise with changes of other kinds at each call to the store, and readers call the
+   * store at different times.
    */
   exceedsLimit(kind: string, revision: number, newestChange: number, now: number): boolean {
     const lag = this._lags.get(kind);
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -1,6 +1,6 @@
 /**
- * This process's copy of all objects of one kind, fed by the store or by other entries. An update never
- * replaces a newer one. Records that a rollback of the store has lost may stay in force.
+ * This process's copy of all objects of one kind, fed by the store or by other entries. An update never replaces a
+ * newer one. Records that a rollback of the store has lost may stay in force.
  */
 import { EventEmitter } from 'node:events';
 import type { RetainedRecord, RetainedRecords, ObservedVia } from './retainedRecords.js';
@@ -8,8 +8,8 @@
 import type { KindListing, ObjectChange, StoredObject } from './watchableStore.js';
 
 /**
- * How soon a change is needed. `minor`: it may wait for further changes. `none`: it affects nothing that this
- * process uses.
+ * How soon a change is needed. `minor`: it may wait for further changes. `none`: it affects nothing that this process
+ * uses.
  */
 export type ChangeUrgency = 'none' | 'minor' | 'urgent';
 
@@ -20,8 +20,8 @@
 ) => ChangeUrgency;
 
 /**
- * Cause of a change: an update of the `store`, a `rollback` of the store, or records `retained` or released
- * after a rollback.
+ * Cause of a change: an update of the `store`, a `rollback` of the store, or records `retained` or released after a
+ * rollback.
  */
 export type ChangeCause = 'store' | 'rollback' | 'retained';
 
@@ -108,10 +108,7 @@
     if (isFirst || isRollback) this._adoptEarly();
   }
 
-  /**
-   * Applies the changes up to `revision` if that is in the generation of the copy; returns their highest
-   * urgency.
-   */
+  /** Applies the changes up to `revision` if that is in the generation of the copy; returns their highest urgency. */
   applyChanges(revision: number, changes: readonly ObjectChange[]): ChangeUrgency {
     if (revision <= this._revision || !this._isOfThisGeneration(revision)) return 'none';
     const newer = changes.filter((change) => this._isNewer(change));
@@ -204,8 +201,7 @@
       const stored = gone ? undefined : object;
       const inForce = this._retained ? this._retained.resolve(name, stored, via) : stored;
       urgency = moreUrgent(urgency, this._setInForce(name, inForce));
-      // listeners retain and release records by themselves, so they need the changes that a retained record
-      // hides
+      // listeners retain and release records by themselves, so they need the changes that a retained record hides
       if (wasRetained) urgency = moreUrgent(urgency, this._classify(storedBefore, stored));
     }
     return urgency;
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -37,21 +37,18 @@
 const TICK_MILLISECONDS = 100;
 /** The time of three stamps, and a margin for the network. */
 const SILENCE_TIMEOUT_MILLISECONDS = 1_000;
-/**
- * Two intervals of probes, the timeout of a probe, and a stamp: a healthy reader confirms its copies more
- * often.
- */
+/** Two intervals of probes, the timeout of a probe, and a stamp: a healthy reader confirms its copies more often. */
 const CONFIRMATION_TIMEOUT_MILLISECONDS = 1_300;
 /** Time within which a new source has to become current, and this process after it has started to read. */
 const GRACE_MILLISECONDS = 1_000;
 /**
- * Reading starts only after it has been wanted for this time, because entries that start discover each other
- * one by one.
+ * Reading starts only after it has been wanted for this time, because entries that start discover each other one by
+ * one.
  */
 const SETTLE_MILLISECONDS = 250;
 /**
- * During this time after the start, other entries may still be starting, so a lost link is retried before its
- * source counts as failed.
+ * During this time after the start, other entries may still be starting, so a lost link is retried before its source
+ * counts as failed.
  */
 const STARTUP_MILLISECONDS = 700;
 
@@ -88,8 +85,8 @@
   }
 
   /**
-   * Loads what the store held some seconds ago, so that this entry can serve requests and find other entries at
-   * once, even if all seeds are gone. This doesn't confirm the copies.
+   * Loads what the store held some seconds ago, so that this entry can serve requests and find other entries at once,
+   * even if all seeds are gone. This doesn't confirm the copies.
    */
   private async _loadStaleCopies(): Promise<void> {
     const { state, store, log } = this._options;
@@ -133,8 +130,8 @@
   }
 
   /**
-   * Tells other entries at once that this one has lost the store, so that they start to read before their
-   * copies are too old.
+   * Tells other entries at once that this one has lost the store, so that they start to read before their copies are
+   * too old.
    */
   private _checkOwnReading(): void {
     const { reader, own, clock, relay, state } = this._options;
@@ -221,8 +218,8 @@
   }
 
   /**
-   * Checks whether another source has had a change for too long that the copies lack. Then whoever feeds the
-   * copies is failing.
+   * Checks whether another source has had a change for too long that the copies lack. Then whoever feeds the copies
+   * is failing.
    */
   private _checkLag(): void {
     const { state, clock, reader } = this._options;
--- a/src/records/recordState.ts
+++ b/src/records/recordState.ts
@@ -64,7 +64,7 @@
     this._regainedAt = Math.max(this._regainedAt, regainedAt);
   }
 
-  /** Updates them by the stamp of a source whose changes have all been applied. */
+  /** Updates how current the copies are by the stamp of a source whose changes have all been applied. */
   confirmByStamp(stamp: RecordStamp): void {
     this.confirm(freshnessOf(stamp, this._clock.now()));
     for (const [kind, revision] of Object.entries(stamp.revisions)) {
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Records that the store was lost. Stamps say so until the copies are confirmed again, so that listeners
-   * change their source at once.
+   * Records that the store was lost. Stamps say so until the copies are confirmed again, so that listeners change
+   * their source at once.
    */
   noteLost(): void {
     this._lostAt = this._clock.now();
--- a/src/records/retainedExchange.ts
+++ b/src/records/retainedExchange.ts
@@ -10,8 +10,7 @@
   private readonly _settled = new Map<string, string>();
 
   /**
-   * Returns the next step. `own` and `theirs` are the numbers of retained records of a kind in the same
-   * generation.
+   * Returns the next step. `own` and `theirs` are the numbers of retained records of a kind in the same generation.
    */
   next(kind: string, own: number, theirs: number): RetainedStep {
     const difference = `${own} ${theirs}`;
--- a/src/records/retainedRecords.ts
+++ b/src/records/retainedRecords.ts
@@ -59,8 +59,7 @@
   }
 
   /**
-   * What the store has in place of a retained record; undefined if it has nothing, or if the record is not
-   * retained.
+   * What the store has in place of a retained record; undefined if it has nothing, or if the record is not retained.
    */
   storedInsteadOf(name: string): StoredObject | undefined {
     return this._retentions.get(name)?.stored;
@@ -70,9 +69,7 @@
     return this._retentions.has(name);
   }
 
-  /**
-   * Remembers that an object was deleted. An object that a listing lacks after an outage may only have expired.
-   */
+  /** Remembers that an object was deleted. An object that a listing lacks after an outage may only have expired. */
   rememberDeletion(last: StoredObject, via: ObservedVia): void {
     const mayHaveExpired = via === 'listing' && this._options.mayHaveExpired();
     if (!mayHaveExpired) this._deleted.set(last.name, last);
@@ -84,9 +81,8 @@
   }
 
   /**
-   * Compares the objects `before` a rollback with those `stored` after it, at `revision`, and retains what the
-   * store has lost. Retained records get that revision, which orders them after the snapshot and before the
-   * next write.
+   * Compares the objects `before` a rollback with those `stored` after it, at `revision`, and retains what the store
+   * has lost. Retained records get that revision, which orders them after the snapshot and before the next write.
    */
   onRollback(
     before: ReadonlyMap<string, StoredObject>,
@@ -106,10 +102,7 @@
     log.state('records.rolled-back', { kind, ...revisionFields(revision), retained: this._retentions.size });
   }
 
-  /**
-   * Adopts a record that another entry retains, if it supersedes what this entry knows; returns whether it
-   * does.
-   */
+  /** Adopts a record that another entry retains, if it supersedes what this entry knows; returns whether it does. */
   adopt(record: RetainedRecord, stored: StoredObject | undefined): boolean {
     const { name } = record.object;
     const known = this._retentions.get(name);
@@ -136,9 +129,9 @@
   }
 
   /**
-   * Releases records that have expired. Only the time in which the store answered counts: from `regainedAt`,
-   * when it was regained, to `confirmedAt`, both in monotonic milliseconds. Returns what the store has in place
-   * of each released record.
+   * Releases records that have expired. Only the time in which the store answered counts: from `regainedAt`, when it
+   * was regained, to `confirmedAt`, both in monotonic milliseconds. Returns what the store has in place of each
+   * released record.
    */
   releaseExpired(regainedAt: number, confirmedAt: number): ReadonlyMap<string, StoredObject | undefined> {
     const released = new Map<string, StoredObject | undefined>();
--- a/src/records/rollbackPolicy.ts
+++ b/src/records/rollbackPolicy.ts
@@ -2,8 +2,8 @@
 import type { StoredObject } from './watchableStore.js';
 
 /**
- * Each method returns a time in milliseconds: 0 if the record doesn't stay in force, infinite if it stays until
- * the store has the same record or a later one.
+ * Each method returns a time in milliseconds: 0 if the record doesn't stay in force, infinite if it stays until the
+ * store has the same record or a later one.
  */
 export interface RollbackPolicy {
   /** The store has `stored` in place of `former`. */
--- a/src/records/sourceChoice.ts
+++ b/src/records/sourceChoice.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the sources of an entry's copies of the store's records, and whether the entry reads the store
- * itself. Pure.
+ * Chooses the sources of an entry's copies of the store's records, and whether the entry reads the store itself.
+ * Pure.
  */
 
 /** An entry that can provide its copies to others. */
@@ -30,9 +30,8 @@
 }
 
 /**
- * Number of entries that read the store, however many entries there are, because calls to the store have a
- * cost. With a single reader nobody could tell that it lags behind; with two, each entry notices when either
- * does.
+ * Number of entries that read the store, however many entries there are, because calls to the store have a cost. With
+ * a single reader nobody could tell that it lags behind; with two, each entry notices when either does.
  */
 export const READER_COUNT = 2;
 
@@ -49,8 +48,8 @@
 }
 
 /**
- * Seeds replace the ranking while this process knows no other entry. All of them may be gone, so this process
- * is the last candidate.
+ * Seeds replace the ranking while this process knows no other entry. All of them may be gone, so this process is the
+ * last candidate.
  */
 function candidatesOf({ own, ranking, seeds }: SourceChoiceInput): readonly RecordSource[] {
   if (ranking.some(({ address }) => address !== own.address)) return ranking;
--- a/src/records/storeProbe.ts
+++ b/src/records/storeProbe.ts
@@ -21,8 +21,7 @@
 }
 
 /**
- * Together with the timeout, this bounds the time until listeners of this process learn that it has lost the
- * store.
+ * Together with the timeout, this bounds the time until listeners of this process learn that it has lost the store.
  */
 const INTERVAL_MILLISECONDS = 500;
 const LOST_INTERVAL_MILLISECONDS = 250;
--- a/src/records/storeReader.ts
+++ b/src/records/storeReader.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps copies up to date from the store itself, and knows when they were last the newest. Only a few entries
- * read the store.
+ * Keeps copies up to date from the store itself, and knows when they were last the newest. Only a few entries read
+ * the store.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
@@ -39,10 +39,7 @@
     return this._reading && this._probe.isLost;
   }
 
-  /**
-   * Monotonic milliseconds at which the store last confirmed the copies; -infinity if it cannot confirm them
-   * now.
-   */
+  /** Monotonic milliseconds at which the store last confirmed the copies; -infinity if it cannot confirm them now. */
   get confirmedAt(): number {
     const isFollowing = this._options.followers.every((follower) => follower.reachable);
     return this._reading && isFollowing ? this._probe.answeredAt : Number.NEGATIVE_INFINITY;
--- a/src/records/storeRevision.ts
+++ b/src/records/storeRevision.ts
@@ -1,6 +1,6 @@
 /**
- * A total order of a store's revisions. After a rollback to an older snapshot the store assigns the same
- * revision numbers again, but in a new generation, so revisions are ordered by generation first.
+ * A total order of a store's revisions. After a rollback to an older snapshot the store assigns the same revision
+ * numbers again, but in a new generation, so revisions are ordered by generation first.
  */
 
 /** A revision as the store reports it. */
--- a/src/records/writableStore.ts
+++ b/src/records/writableStore.ts
@@ -1,6 +1,5 @@
 /**
- * A store whose objects are written one by one. Each write requires a revision of the object (optimistic
- * locking).
+ * A store whose objects are written one by one. Each write requires a revision of the object (optimistic locking).
  */
 import type { StoredObject } from './watchableStore.js';
 
@@ -17,8 +16,8 @@
 }
 
 /**
- * Each method rejects with a StepError if there is no usable answer. The write may then have been done, or may
- * still be done later.
+ * Each method rejects with a StepError if there is no usable answer. The write may then have been done, or may still
+ * be done later.
  */
 export interface WritableStore {
   /** Creates or replaces an object. */
--- a/tests/foreignRecords.spec.ts
+++ b/tests/foreignRecords.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Invalid objects that other clients write to the store must not stop an entry, be used as servers, or hide
- * valid objects.
+ * Invalid objects that other clients write to the store must not stop an entry, be used as servers, or hide valid
+ * objects.
  */
 import http from 'node:http';
 import { test } from 'node:test';
@@ -114,8 +114,7 @@
 });
 
 /**
- * Starts an entry in this process with the platform's store adapter, and a backend server that answers its
- * requests.
+ * Starts an entry in this process with the platform's store adapter, and a backend server that answers its requests.
  */
 async function startEntry(): Promise<{
   ask: () => Promise<number>;
--- a/tests/recordSources.spec.ts
+++ b/tests/recordSources.spec.ts
@@ -1,7 +1,4 @@
-/**
- * Entries that share the records which a few of them read from the store, while these entries or the store
- * fail.
- */
+/** Entries that share the records which a few of them read from the store, while these entries or the store fail. */
 import net from 'node:net';
 import { afterEach, beforeEach, test } from 'node:test';
 import { isDeepStrictEqual } from 'node:util';
--- a/tests/retainedRecords.spec.ts
+++ b/tests/retainedRecords.spec.ts
@@ -1,6 +1,4 @@
-/**
- * Records that stay in force after a rollback, and the later updates of the store that confirm or replace them.
- */
+/** Records that stay in force after a rollback, and the later updates of the store that confirm or replace them. */
 import { beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import { RecordReplica } from '../src/records/recordReplica.js';
--- a/tests/storeGeneration.spec.ts
+++ b/tests/storeGeneration.spec.ts
@@ -1,7 +1,4 @@
-/**
- * How the adapter of the platform's store handles the generation in answers: in order, late, missing or
- * garbled.
- */
+/** How the adapter of the platform's store handles the generation in answers: in order, late, missing or garbled. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import { PlatformStore } from '../platform/store.js';
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -12,9 +12,7 @@
 import { until } from './fixtures/until.js';
 
 const ENTRIES = 4;
-/**
- * More than the number of writes after the rollback, so that revision numbers stay below those of lost writes.
- */
+/** More than the number of writes after the rollback, so that revision numbers stay below those of lost writes. */
 const LOST_WRITES = 20;
 const READER = new PlatformRecordReader();
 
--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -1,6 +1,5 @@
 /**
- * What entries that share a store decide about requests under which servers exit, with concurrent and failing
- * writes.
+ * What entries that share a store decide about requests under which servers exit, with concurrent and failing writes.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
@@ -247,11 +246,9 @@
 });
 
 /**
- * Three harmful requests crashed nine servers within a third of a second. Two harmless requests ran on three of
- * these servers in a row, once as a trial, and were shut out for long: 2,091 of 2,181 streams were refused.
- *
- *   2000 suspicion.end dc9fca i-8  2080 suspicion.end dc9fca i-6  2125 suspicion.end dc9fca i-3  2131 suspicion.shut-out dc9fca
- *   2000 suspicion.end 39fdce i-8  2080 suspicion.end 39fdce i-6  2125 suspicion.end 39fdce i-3  2132 suspicion.shut-out 39fdce
+ * Three harmful requests crashed nine servers within a third of a second. Two harmless requests were running on i-8, i-6
+ * and i-3 when these exited within 125 ms, one of them during a trial. Both were shut out at most 7 ms later: 2,091 of
+ * 2,181 streams were refused.
  */
 test('should soon allow a trial of a request whose server exits another request may explain', async () => {
   const a = entry('a');
