--- a/tests/retainedRecords.spec.ts
+++ b/tests/retainedRecords.spec.ts
@@ -46,7 +46,7 @@
 }
 
 /** Lets retained records expire, while the store answers. */
-function letLapse(): void {
+function expireRetained(): void {
   clock.advance(RETAINED);
   replica.releaseRetained(Number.NEGATIVE_INFINITY, clock.now());
 }
@@ -62,13 +62,13 @@
   rollBackWithGone();
   expect(names()).toEqual(['a']);
   replica.applyListing(listing(at(1, 4), object('a', at(1, 1))));
-  letLapse();
+  expireRetained();
   expect(names()).toEqual(['a']);
 });
 
 test('should restore a deleted object once its retention has expired and the store still has it', () => {
   rollBackWithGone();
-  letLapse();
+  expireRetained();
   expect(names()).toEqual(['a', 'b']);
 });
 
@@ -139,8 +139,8 @@
 
 test('should report a change in the store that a retained record hides', () => {
   rollBackWithGone();
-  const told: string[] = [];
-  replica.on('change', ({ changes }) => told.push(...changes.map(({ object: { name } }) => name)));
+  const changedNames: string[] = [];
+  replica.on('change', ({ changes }) => changedNames.push(...changes.map(({ object: { name } }) => name)));
   remove('b', at(1, 4));
-  expect(told).toEqual(['b']);
+  expect(changedNames).toEqual(['b']);
 });
--- a/tests/storeGeneration.spec.ts
+++ b/tests/storeGeneration.spec.ts
@@ -76,11 +76,11 @@
   expect((await store.listStale('servers', NEVER)).objects.length).toEqual(1);
 });
 
-for (const told of ['', 'two', '-1', '1.5', '1e3', '99999999999', '8192']) {
-  test(`should treat an answer with the generation '${told}' as one of the latest generation`, async () => {
+for (const header of ['', 'two', '-1', '1.5', '1e3', '99999999999', '8192']) {
+  test(`should treat an answer with the generation '${header}' as one of the latest generation`, async () => {
     standin.era = 2;
     await store.probe(WAIT, NEVER);
-    standin.eraHeader = told;
+    standin.eraHeader = header;
     expect(generationOf((await store.list('servers', NEVER)).revision)).toEqual(2);
     expect(await store.probe(WAIT, NEVER)).toEqual(2);
   });
--- a/tests/storeRevision.spec.ts
+++ b/tests/storeRevision.spec.ts
@@ -18,9 +18,9 @@
 });
 
 test('should decode what it has encoded', () => {
-  const told = { generation: LAST_GENERATION, number: 2 ** 40 - 1 };
-  expect(storeRevisionOf(orderedRevision(told))).toEqual(told);
-  expect(Number.isSafeInteger(orderedRevision(told))).toEqual(true);
+  const revision = { generation: LAST_GENERATION, number: 2 ** 40 - 1 };
+  expect(storeRevisionOf(orderedRevision(revision))).toEqual(revision);
+  expect(Number.isSafeInteger(orderedRevision(revision))).toEqual(true);
 });
 
 test('should leave revisions unchanged in generation 0', () => {
