--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -107,7 +107,7 @@
   await until(() => fixture.held !== undefined);
   const copy = fixture.store.copy();
   await shutOut(entry);
-  fixture.store.rollBackTo(copy, { tellsGeneration: false });
+  fixture.store.rollBackTo(copy, { startsGeneration: false });
   const { writes } = fixture.store;
   fixture.store.maxWrites = writes + 20;
   void entry.recordServerExit('f', { server: 's-4', trial: '' });
