--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -118,7 +118,7 @@
     return urgency;
   }
 
-  /** Adopts the records that another entry retains, whose copy is complete up to `revision`. */
+  /** Adopts the retained records of another entry whose copy is complete up to `revision`. */
   adoptRetained(revision: number, records: readonly RetainedRecord[]): void {
     const isBeforeCopy = this._revision === 0 || generationOf(revision) > generationOf(this._revision);
     if (isBeforeCopy) this._early = [...this._early, { revision, records }].slice(-MAX_EARLY_MESSAGES);
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -41,10 +41,7 @@
 const CONFIRMATION_TIMEOUT_MILLISECONDS = 1_300;
 /** Time within which a new source has to become current, and this process after it has started to read. */
 const GRACE_MILLISECONDS = 1_000;
-/**
- * Reading starts only after it has been wanted for this time, because entries that start discover each other one by
- * one.
- */
+/** The choice to read the store must last for this time, because starting entries discover each other one by one. */
 const SETTLE_MILLISECONDS = 250;
 /**
  * During this time after the start, other entries may still be starting, so a lost link is retried before its source
@@ -183,7 +180,7 @@
     if (!isStarting) this._markFailed(address, reason);
   }
 
-  /** Starts to read after that has been wanted for long enough. Stops only when another source is current. */
+  /** Starts to read the store when the choice to read has settled. Stops only when another source is current. */
   private _updateReading({ reads, sources }: SourceChoice): void {
     const { reader, clock } = this._options;
     const now = clock.now();
@@ -218,8 +215,8 @@
   }
 
   /**
-   * Checks whether another source has had a change for too long that the copies lack. Then whoever feeds the copies
-   * is failing.
+   * Checks whether the copies have lacked a change of another source for too long. If so, the source of the copies
+   * doesn't work: the own reading, or the primary source.
    */
   private _checkLag(): void {
     const { state, clock, reader } = this._options;
--- a/src/records/recordState.ts
+++ b/src/records/recordState.ts
@@ -20,7 +20,7 @@
   private _regainedAt = Number.NEGATIVE_INFINITY;
   private _lostAt = Number.NEGATIVE_INFINITY;
 
-  /** `ownFreshness` returns how current the copies are by this process's own reading of the store. */
+  /** `ownFreshness` returns how current the copies are if this process reads the store itself. */
   constructor(replicas: readonly RecordReplica[], clock: Clock, ownFreshness: () => Freshness) {
     this.replicas = replicas;
     this._clock = clock;
--- a/tests/retainedRecords.spec.ts
+++ b/tests/retainedRecords.spec.ts
@@ -96,7 +96,7 @@
   expect(names()).toEqual([]);
 });
 
-test('should not treat an object as deleted that a listing lacks after an outage', () => {
+test('should not treat an object as deleted if a listing lacks it after an outage', () => {
   replica.applyListing(listing(at(0, 5), object('b', at(0, 2))));
   mayHaveExpired = true;
   replica.applyListing(listing(at(0, 6)));
--- a/tests/storeGeneration.spec.ts
+++ b/tests/storeGeneration.spec.ts
@@ -68,7 +68,7 @@
   await expect(store.list('servers', NEVER)).toBeRejectedWith('generation 1 after one of 2');
 });
 
-test('should count a store as available that gives a stale answer of a former generation', async () => {
+test('should count a store as available if it gives a stale answer of a former generation', async () => {
   standin.era = 2;
   await store.probe(WAIT, NEVER);
   standin.eraHeader = '1';
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -29,7 +29,7 @@
   await fixture.sync();
 }
 
-test('should keep a request shut out whose suspicion the store has lost, and restore it', async () => {
+test('should keep a request shut out after the store has lost its suspicion, and restore the suspicion', async () => {
   const entries = [fixture.entry('a'), fixture.entry('b')];
   const copy = fixture.store.copy();
   await shutOut(entries[0]);
@@ -52,7 +52,7 @@
   await until(() => fixture.held !== undefined);
   await fixture.sync();
   expect(others.every((other) => other.counts.shutOut === 1)).toEqual(true);
-  // longer than entries wait that don't read the store
+  // longer than the wait of entries that don't read the store
   await pause(1_700);
   expect(fixture.store.writes - writes).toEqual(1);
 });
--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -246,9 +246,9 @@
 });
 
 /**
- * Three harmful requests crashed nine servers within a third of a second. Two harmless requests were running on i-8, i-6
- * and i-3 when these exited within 125 ms, one of them during a trial. Both were shut out at most 7 ms later: 2,091 of
- * 2,181 streams were refused.
+ * Three harmful requests crashed nine servers within a third of a second. Two harmless requests were running on i-8,
+ * i-6 and i-3 when these exited within 125 ms, one of them during a trial. Both were shut out at most 7 ms later:
+ * 2,091 of 2,181 streams were refused.
  */
 test('should soon allow a trial of a request whose server exits another request may explain', async () => {
   const a = entry('a');
