--- a/src/crashes/suspicionCopies.ts
+++ b/src/crashes/suspicionCopies.ts
@@ -124,6 +124,6 @@
   }
 
   private _read(object: StoredObject): Suspicion | undefined {
-    return this._unreadable.valueOf(this._replica.kind, object, readSuspicion(object.value));
+    return this._unreadable.unwrapOrReport(this._replica.kind, object, readSuspicion(object.value));
   }
 }
--- a/src/crashes/suspicionGate.ts
+++ b/src/crashes/suspicionGate.ts
@@ -110,7 +110,7 @@
       if (decision === 'shut-out') return 'ends servers';
       if (decision === 'run' || decision === 'run-as-trial') return 'granted';
       if (decision === 'claim-trial') await this._claimTrial(left());
-      else await this._tracker.changed(fingerprint(), left());
+      else await this._tracker.waitForChange(fingerprint(), left());
     }
     return 'time';
   }
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -189,7 +189,7 @@
   }
 
   /** Resolves when the decision for a request may have changed, at the latest after `milliseconds`. */
-  async changed(fingerprint: string, milliseconds: number): Promise<void> {
+  async waitForChange(fingerprint: string, milliseconds: number): Promise<void> {
     const waiting = this._waiting.get(fingerprint) ?? new Set();
     this._waiting.set(fingerprint, waiting);
     let wake: () => void = () => undefined;
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -153,7 +153,7 @@
     const { suspicion, revision } = copies.get(fingerprint);
     const next = applyAll(suspicion, changes);
     if (isDeepStrictEqual(next, suspicion)) return changes.length;
-    const answer = await this._call(fingerprint, suspicion ? revision : 0, next);
+    const answer = await this._sendWrite(fingerprint, suspicion ? revision : 0, next);
     if (answer.kind === 'done') {
       copies.update(fingerprint, answer.revision, next);
       return changes.length;
@@ -181,7 +181,11 @@
     if (copy) this._addFirst(fingerprint, (suspicion) => restoreKnown(suspicion, copy));
   }
 
-  private async _call(name: string, revision: number, next: Suspicion | undefined): Promise<WriteAnswer> {
+  private async _sendWrite(
+    name: string,
+    revision: number,
+    next: Suspicion | undefined,
+  ): Promise<WriteAnswer> {
     const { store, kind } = this._options;
     while (this._writes >= MAX_CONCURRENT_WRITES)
       await new Promise<void>((resume) => this._waiting.push(resume));
--- a/src/records/unreadableRecords.ts
+++ b/src/records/unreadableRecords.ts
@@ -19,7 +19,7 @@
   }
 
   /** Returns the value that was read from `object`. If reading failed, reports the object and returns undefined. */
-  valueOf<T>(kind: string, object: StoredObject, read: Result<T, string>): T | undefined {
+  unwrapOrReport<T>(kind: string, object: StoredObject, read: Result<T, string>): T | undefined {
     if (read.isOk()) return read.value;
     this._report(kind, object, read.error);
     return undefined;
--- a/src/serving/decodedServers.ts
+++ b/src/serving/decodedServers.ts
@@ -38,6 +38,10 @@
 
   private _read(object: StoredObject): BackendServerRecord | undefined {
     const { kinds } = this._reader;
-    return this._unreadable.valueOf(kinds.servers, object, this._reader.server(object.name, object.value));
+    return this._unreadable.unwrapOrReport(
+      kinds.servers,
+      object,
+      this._reader.server(object.name, object.value),
+    );
   }
 }
--- a/src/serving/followedRecords.ts
+++ b/src/serving/followedRecords.ts
@@ -35,7 +35,7 @@
     const { reader, unreadable } = platform;
     for (const object of followers.configuration.objects.values()) {
       const read = reader.configuration(object.name, object.value);
-      const value = unreadable.valueOf(reader.kinds.configuration, object, read);
+      const value = unreadable.unwrapOrReport(reader.kinds.configuration, object, read);
       if (value && configuration.offer(value, 'store')) onConfiguration(value);
     }
   }
--- a/src/serving/namedVersions.ts
+++ b/src/serving/namedVersions.ts
@@ -60,7 +60,11 @@
 
   private _read(object: StoredObject): NamedVersion | undefined {
     const { kinds } = this._reader;
-    return this._unreadable.valueOf(kinds.versions, object, this._reader.version(object.name, object.value));
+    return this._unreadable.unwrapOrReport(
+      kinds.versions,
+      object,
+      this._reader.version(object.name, object.value),
+    );
   }
 
   /** How long before now a version may have been named that comes with a change. */
