--- a/src/crashes/suspicionCopies.ts
+++ b/src/crashes/suspicionCopies.ts
@@ -1,4 +1,6 @@
-/** This entry's copies of the suspicions in the store: by its own writes, which it knows at once, and by its replica. */
+/**
+ * This entry's copies of the suspicions in the store, updated by its own writes at once and otherwise by its replica.
+ */
 import { EventEmitter } from 'node:events';
 import { LRUCache } from 'lru-cache';
 import type { RecordReplica } from '../records/recordReplica.js';
@@ -8,38 +10,42 @@
 import type { Suspicion } from './suspicion.js';
 import { readSuspicion } from './suspicion.js';
 
-/** A suspicion as the store has it; undefined where it has been removed. */
+/** A suspicion as the store holds it. */
 export interface StoredSuspicion {
+  /** Undefined if it was removed. */
   suspicion: Suspicion | undefined;
-  /** 0 when the store never had one. */
+  /** 0 if the store never had one. */
   revision: number;
-  /** Monotonic milliseconds at which this entry saw this revision first. */
+  /** Monotonic milliseconds at which this entry first saw this revision. */
   seenAt: number;
 }
 
 interface SuspicionCopiesEvents {
-  /** The suspicion of a request has changed: its fingerprint, and how many ends it had before. */
+  /**
+   * The suspicion of a request has changed. Passes its fingerprint, and the number of server exits that it had
+   * before.
+   */
   change: [string, number];
-  /** The store was rolled back; what was known before. The copies are replaced right after. */
+  /** The store was rolled back. Passes the copies of before; they are replaced right after the event. */
   rollback: [KnownSuspicions];
 }
 
-/** What was known before the store was rolled back, by fingerprint. */
+/** Suspicions that were known before a rollback of the store, by fingerprint. */
 export interface KnownSuspicions {
   suspected: ReadonlyMap<string, Suspicion>;
-  /** Those that had been removed, as they were last. */
+  /** Last states of removed suspicions. */
   cleared: ReadonlyMap<string, Suspicion>;
 }
 
-/** Suspicions whose removal is remembered. */
-const MOST_CLEARED = 1_000;
+/** Number of removed suspicions that are remembered. */
+const MAX_CLEARED = 1_000;
 
 export class SuspicionCopies extends EventEmitter<SuspicionCopiesEvents> {
   private readonly _replica: RecordReplica;
   private readonly _unreadable: UnreadableRecords;
   private readonly _clock: Clock;
   private readonly _stored = new Map<string, StoredSuspicion>();
-  private readonly _cleared = new LRUCache<string, Suspicion>({ max: MOST_CLEARED });
+  private readonly _cleared = new LRUCache<string, Suspicion>({ max: MAX_CLEARED });
 
   constructor(replica: RecordReplica, unreadable: UnreadableRecords, clock: Clock) {
     super();
@@ -48,7 +54,7 @@
     this._clock = clock;
     replica.on('change', ({ cause }) => {
       if (cause === 'rollback') this.emit('rollback', this._known());
-      this._takeReplica();
+      this._applyReplica();
     });
   }
 
@@ -56,41 +62,44 @@
     return this._stored.size;
   }
 
-  /** All that are known, by their fingerprints. */
+  /** All copies with their fingerprints. */
   all(): readonly (readonly [string, StoredSuspicion])[] {
     return [...this._stored];
   }
 
-  of(fingerprint: string): StoredSuspicion {
+  get(fingerprint: string): StoredSuspicion {
     return this._stored.get(fingerprint) ?? { suspicion: undefined, revision: 0, seenAt: this._clock.now() };
   }
 
-  /** Takes what the store holds as of `revision`, by the answer to a write; returns whether it is newer. */
-  note(fingerprint: string, revision: number, suspicion: Suspicion | undefined): boolean {
+  /** Updates a copy by the answer to a write; returns whether `revision` is newer than the copy. */
+  update(fingerprint: string, revision: number, suspicion: Suspicion | undefined): boolean {
     const known = this._stored.get(fingerprint);
     if (known && known.revision >= revision) return false;
-    this._noteCleared(fingerprint, suspicion);
+    this._trackCleared(fingerprint, suspicion);
     this._stored.set(fingerprint, { suspicion, revision, seenAt: this._clock.now() });
     this.emit('change', fingerprint, known?.suspicion?.ends.length ?? 0);
     return true;
   }
 
-  /** The same where a write found another object, or none. */
-  noteObject(fingerprint: string, object: StoredObject | undefined): boolean {
-    if (object) return this.note(fingerprint, object.revision, this._read(object));
-    this._noteCleared(fingerprint, undefined);
+  /**
+   * Updates a copy by the object in the store, undefined if there is none; returns whether that is newer than the
+   * copy.
+   */
+  updateFromObject(fingerprint: string, object: StoredObject | undefined): boolean {
+    if (object) return this.update(fingerprint, object.revision, this._read(object));
+    this._trackCleared(fingerprint, undefined);
     const isNewer = this._stored.delete(fingerprint);
     this.emit('change', fingerprint, 0);
     return isNewer;
   }
 
-  /** Takes an object as what the store holds, even if it is older than the copy. */
+  /** Replaces a copy by the object in the store, even if that is older. */
   replace(fingerprint: string, object: StoredObject): void {
     this._stored.delete(fingerprint);
-    this.noteObject(fingerprint, object);
+    this.updateFromObject(fingerprint, object);
   }
 
-  private _noteCleared(fingerprint: string, suspicion: Suspicion | undefined): void {
+  private _trackCleared(fingerprint: string, suspicion: Suspicion | undefined): void {
     const former = this._stored.get(fingerprint)?.suspicion;
     if (suspicion) this._cleared.delete(fingerprint);
     else if (former) this._cleared.set(fingerprint, former);
@@ -103,18 +112,18 @@
     return { suspected: new Map(suspected), cleared: new Map(this._cleared.entries()) };
   }
 
-  private _takeReplica(): void {
+  private _applyReplica(): void {
     for (const object of this._replica.objects.values()) {
       const known = this._stored.get(object.name);
-      if (!known || known.revision < object.revision) this.noteObject(object.name, object);
+      if (!known || known.revision < object.revision) this.updateFromObject(object.name, object);
     }
     for (const [fingerprint, { revision }] of this._stored) {
       const isGone = !this._replica.objects.has(fingerprint) && revision <= this._replica.revision;
-      if (isGone) this.noteObject(fingerprint, undefined);
+      if (isGone) this.updateFromObject(fingerprint, undefined);
     }
   }
 
   private _read(object: StoredObject): Suspicion | undefined {
-    return this._unreadable.valueOf(this._replica.kind, object, readSuspicion(object.value));
+    return this._unreadable.unwrapOrReport(this._replica.kind, object, readSuspicion(object.value));
   }
 }
--- a/src/crashes/suspicionRestorer.ts
+++ b/src/crashes/suspicionRestorer.ts
@@ -1,12 +1,14 @@
-/** Keeps the suspicions that a rollback of the store has lost, and writes them again: nobody else does. */
+/**
+ * Keeps the suspicions that a rollback of the store has lost, and writes them again. Only entries write suspicions,
+ * so nobody else restores them.
+ */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Random } from '../utils/random.js';
 import { pause } from '../utils/timers.js';
-import { withKnown, withoutCleared } from './suspicion.js';
+import { restoreKnown, removeCleared } from './suspicion.js';
 import type { KnownSuspicions, SuspicionCopies } from './suspicionCopies.js';
 import type { SuspicionWriter } from './suspicionWriter.js';
 
-/** What a restorer works with. */
 export interface SuspicionRestorerOptions {
   copies: SuspicionCopies;
   writer: SuspicionWriter;
@@ -16,10 +18,14 @@
   log: EventLog;
 }
 
-/** After a rollback, entries that read the store write again what it lacks within this time, so that one write is enough. */
+/**
+ * After a rollback, each entry that reads the store waits a random part of this time before it restores, so that
+ * usually only one of them has to write.
+ */
 const RESTORE_MILLISECONDS = 400;
-/** The others do so by then, in case those that read the store have just started. */
+/** The other entries restore by this time, in case all entries that read the store have just started. */
 const RESTORE_BY_OTHERS_MILLISECONDS = 1_600;
+
 export class SuspicionRestorer {
   private readonly _options: SuspicionRestorerOptions;
   private readonly _stopped = new AbortController();
@@ -35,32 +41,32 @@
 
   private async _restore(known: KnownSuspicions): Promise<void> {
     const { suspected, cleared } = known;
-    this._proposeSuspected(known);
-    // the copies are replaced next: only then is what was cleared there again
+    this._queueSuspected(known);
+    // the copies are replaced right after this event: only then do cleared suspicions show up again
     await Promise.resolve();
-    this._proposeCleared(known);
+    this._queueCleared(known);
     this._options.log.state('suspicions.restoring', { suspected: suspected.size, cleared: cleared.size });
     await pause(this._waitMilliseconds(), this._stopped.signal);
     for (const fingerprint of [...suspected.keys(), ...cleared.keys()]) {
       if (this._stopped.signal.aborted) return;
-      await this._options.writer.writeProposed(fingerprint);
+      await this._options.writer.flush(fingerprint);
     }
   }
 
-  private _proposeSuspected({ suspected }: KnownSuspicions): void {
+  private _queueSuspected({ suspected }: KnownSuspicions): void {
     for (const [fingerprint, known] of suspected)
-      this._options.writer.propose(fingerprint, (suspicion) => withKnown(suspicion, known));
+      this._options.writer.queue(fingerprint, (suspicion) => restoreKnown(suspicion, known));
   }
 
-  private _proposeCleared({ cleared }: KnownSuspicions): void {
+  private _queueCleared({ cleared }: KnownSuspicions): void {
     const { copies, writer } = this._options;
     for (const [fingerprint, former] of cleared) {
-      if (copies.of(fingerprint).suspicion)
-        writer.propose(fingerprint, (suspicion) => withoutCleared(suspicion, former));
+      if (copies.get(fingerprint).suspicion)
+        writer.queue(fingerprint, (suspicion) => removeCleared(suspicion, former));
     }
   }
 
-  /** Others than readers wait until these must have written. */
+  /** Entries that don't read the store wait until those that do must have written. */
   private _waitMilliseconds(): number {
     const { isReading, random } = this._options;
     if (isReading()) return random.fraction() * RESTORE_MILLISECONDS;
--- /dev/null
+++ b/src/crashes/suspicionTracker.ts
@@ -0,0 +1,287 @@
+/**
+ * Tracks which requests are suspected of crashing the servers that run them. All entries share this state through the
+ * store.
+ *
+ * When a server exits, all requests that it ran become suspected. A suspected request runs only once at a time in the
+ * whole system, which is called its trial. It is cleared when it completes successfully at any entry, and shut out
+ * when too many servers have exited under it: from then on entries refuse it. While the store doesn't answer, this
+ * entry decides by what it knows, so that it refuses no request that may be harmless.
+ */
+import { isDeepStrictEqual } from 'node:util';
+import { LRUCache } from 'lru-cache';
+import type { RecordReplica } from '../records/recordReplica.js';
+import type { UnreadableRecords } from '../records/unreadableRecords.js';
+import type { WritableStore } from '../records/writableStore.js';
+import type { EventLog } from '../telemetry/eventLog.js';
+import type { Clock } from '../utils/clock.js';
+import type { Random } from '../utils/random.js';
+import { atMost } from '../utils/timers.js';
+import { SuccessCredits } from './successCredits.js';
+import type { ServerProcess } from './serverExitChecker.js';
+import { ServerExitChecker } from './serverExitChecker.js';
+import type { RunDecision } from './runDecision.js';
+import { decideRun } from './runDecision.js';
+import type { ServerExit, Suspicion } from './suspicion.js';
+import { isExplained, isShutOut, withServerExit, withTrial, withoutTrial } from './suspicion.js';
+import type { StoredSuspicion } from './suspicionCopies.js';
+import { SuspicionCopies } from './suspicionCopies.js';
+import { SuspicionRestorer } from './suspicionRestorer.js';
+import type { SuspicionChange } from './suspicionWriter.js';
+import { SuspicionWriter } from './suspicionWriter.js';
+
+export interface SuspicionTrackerOptions {
+  /** Box of this entry. */
+  box: string;
+  replica: RecordReplica;
+  store: WritableStore;
+  unreadable: UnreadableRecords;
+  /** Whether this process is one of the few that read the store, and that remove stale suspicions from it. */
+  isReading: () => boolean;
+  /** Whether the entry on a box is live. The trial of an entry that is not live counts as over. */
+  isLive: (box: string) => boolean;
+  clock: Clock;
+  random: Random;
+  log: EventLog;
+}
+
+/** When the last server exit under a request became known. */
+interface LastExit {
+  ends: number;
+  /** Monotonic milliseconds. */
+  at: number;
+}
+
+/** How long a request waits for its change to be written. Callers of harmless requests have to wait for it too. */
+const WRITE_WAIT_MILLISECONDS = 250;
+/**
+ * A harmful request crashes its server soon after the server has started to run it. After this time a trial no longer
+ * holds up the other callers of the same request, who may be many and whose requests may be harmless.
+ */
+const MAX_TRIAL_MILLISECONDS = 3_000;
+/** A suspicion is removed when it hasn't changed for this time, because nobody has repeated the request. */
+const SUSPECTED_TTL_MILLISECONDS = 60_000;
+/** The same for a request that is shut out. */
+const SHUT_OUT_TTL_MILLISECONDS = 24 * 3_600_000;
+const CLEANUP_INTERVAL_MILLISECONDS = 10_000;
+/**
+ * With more suspicions than this, servers exit for another cause, such as failing racks, and the store is spared the
+ * writes.
+ */
+const MAX_SUSPICIONS = 1_000;
+const MAX_PENDING = 200;
+/** How often a waiting request checks whether the entry that runs the trial is still live. */
+const RECHECK_INTERVAL_MILLISECONDS = 250;
+
+export class SuspicionTracker {
+  private readonly _options: SuspicionTrackerOptions;
+  private readonly _copies: SuspicionCopies;
+  private readonly _writer: SuspicionWriter;
+  private readonly _restorer: SuspicionRestorer;
+  private readonly _exitChecker: ServerExitChecker;
+  private readonly _successCredits = new SuccessCredits();
+  private readonly _lastExits = new LRUCache<string, LastExit>({ max: MAX_SUSPICIONS + MAX_PENDING });
+  private readonly _waiting = new Map<string, Set<() => void>>();
+  /** Trials that requests of this process have claimed. */
+  private readonly _claims = new Set<string>();
+  private readonly _timer: NodeJS.Timeout;
+
+  constructor(options: SuspicionTrackerOptions) {
+    const { replica, unreadable, clock } = options;
+    this._options = options;
+    this._exitChecker = new ServerExitChecker(options.log);
+    this._copies = new SuspicionCopies(replica, unreadable, clock);
+    this._copies.on('change', (fingerprint, endsBefore) => this._onChange(fingerprint, endsBefore));
+    this._writer = new SuspicionWriter({ ...options, kind: replica.kind, copies: this._copies });
+    this._restorer = new SuspicionRestorer({ ...options, copies: this._copies, writer: this._writer });
+    this._timer = setInterval(() => this._removeStale(), CLEANUP_INTERVAL_MILLISECONDS).unref();
+  }
+
+  /** Whether no request is suspected, so that none needs to be looked up. */
+  get isEmpty(): boolean {
+    return this._copies.size === 0 && this._writer.pending === 0;
+  }
+
+  /** Number of suspected requests, and of those among them that are shut out. */
+  get counts(): { suspected: number; shutOut: number } {
+    const suspicions = this._copies.all().flatMap(([, { suspicion }]) => suspicion ?? []);
+    return { suspected: suspicions.length, shutOut: suspicions.filter(isShutOut).length };
+  }
+
+  /** Decides whether a request may run now; `request` is the id of the trial that it claimed last. */
+  runDecision(fingerprint: string, request: string): RunDecision {
+    const suspicion = this._writer.get(fingerprint);
+    const trial = suspicion?.trial;
+    return decideRun({
+      suspicion,
+      request,
+      ownsTrial: trial?.request === request && trial.box === this._options.box,
+      isTrialExpired: trial?.request === this._expiredTrial(this._copies.get(fingerprint)),
+      millisecondsSinceLastExit:
+        this._options.clock.now() - (this._lastExits.get(fingerprint)?.at ?? Number.NEGATIVE_INFINITY),
+      isExplainedByOthers:
+        suspicion !== undefined && isShutOut(suspicion) && this._isExplained(fingerprint, suspicion),
+    });
+  }
+
+  /** Resolves to whether the process of a server that broke off a connection has exited. Never rejects. */
+  async hasExited(server: ServerProcess): Promise<boolean> {
+    return await this._exitChecker.hasExited(server);
+  }
+
+  /**
+   * Records that a server exited while it had the request. Resolves when this is written to the store, if it is to be
+   * written, at the latest after a short time.
+   */
+  async recordServerExit(fingerprint: string, exit: ServerExit): Promise<void> {
+    const { log } = this._options;
+    if (this._successCredits.spend(fingerprint))
+      return log.decision('suspicion.spared', { fingerprint, ...exit });
+    const isFull = this._copies.size >= MAX_SUSPICIONS || this._writer.pending >= MAX_PENDING;
+    if (isFull && !this._writer.get(fingerprint))
+      return log.state('suspicion.not-kept', { fingerprint, server: exit.server });
+    const written = this._change(fingerprint, (suspicion) => withServerExit(suspicion, exit));
+    const ends = this._writer.get(fingerprint)?.ends.length ?? 0;
+    this._recordExitCount(fingerprint, ends);
+    log.decision('suspicion.end', { fingerprint, ...exit, ends });
+    await atMost(written, WRITE_WAIT_MILLISECONDS);
+  }
+
+  /** Claims the trial of a suspected request; `runDecision` tells afterwards whether the request got it. */
+  async claim(fingerprint: string, request: string, milliseconds: number): Promise<void> {
+    const { box } = this._options;
+    const expired = this._expiredTrial(this._copies.get(fingerprint));
+    const trial = {
+      box,
+      request,
+      milliseconds: Math.ceil(Math.min(milliseconds, MAX_TRIAL_MILLISECONDS)),
+    };
+    this._claims.add(request);
+    const claimed = this._change(
+      fingerprint,
+      (suspicion) => suspicion && withTrial(suspicion, trial, expired),
+    );
+    await atMost(claimed, WRITE_WAIT_MILLISECONDS);
+  }
+
+  /** Ends a trial whose request may claim another one. */
+  endTrial(fingerprint: string, request: string): void {
+    this._claims.delete(request);
+    if (this._writer.get(fingerprint)?.trial?.request !== request) return;
+    void this._change(fingerprint, (suspicion) => suspicion && withoutTrial(suspicion, request));
+  }
+
+  /**
+   * Ends a request that saw a server exit or claimed a trial, and writes what is known of it to the store for all
+   * entries.
+   */
+  release(fingerprint: string, request: string): void {
+    this._claims.delete(request);
+    if (!this._writer.get(fingerprint)) return;
+    void this._writer.write(fingerprint, (suspicion) => suspicion && withoutTrial(suspicion, request));
+  }
+
+  /** Records that the request completed successfully, which shows that it doesn't crash every server that runs it. */
+  recordSuccess(fingerprint: string): void {
+    this._successCredits.add(fingerprint);
+    if (this.isEmpty || !this._writer.get(fingerprint)) return;
+    this._options.log.decision('suspicion.cleared', { fingerprint });
+    void this._change(fingerprint, () => undefined);
+  }
+
+  /** Resolves when the decision for a request may have changed, at the latest after `milliseconds`. */
+  async waitForChange(fingerprint: string, milliseconds: number): Promise<void> {
+    const waiting = this._waiting.get(fingerprint) ?? new Set();
+    this._waiting.set(fingerprint, waiting);
+    let wake: () => void = () => undefined;
+    const woken = new Promise<void>((resolve) => (wake = resolve));
+    waiting.add(wake);
+    await atMost(woken, Math.min(milliseconds, RECHECK_INTERVAL_MILLISECONDS));
+    waiting.delete(wake);
+    if (waiting.size === 0) this._waiting.delete(fingerprint);
+  }
+
+  close(): void {
+    clearInterval(this._timer);
+    this._restorer.stop();
+    this._writer.stop();
+  }
+
+  /**
+   * Writes a change to the store once two servers have exited under the request, and only queues it before: most
+   * requests that see one server exit succeed on the next server, and each write has a cost on the platform.
+   */
+  private async _change(fingerprint: string, change: SuspicionChange): Promise<void> {
+    const ends = change(this._writer.get(fingerprint))?.ends.length ?? 0;
+    if (ends > 1 || this._writer.isStored(fingerprint)) await this._writer.write(fingerprint, change);
+    else {
+      this._writer.queue(fingerprint, change);
+      this._wake(fingerprint);
+    }
+  }
+
+  private _isExplained(fingerprint: string, suspicion: Suspicion): boolean {
+    const others = this._copies.all().filter(([other]) => other !== fingerprint);
+    const known = others.flatMap(([, { suspicion: other }]) => other ?? []);
+    return isExplained(suspicion, known.filter(isShutOut));
+  }
+
+  private _age({ seenAt }: StoredSuspicion): number {
+    return this._options.clock.now() - seenAt;
+  }
+
+  /**
+   * Returns the trial that is over although its end was not reported: its entry was killed, or cannot reach the
+   * store.
+   */
+  private _expiredTrial(stored: StoredSuspicion): string | undefined {
+    const trial = stored.suspicion?.trial;
+    if (!trial) return undefined;
+    const { box, isLive } = this._options;
+    const isOfPreviousProcess = trial.box === box && !this._claims.has(trial.request);
+    const isOver = isOfPreviousProcess || !isLive(trial.box) || this._age(stored) > trial.milliseconds;
+    return isOver ? trial.request : undefined;
+  }
+
+  private _onChange(fingerprint: string, exitsBefore: number): void {
+    const suspicion = this._writer.get(fingerprint);
+    if (!suspicion) this._lastExits.delete(fingerprint);
+    else if (suspicion.ends.length > exitsBefore) this._onNewExits(fingerprint, suspicion);
+    this._wake(fingerprint);
+  }
+
+  private _onNewExits(fingerprint: string, suspicion: Suspicion): void {
+    this._recordExitCount(fingerprint, suspicion.ends.length);
+    if (!isShutOut(suspicion)) return;
+    const servers = suspicion.ends.map(({ server }) => server);
+    this._options.log.state('suspicion.shut-out', { fingerprint, servers });
+  }
+
+  private _recordExitCount(fingerprint: string, ends: number): void {
+    const known = this._lastExits.get(fingerprint);
+    if (!known || known.ends < ends)
+      this._lastExits.set(fingerprint, { ends, at: this._options.clock.now() });
+  }
+
+  private _wake(fingerprint: string): void {
+    for (const wake of [...(this._waiting.get(fingerprint) ?? [])]) wake();
+  }
+
+  /** Removes suspicions of requests that nobody repeats; the other entries see the removal in their copies. */
+  private _removeStale(): void {
+    if (!this._options.isReading()) return;
+    for (const [fingerprint, stored] of this._copies.all()) {
+      const { suspicion } = stored;
+      if (!suspicion) continue;
+      const keptFor = isShutOut(suspicion) ? SHUT_OUT_TTL_MILLISECONDS : SUSPECTED_TTL_MILLISECONDS;
+      if (this._age(stored) > keptFor) void this._remove(fingerprint, suspicion);
+    }
+  }
+
+  private async _remove(fingerprint: string, stale: Suspicion): Promise<void> {
+    this._options.log.decision('suspicion.forgotten', { fingerprint, ends: stale.ends.length });
+    // a suspicion that has changed in the meantime stays
+    const change = (suspicion: Suspicion | undefined): Suspicion | undefined =>
+      isDeepStrictEqual(suspicion, stale) ? undefined : suspicion;
+    await this._writer.write(fingerprint, change);
+  }
+}
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -1,4 +1,7 @@
-/** Writes changes of suspicions into the store: none is lost by the write of another entry, or by a store that is silent. */
+/**
+ * Writes changes of suspicions to the store. No change is lost when another entry writes at the same time, or when
+ * the store doesn't answer for a while.
+ */
 import { isDeepStrictEqual } from 'node:util';
 import type { WritableStore, WriteAnswer } from '../records/writableStore.js';
 import type { EventLog } from '../telemetry/eventLog.js';
@@ -9,13 +12,15 @@
 import { pause } from '../utils/timers.js';
 import type { StoredObject } from '../records/watchableStore.js';
 import type { Suspicion } from './suspicion.js';
-import { withKnown } from './suspicion.js';
+import { restoreKnown } from './suspicion.js';
 import type { SuspicionCopies } from './suspicionCopies.js';
 
-/** What becomes of a suspicion; undefined stands for none. Made anew on what another entry has written meanwhile. */
+/**
+ * Computes the next state of a suspicion, undefined if there is none. Applied again when another entry has written in
+ * the meantime.
+ */
 export type SuspicionChange = (suspicion: Suspicion | undefined) => Suspicion | undefined;
 
-/** What a writer works with. */
 export interface SuspicionWriterOptions {
   kind: string;
   store: WritableStore;
@@ -27,68 +32,71 @@
 
 interface PendingChange {
   apply: SuspicionChange;
-  /** Monotonic milliseconds. */
+  /** When the change was queued, in monotonic milliseconds. */
   since: number;
   done: () => void;
 }
 
-/** Writes under way at once: more would keep the store's other calls of this process waiting while it is silent. */
-const MOST_WRITES = 8;
+/** With more, the other store calls of this process would have to wait while the store doesn't answer. */
+const MAX_CONCURRENT_WRITES = 8;
 const RETRY = { firstMilliseconds: 40, longestMilliseconds: 500 };
-/** A store that is silent for longer than this finds what it lacks in the suspicions that come next. */
-const LONGEST_MILLISECONDS = 30_000;
+/**
+ * Age at which a change is given up. If the store is unavailable for longer, later suspicions make up for the lost
+ * ones.
+ */
+const GIVE_UP_MILLISECONDS = 30_000;
 
 export class SuspicionWriter {
   private readonly _options: SuspicionWriterOptions;
   private readonly _pending = new Map<string, PendingChange[]>();
-  /** Those of the pending that are being written. */
+  /** Fingerprints whose pending changes are being written. */
   private readonly _writing = new Set<string>();
   /** Revisions of conflicting objects that were older than the copy, by fingerprint. */
-  private readonly _older = new Map<string, number>();
+  private readonly _olderConflicts = new Map<string, number>();
   private readonly _stopped = new AbortController();
   private readonly _waiting: (() => void)[] = [];
   private _writes = 0;
 
   constructor(options: SuspicionWriterOptions) {
     this._options = options;
-    options.copies.on('change', (fingerprint) => this._dropIfDone(fingerprint));
+    options.copies.on('change', (fingerprint) => this._dropIfStored(fingerprint));
   }
 
-  /** Suspicions that wait to be written. */
+  /** Number of suspicions with pending changes. */
   get pending(): number {
     return this._pending.size;
   }
 
-  /** The suspicion as it is once all is written that waits. */
-  of(fingerprint: string): Suspicion | undefined {
-    const { suspicion } = this._options.copies.of(fingerprint);
-    return applied(suspicion, this._pending.get(fingerprint) ?? []);
+  /** The suspicion with all pending changes applied. */
+  get(fingerprint: string): Suspicion | undefined {
+    const { suspicion } = this._options.copies.get(fingerprint);
+    return applyAll(suspicion, this._pending.get(fingerprint) ?? []);
   }
 
-  /** Whether the store has a suspicion, or is about to get one. */
-  isTold(fingerprint: string): boolean {
-    return this._writing.has(fingerprint) || this._options.copies.of(fingerprint).revision > 0;
+  /** Whether the store has a suspicion, or a write of it has begun. */
+  isStored(fingerprint: string): boolean {
+    return this._writing.has(fingerprint) || this._options.copies.get(fingerprint).revision > 0;
   }
 
-  /** Notes a change that is written with the next one, or never if that undoes it. */
-  propose(fingerprint: string, apply: SuspicionChange): void {
+  /** Queues a change until the next call of `write` or `flush`. A later change may undo it before it is written. */
+  queue(fingerprint: string, apply: SuspicionChange): void {
     this._add(fingerprint, apply, () => undefined);
-    const isUndone = !this.isTold(fingerprint) && this.of(fingerprint) === undefined;
+    const isUndone = !this.isStored(fingerprint) && this.get(fingerprint) === undefined;
     if (isUndone) this._pending.delete(fingerprint);
   }
 
-  /** Writes what has been proposed, unless the store has it by now. */
-  async writeProposed(fingerprint: string): Promise<void> {
-    if (this._pending.has(fingerprint)) await this.change(fingerprint, (suspicion) => suspicion);
+  /** Writes the queued changes, unless the store has them by now. */
+  async flush(fingerprint: string): Promise<void> {
+    if (this._pending.has(fingerprint)) await this.write(fingerprint, (suspicion) => suspicion);
   }
 
-  /** Resolves when the change, and all that was proposed before, has been written, or given up. */
-  async change(fingerprint: string, apply: SuspicionChange): Promise<void> {
+  /** Writes a change together with all queued ones. Resolves when they are written or given up. */
+  async write(fingerprint: string, apply: SuspicionChange): Promise<void> {
     await new Promise<void>((done) => {
       this._add(fingerprint, apply, done);
       if (this._writing.has(fingerprint)) return;
       this._writing.add(fingerprint);
-      // what is decided in the same turn goes into the same write
+      // changes of the same event loop turn share one write
       setImmediate(() => void this._writeAll(fingerprint));
     });
   }
@@ -109,12 +117,12 @@
     this._pending.get(fingerprint)?.unshift({ apply, since, done: () => undefined });
   }
 
-  /** Drops changes that another entry has written meanwhile. */
-  private _dropIfDone(fingerprint: string): void {
+  /** Drops queued changes that another entry has written in the meantime. */
+  private _dropIfStored(fingerprint: string): void {
     const pending = this._pending.get(fingerprint);
     if (!pending || this._writing.has(fingerprint)) return;
-    const { suspicion } = this._options.copies.of(fingerprint);
-    if (isDeepStrictEqual(applied(suspicion, pending), suspicion)) this._pending.delete(fingerprint);
+    const { suspicion } = this._options.copies.get(fingerprint);
+    if (isDeepStrictEqual(applyAll(suspicion, pending), suspicion)) this._pending.delete(fingerprint);
   }
 
   private async _writeAll(fingerprint: string): Promise<void> {
@@ -122,55 +130,65 @@
     const backoff = new Backoff(RETRY, random);
     for (let pending = this._pending.get(fingerprint)!; pending.length > 0;) {
       try {
-        this._settle(pending, await this._writeOnce(fingerprint, [...pending]));
+        this._resolveFirst(pending, await this._writeOnce(fingerprint, [...pending]));
       } catch (error) {
         const age = Math.round(clock.now() - pending[0].since);
-        const givenUp = age > LONGEST_MILLISECONDS || this._stopped.signal.aborted;
+        const givenUp = age > GIVE_UP_MILLISECONDS || this._stopped.signal.aborted;
         log.state('suspicion.not-written', { fingerprint, reason: errorText(error), age, givenUp });
-        if (givenUp) this._settle(pending, pending.length);
+        if (givenUp) this._resolveFirst(pending, pending.length);
         else await pause(backoff.nextWait(), this._stopped.signal);
       }
     }
     this._pending.delete(fingerprint);
     this._writing.delete(fingerprint);
-    this._older.delete(fingerprint);
+    this._olderConflicts.delete(fingerprint);
   }
 
-  /** Writes what the changes come to; returns how many of them are done, none when another entry has written. */
+  /**
+   * Writes the result of the changes. Returns how many of them are done, which is none if another entry has written
+   * first.
+   */
   private async _writeOnce(fingerprint: string, changes: readonly PendingChange[]): Promise<number> {
     const { copies } = this._options;
-    const { suspicion, revision } = copies.of(fingerprint);
-    const next = applied(suspicion, changes);
+    const { suspicion, revision } = copies.get(fingerprint);
+    const next = applyAll(suspicion, changes);
     if (isDeepStrictEqual(next, suspicion)) return changes.length;
-    const answer = await this._send(fingerprint, suspicion ? revision : 0, next);
+    const answer = await this._sendWrite(fingerprint, suspicion ? revision : 0, next);
     if (answer.kind === 'done') {
-      copies.note(fingerprint, answer.revision, next);
+      copies.update(fingerprint, answer.revision, next);
       return changes.length;
     }
-    if (!copies.noteObject(fingerprint, answer.object)) this._onOlder(fingerprint, answer.object);
+    if (!copies.updateFromObject(fingerprint, answer.object))
+      this._onOlderConflict(fingerprint, answer.object);
     return 0;
   }
 
   /**
-   * A conflict with an object that is older than the copy: the copy may have been updated meanwhile. The same object again means that the
-   * store was rolled back without saying so.
+   * Handles a conflict with an object that is older than the copy. The first time, the copy may have been updated
+   * while the write was under way, so that the write is retried. The same object again means that the store was
+   * rolled back without a new generation.
    */
-  private _onOlder(fingerprint: string, object: StoredObject | undefined): void {
+  private _onOlderConflict(fingerprint: string, object: StoredObject | undefined): void {
     const { copies } = this._options;
-    const known = copies.of(fingerprint).suspicion;
-    const isToldAgain = object !== undefined && this._older.get(fingerprint) === object.revision;
-    if (!isToldAgain) {
-      if (object) this._older.set(fingerprint, object.revision);
-      throw new StepError('suspicion.write', 'a conflict with an object that is older than the copy');
+    const copy = copies.get(fingerprint).suspicion;
+    const isRepeated = object !== undefined && this._olderConflicts.get(fingerprint) === object.revision;
+    if (!isRepeated) {
+      if (object) this._olderConflicts.set(fingerprint, object.revision);
+      throw new StepError('suspicion.write', 'conflict with an object that is older than the local copy');
     }
-    this._older.delete(fingerprint);
+    this._olderConflicts.delete(fingerprint);
     copies.replace(fingerprint, object);
-    if (known) this._addFirst(fingerprint, (suspicion) => withKnown(suspicion, known));
+    if (copy) this._addFirst(fingerprint, (suspicion) => restoreKnown(suspicion, copy));
   }
 
-  private async _send(name: string, revision: number, next: Suspicion | undefined): Promise<WriteAnswer> {
+  private async _sendWrite(
+    name: string,
+    revision: number,
+    next: Suspicion | undefined,
+  ): Promise<WriteAnswer> {
     const { store, kind } = this._options;
-    while (this._writes >= MOST_WRITES) await new Promise<void>((resume) => this._waiting.push(resume));
+    while (this._writes >= MAX_CONCURRENT_WRITES)
+      await new Promise<void>((resume) => this._waiting.push(resume));
     this._writes++;
     try {
       const object = { kind, name, revision };
@@ -181,11 +199,14 @@
     }
   }
 
-  private _settle(pending: PendingChange[], count: number): void {
+  private _resolveFirst(pending: PendingChange[], count: number): void {
     for (const { done } of pending.splice(0, count)) done();
   }
 }
 
-function applied(suspicion: Suspicion | undefined, changes: readonly PendingChange[]): Suspicion | undefined {
+function applyAll(
+  suspicion: Suspicion | undefined,
+  changes: readonly PendingChange[],
+): Suspicion | undefined {
   return changes.reduce<Suspicion | undefined>((current, { apply }) => apply(current), suspicion);
 }
--- a/src/records/kindFollower.ts
+++ b/src/records/kindFollower.ts
@@ -1,4 +1,7 @@
-/** Keeps a copy of all objects of one kind by the store: lists once, then watches, and lists again after any trouble. */
+/**
+ * Keeps a copy of all objects of one kind up to date: lists the store once, then watches it, and lists again after a
+ * failure.
+ */
 import type { EventLog } from '../telemetry/eventLog.js';
 import { Backoff } from '../utils/backoff.js';
 import type { Random } from '../utils/random.js';
@@ -8,26 +11,25 @@
 import { revisionFields } from './storeRevision.js';
 import type { KindChanges, KindListing, WatchableStore } from './watchableStore.js';
 
-/** What a follower works with. */
 export interface KindFollowerOptions {
   replica: RecordReplica;
   store: WatchableStore;
   random: Random;
   log: EventLog;
-  /** How long changes are gathered after an urgent one, so that many of them cost one call. */
-  gatherMilliseconds: number;
+  /** Delay before the next watch after an urgent change, so that one call returns all changes of that time. */
+  urgentBatchMilliseconds: number;
   /** The same after changes that are not urgent. */
-  gatherMinorMilliseconds: number;
+  minorBatchMilliseconds: number;
 }
 
 const WATCH_WAIT_MILLISECONDS = 20_000;
 const RETRY = { firstMilliseconds: 80, longestMilliseconds: 600 };
 
-/** Nothing is dropped while the store cannot be reached. */
+/** The copy is kept while the store cannot be reached. */
 export class KindFollower {
   private readonly _options: KindFollowerOptions;
   private _stopped = new AbortController();
-  private _asking = new AbortController();
+  private _request = new AbortController();
   /** Revision from which to watch; undefined when the kind has to be listed. */
   private _revision: number | undefined;
   private _reachable = false;
@@ -37,12 +39,14 @@
     this._stopped.abort();
   }
 
-  /** Whether the last call to the store was answered; a watch that waits counts as answered. */
+  /** Whether the last call to the store succeeded. A pending watch doesn't change this. */
   get reachable(): boolean {
     return this._reachable;
   }
 
-  /** Begins to follow, with a listing: a watch from the revision of the copy may hang if the store has forgotten it. */
+  /**
+   * Starts with a listing: a watch from the revision of the copy may hang if the store no longer has that revision.
+   */
   start(): void {
     if (!this._stopped.signal.aborted) return;
     this._revision = undefined;
@@ -50,51 +54,54 @@
     void this._follow(this._stopped.signal);
   }
 
-  /** Ends; {@link KindFollower.start} may follow. */
+  /** Stops; {@link KindFollower.start} may start it again. */
   stop(): void {
     this._stopped.abort();
-    this._asking.abort();
+    this._request.abort();
     this._reachable = false;
   }
 
-  /** Lists anew at once: the call under way may never be answered. Until then the copy counts as not confirmed. */
+  /**
+   * Aborts the pending call, which may never be answered, and lists at once. Until the listing arrives, the copy
+   * counts as unconfirmed.
+   */
   refresh(): void {
     this._revision = undefined;
     this._reachable = false;
-    this._asking.abort();
+    this._request.abort();
   }
 
   private async _follow(stopped: AbortSignal): Promise<void> {
     const backoff = new Backoff(RETRY, this._options.random);
     while (!stopped.aborted) {
-      const asking = new AbortController();
-      this._asking = asking;
+      const request = new AbortController();
+      this._request = request;
       try {
-        const answer = await this._ask(asking.signal);
+        const answer = await this._listOrWatch(request.signal);
         if (stopped.aborted) return;
         this._onAnswer();
         backoff.reset();
-        await pause(this._take(answer), stopped);
+        await pause(this._applyAnswer(answer), stopped);
       } catch (error) {
-        if (stopped.aborted || asking.signal.aborted) continue;
-        this._onSilence(errorText(error));
+        if (stopped.aborted || request.signal.aborted) continue;
+        this._onFailure(errorText(error));
         await pause(backoff.nextWait(), stopped);
       }
     }
   }
 
-  private async _ask(signal: AbortSignal): Promise<KindListing | KindChanges> {
+  private async _listOrWatch(signal: AbortSignal): Promise<KindListing | KindChanges> {
     const { replica, store } = this._options;
     if (this._revision === undefined) return await store.list(replica.kind, signal);
     return await store.watch(replica.kind, this._revision, WATCH_WAIT_MILLISECONDS, signal);
   }
 
-  /** Takes an answer; returns how long to gather what follows, in milliseconds. */
-  private _take(answer: KindListing | KindChanges): number {
-    const { replica, log, gatherMilliseconds, gatherMinorMilliseconds } = this._options;
+  /** Applies an answer; returns the delay before the next watch, in milliseconds. */
+  private _applyAnswer(answer: KindListing | KindChanges): number {
+    const { replica, log, urgentBatchMilliseconds, minorBatchMilliseconds } = this._options;
     if ('objects' in answer) {
-      this._noteOlder(answer.revision);
-      replica.takeListing(answer);
+      this._logOlderListing(answer.revision);
+      replica.applyListing(answer);
       this._revision = answer.revision;
       return 0;
     }
@@ -104,12 +111,12 @@
       return 0;
     }
     this._revision = answer.revision;
-    const weight = replica.takeChanges(answer.revision, answer.changes);
-    return weight === 'urgent' ? gatherMilliseconds : gatherMinorMilliseconds;
+    const urgency = replica.applyChanges(answer.revision, answer.changes);
+    return urgency === 'urgent' ? urgentBatchMilliseconds : minorBatchMilliseconds;
   }
 
-  /** The replica passes over a listing that is older than it. */
-  private _noteOlder(revision: number): void {
+  /** Logs a listing that is older than the replica, which ignores it. */
+  private _logOlderListing(revision: number): void {
     const { replica, log } = this._options;
     if (revision >= replica.revision) return;
     const held = revisionFields(replica.revision);
@@ -128,7 +135,7 @@
     log.state('store.reachable', { kind: replica.kind, ...revisionFields(replica.revision) });
   }
 
-  private _onSilence(reason: string): void {
+  private _onFailure(reason: string): void {
     this._revision = undefined;
     if (!this._reachable) return;
     this._reachable = false;
--- a/src/records/recordRelay.ts
+++ b/src/records/recordRelay.ts
@@ -1,17 +1,23 @@
-/** Passes this process's copies on to the entries that ask for them, and takes over what these retain (`RetainedRecords`). */
+/**
+ * Sends this process's copies to the entries that subscribe, and adopts the records that these retain
+ * (`RetainedRecords`).
+ */
 import { ControlConnection } from '../protocol/controlConnection.js';
 import type { Message } from '../protocol/message.js';
 import type { RecordChanges, RecordSubscribe } from '../protocol/recordMessages.js';
 import type { RecordReplica, ReplicaChange } from './recordReplica.js';
 import type { RecordState } from './recordState.js';
-import { toldObject } from './toldObject.js';
+import { toWireObject } from './wireObject.js';
 
-/** How often listeners are told how current the copies are: they go elsewhere after a second without. */
+/**
+ * Interval of the stamps that tell listeners how current the copies are. After a second without one, a listener
+ * changes its source.
+ */
 const STAMP_INTERVAL_MILLISECONDS = 300;
 
 export class RecordRelay {
   private readonly _state: RecordState;
-  /** Listeners, and whether each wants changes beside stamps. */
+  /** Listeners, and whether each wants changes in addition to stamps. */
   private readonly _listeners = new Map<ControlConnection, boolean>();
   private _timer: NodeJS.Timeout | undefined;
 
@@ -20,23 +26,23 @@
     for (const replica of state.replicas) replica.on('change', (change) => this._onChange(replica, change));
   }
 
-  /** Entries that listen. */
+  /** Number of listening entries. */
   get listeners(): number {
     return this._listeners.size;
   }
 
-  /** Serves a connection that another entry opened. */
+  /** Serves a connection that another entry has opened. */
   attach(connection: ControlConnection): void {
     connection.on('message', (message) => {
       if (message.type === 'record-subscribe') this._subscribe(connection, message);
-      if (message.type === 'records-retained') this._state.takeRetained(message);
+      if (message.type === 'records-retained') this._state.adoptRetained(message);
     });
     connection.once('close', () => this._forget(connection));
     connection.start();
   }
 
-  /** Tells all listeners at once how current the copies are. */
-  tellStamp(): void {
+  /** Sends all listeners a stamp that tells how current the copies are. */
+  sendStamps(): void {
     for (const wantsChanges of [true, false]) {
       this._broadcast(wantsChanges, this._state.stamp(wantsChanges));
     }
@@ -49,14 +55,14 @@
 
   private _subscribe(connection: ControlConnection, { wantsChanges, revisions }: RecordSubscribe): void {
     this._listeners.set(connection, wantsChanges);
-    this._timer ??= setInterval(() => this.tellStamp(), STAMP_INTERVAL_MILLISECONDS);
+    this._timer ??= setInterval(() => this.sendStamps(), STAMP_INTERVAL_MILLISECONDS);
     if (wantsChanges) {
       for (const replica of this._state.replicas) {
-        if (replica.revision > (revisions[replica.kind] ?? 0)) connection.send(wholeOf(replica));
+        if (replica.revision > (revisions[replica.kind] ?? 0)) connection.send(fullMessage(replica));
       }
     }
     for (const replica of this._state.replicas) {
-      if (replica.retained.length > 0) connection.send(this._state.toldRetained(replica));
+      if (replica.retained.length > 0) connection.send(this._state.retainedMessage(replica));
     }
     connection.send(this._state.stamp(wantsChanges));
   }
@@ -69,34 +75,34 @@
   }
 
   private _onChange(replica: RecordReplica, change: ReplicaChange): void {
-    // listeners retain and release by themselves
+    // listeners retain and release records by themselves
     if (change.cause === 'retained') return;
-    this._broadcast(true, change.whole ? wholeOf(replica) : changesOf(replica, change));
+    this._broadcast(true, change.whole ? fullMessage(replica) : changesMessage(replica, change));
     this._broadcast(true, this._state.stamp(true));
   }
 
-  private _broadcast(toThoseWithChanges: boolean, message: Message): void {
-    const told = [...this._listeners].filter(([, wantsChanges]) => wantsChanges === toThoseWithChanges);
-    if (told.length === 0) return;
+  private _broadcast(toChangeListeners: boolean, message: Message): void {
+    const receivers = [...this._listeners].filter(([, wantsChanges]) => wantsChanges === toChangeListeners);
+    if (receivers.length === 0) return;
     ControlConnection.broadcast(
-      told.map(([connection]) => connection),
+      receivers.map(([connection]) => connection),
       message,
     );
   }
 }
 
-function wholeOf({ kind, revision, stored }: RecordReplica): RecordChanges {
-  const told = stored.map(toldObject);
-  return { type: 'record-changes', kind, revision, whole: true, objects: told, gone: [] };
+function fullMessage({ kind, revision, stored }: RecordReplica): RecordChanges {
+  const wireObjects = stored.map(toWireObject);
+  return { type: 'record-changes', kind, revision, whole: true, objects: wireObjects, gone: [] };
 }
 
-function changesOf({ kind, revision }: RecordReplica, { changes }: ReplicaChange): RecordChanges {
+function changesMessage({ kind, revision }: RecordReplica, { changes }: ReplicaChange): RecordChanges {
   return {
     type: 'record-changes',
     kind,
     revision,
     whole: false,
-    objects: changes.filter(({ gone }) => !gone).map(({ object }) => toldObject(object)),
+    objects: changes.filter(({ gone }) => !gone).map(({ object }) => toWireObject(object)),
     gone: changes.filter(({ gone }) => gone).map(({ object }) => object.name),
   };
 }
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -1,26 +1,35 @@
 /**
- * This process's copy of all objects of one kind, whoever brings it: only ever a newer one. Records that a rollback of the store has lost
- * may stay in force.
+ * This process's copy of all objects of one kind, fed by the store or by other entries. An update never replaces a
+ * newer one. Records that a rollback of the store has lost may stay in force.
  */
 import { EventEmitter } from 'node:events';
-import type { RetainedRecord, RetainedRecords, StoredBy } from './retainedRecords.js';
+import type { RetainedRecord, RetainedRecords, ObservedVia } from './retainedRecords.js';
 import { generationOf } from './storeRevision.js';
 import type { KindListing, ObjectChange, StoredObject } from './watchableStore.js';
 
-/** How much a change matters: `minor` may wait for others, `none` changes nothing that is used. */
-export type ChangeWeight = 'none' | 'minor' | 'urgent';
+/**
+ * How soon a change is needed. `minor`: it may wait for further changes. `none`: it affects nothing that this process
+ * uses.
+ */
+export type ChangeUrgency = 'none' | 'minor' | 'urgent';
 
-/** Weighs a change of one object; undefined stands for an object that is not there. */
-export type WeighChange = (before: StoredObject | undefined, after: StoredObject | undefined) => ChangeWeight;
+/** Classifies a change of one object; undefined stands for an object that doesn't exist. */
+export type ClassifyChange = (
+  before: StoredObject | undefined,
+  after: StoredObject | undefined,
+) => ChangeUrgency;
 
-/** What caused a change: the `store`, a `rollback` of it, or that records are `retained` or released after one. */
+/**
+ * Cause of a change: an update of the `store`, a `rollback` of the store, or records `retained` or released after a
+ * rollback.
+ */
 export type ChangeCause = 'store' | 'rollback' | 'retained';
 
-/** What has changed in a copy; `whole` when it was replaced. */
+/** A change of a copy; `whole` if the copy was replaced. */
 export interface ReplicaChange {
   cause: ChangeCause;
   whole: boolean;
-  /** As the store has them, whether in force or not. */
+  /** The changes in the store, whether they are in force or not. */
   changes: readonly ObjectChange[];
 }
 
@@ -29,132 +38,135 @@
   records: readonly RetainedRecord[];
 }
 
-/** Messages of other entries that wait for a copy: each holds all that its sender retains. */
-const MOST_EARLY = 8;
+/** Messages of other entries that wait until there is a copy. Each holds all retained records of its sender. */
+const MAX_EARLY_MESSAGES = 8;
 
 interface RecordReplicaEvents {
   change: [ReplicaChange];
 }
 
-/** Emits `change` when something has changed that is used. */
+/** Emits `change` after each change that is not classified as `none`. */
 export class RecordReplica extends EventEmitter<RecordReplicaEvents> {
   readonly kind: string;
   /** The objects in force. */
   readonly objects = new Map<string, StoredObject>();
-  private readonly _weigh: WeighChange;
+  private readonly _classify: ClassifyChange;
   private readonly _retained: RetainedRecords | undefined;
   private _revision = 0;
   private _newestChange = 0;
-  /** What other entries retain in a generation of which there is no copy here yet. */
+  /** Retained records of other entries from a generation of which this process has no copy yet. */
   private _early: EarlyRecords[] = [];
 
-  /** Without `retained`, a rollback takes effect as it is. */
-  constructor(kind: string, weigh: WeighChange = () => 'urgent', retained?: RetainedRecords) {
+  /** Without `retained`, the copy follows the store through a rollback. */
+  constructor(kind: string, classify: ClassifyChange = () => 'urgent', retained?: RetainedRecords) {
     super();
     this.kind = kind;
-    this._weigh = weigh;
+    this._classify = classify;
     this._retained = retained;
     this.setMaxListeners(0);
   }
 
-  /** Revision of the store that the copy reflects, 0 before there is one. */
+  /** Revision of the store up to which the copy is complete; 0 before there is a copy. */
   get revision(): number {
     return this._revision;
   }
 
-  /** Revision of the newest change that is known, at most that of the copy. */
+  /** Revision of the newest known change; at most the revision of the copy. */
   get newestChange(): number {
     return this._newestChange;
   }
 
-  /** Records that stay in force since the store was rolled back. */
+  /** Records that stay in force after a rollback of the store. */
   get retained(): readonly RetainedRecord[] {
     return this._retained?.all() ?? [];
   }
 
-  /** All objects as the store has them. */
+  /** All objects as the store holds them. */
   get stored(): readonly StoredObject[] {
-    const believed = [...this.objects.values()].filter(({ name }) => !this._retained?.has(name));
-    const inPlace = this.retained.flatMap(({ object }) => this._retained?.storedInPlaceOf(object.name) ?? []);
-    return [...believed, ...inPlace];
+    const inForce = [...this.objects.values()].filter(({ name }) => !this._retained?.has(name));
+    const hidden = this.retained.flatMap(({ object }) => this._retained?.storedInsteadOf(object.name) ?? []);
+    return [...inForce, ...hidden];
   }
 
-  /** Takes objects that may be seconds old, until there is a copy. */
-  takeProvisional(objects: readonly StoredObject[]): void {
+  /** Uses objects that may be some seconds old until there is a copy. */
+  applyProvisional(objects: readonly StoredObject[]): void {
     if (this._revision > 0) return;
     for (const object of objects) this.objects.set(object.name, object);
     this.emit('change', { cause: 'store', whole: true, changes: [] });
   }
 
-  /** Replaces the copy, unless the listing is older than it. */
-  takeListing(listing: KindListing): void {
+  /** Replaces the copy, unless the listing is older. */
+  applyListing(listing: KindListing): void {
     const { revision } = listing;
     if (revision < this._revision) return;
     const isFirst = this._revision === 0;
     const isRollback = !isFirst && !this._isOfThisGeneration(revision);
-    const weight = this._replace(listing, isRollback);
+    const urgency = this._replace(listing, isRollback);
     this._revision = revision;
     const cause = isRollback ? 'rollback' : 'store';
-    if (weight !== 'none' || isFirst || isRollback) this.emit('change', { cause, whole: true, changes: [] });
-    if (isFirst || isRollback) this._takeEarly();
+    if (urgency !== 'none' || isFirst || isRollback) this.emit('change', { cause, whole: true, changes: [] });
+    if (isFirst || isRollback) this._adoptEarly();
   }
 
-  /** Takes what has changed up to `revision`, in the generation of the copy; returns how much that matters. */
-  takeChanges(revision: number, changes: readonly ObjectChange[]): ChangeWeight {
+  /** Applies the changes up to `revision` if that is in the generation of the copy; returns their highest urgency. */
+  applyChanges(revision: number, changes: readonly ObjectChange[]): ChangeUrgency {
     if (revision <= this._revision || !this._isOfThisGeneration(revision)) return 'none';
     const newer = changes.filter((change) => this._isNewer(change));
-    const weight = this._apply(newer, 'change');
+    const urgency = this._apply(newer, 'change');
     this._revision = revision;
-    if (weight !== 'none') this.emit('change', { cause: 'store', whole: false, changes: newer });
-    return weight;
+    if (urgency !== 'none') this.emit('change', { cause: 'store', whole: false, changes: newer });
+    return urgency;
   }
 
-  /** Takes over records that another entry retains, whose copy is as of `revision`. */
-  takeRetained(revision: number, records: readonly RetainedRecord[]): void {
-    const isEarly = this._revision === 0 || generationOf(revision) > generationOf(this._revision);
-    if (isEarly) this._early = [...this._early, { revision, records }].slice(-MOST_EARLY);
-    if (isEarly || !this._isOfThisGeneration(revision)) return;
-    const taken = records.filter((record) =>
+  /** Adopts the retained records of another entry whose copy is complete up to `revision`. */
+  adoptRetained(revision: number, records: readonly RetainedRecord[]): void {
+    const isBeforeCopy = this._revision === 0 || generationOf(revision) > generationOf(this._revision);
+    if (isBeforeCopy) this._early = [...this._early, { revision, records }].slice(-MAX_EARLY_MESSAGES);
+    if (isBeforeCopy || !this._isOfThisGeneration(revision)) return;
+    const adopted = records.filter((record) =>
       this._retained?.adopt(record, this._storedOf(record.object.name)),
     );
-    if (taken.length > 0) this._believe(taken.map(({ object, gone }) => ({ object, gone })));
+    if (adopted.length > 0) this._putInForce(adopted.map(({ object, gone }) => ({ object, gone })));
   }
 
-  /** Releases retained records whose time is over ({@link RetainedRecords.releaseLapsed}). */
+  /** Releases retained records that have expired ({@link RetainedRecords.releaseExpired}). */
   releaseRetained(regainedAt: number, confirmedAt: number): void {
     if (!this._retained || this._retained.size === 0) return;
-    const released = this._retained.releaseLapsed(regainedAt, confirmedAt);
+    const released = this._retained.releaseExpired(regainedAt, confirmedAt);
     const changes = [...released].flatMap(([name, stored]) => {
       const object = stored ?? this.objects.get(name);
       return object ? [{ object, gone: !stored }] : [];
     });
-    if (changes.length > 0) this._believe(changes);
+    if (changes.length > 0) this._putInForce(changes);
   }
 
-  /** Notes that the copy is as the store had it at `revision`, with what is used of its changes up to `newestChange`. */
-  noteRevision(revision: number, newestChange: number): void {
+  /**
+   * Records that the copy is complete up to `revision`, and that its source's newest change is `newestChange`.
+   * Changes classified as `none` count too, although sources don't send them.
+   */
+  advanceRevision(revision: number, newestChange: number): void {
     if (!this._isOfThisGeneration(revision)) return;
     this._revision = Math.max(this._revision, revision);
     this._newestChange = Math.max(this._newestChange, newestChange);
   }
 
-  private _replace({ revision, objects }: KindListing, isRollback: boolean): ChangeWeight {
+  private _replace({ revision, objects }: KindListing, isRollback: boolean): ChangeUrgency {
     const stored = new Map(objects.map((object) => [object.name, object]));
     const retained = this.retained.map(({ object }) => object);
     const known = new Map([...retained, ...this.objects.values()].map((object) => [object.name, object]));
     const gone = [...known.values()].filter(({ name }) => !stored.has(name));
-    if (isRollback) this._retained?.begin(this.objects, stored, revision);
-    else if (this._revision > 0) this._noteMissing(gone);
+    if (isRollback) this._retained?.onRollback(this.objects, stored, revision);
+    else if (this._revision > 0) this._rememberDeletions(gone);
     return this._apply([
       ...objects.map((object) => ({ object, gone: false })),
       ...gone.map((object) => ({ object, gone: true })),
     ]);
   }
 
-  private _takeEarly(): void {
+  private _adoptEarly(): void {
     const early = this._early;
     this._early = [];
-    for (const { revision, records } of early) this.takeRetained(revision, records);
+    for (const { revision, records } of early) this.adoptRetained(revision, records);
   }
 
   private _isOfThisGeneration(revision: number): boolean {
@@ -162,57 +174,59 @@
   }
 
   private _storedOf(name: string): StoredObject | undefined {
-    return this._retained?.has(name) ? this._retained.storedInPlaceOf(name) : this.objects.get(name);
+    return this._retained?.has(name) ? this._retained.storedInsteadOf(name) : this.objects.get(name);
   }
 
-  /** Whether a change is not in the copy yet. Deletions may carry the revision of the change before. */
+  /** Whether the copy lacks a change. A deletion may have the revision of the change before it. */
   private _isNewer({ object, gone }: ObjectChange): boolean {
     if (!gone) return object.revision > this._revision;
     return object.revision >= (this._storedOf(object.name)?.revision ?? 0);
   }
 
-  /** Objects that a listing lacks have been deleted, unless the store lacked them before. */
-  private _noteMissing(objects: readonly StoredObject[]): void {
+  /** Remembers objects that a listing lacks as deleted, unless the store lacked them before. */
+  private _rememberDeletions(objects: readonly StoredObject[]): void {
     const deleted = objects.filter(({ name }) => this._storedOf(name));
-    for (const object of deleted) this._retained?.noteDeleted(object, 'listing');
+    for (const object of deleted) this._retained?.rememberDeletion(object, 'listing');
   }
 
-  /** Applies changes of the store as far as they come into force. */
-  private _apply(changes: readonly ObjectChange[], by: StoredBy = 'listing'): ChangeWeight {
-    let weight: ChangeWeight = 'none';
+  /** Applies changes of the store. A retained record stays in force until it is released. */
+  private _apply(changes: readonly ObjectChange[], via: ObservedVia = 'listing'): ChangeUrgency {
+    let urgency: ChangeUrgency = 'none';
     for (const { object, gone } of changes) {
       const { name, revision } = object;
       this._newestChange = Math.max(this._newestChange, revision);
-      if (gone && by === 'change') this._retained?.noteDeleted(this.objects.get(name) ?? object, by);
+      if (gone && via === 'change') this._retained?.rememberDeletion(this.objects.get(name) ?? object, via);
       const wasRetained = this._retained?.has(name) ?? false;
       const storedBefore = this._storedOf(name);
       const stored = gone ? undefined : object;
-      const believed = this._retained ? this._retained.judge(name, stored, by) : stored;
-      weight = heavier(weight, this._set(name, believed));
-      // listeners retain and release by themselves: they need what changes in the store behind a retained record
-      if (wasRetained) weight = heavier(weight, this._weigh(storedBefore, stored));
+      const inForce = this._retained ? this._retained.resolve(name, stored, via) : stored;
+      urgency = moreUrgent(urgency, this._setInForce(name, inForce));
+      // listeners retain and release records by themselves, so they need the changes that a retained record hides
+      if (wasRetained) urgency = moreUrgent(urgency, this._classify(storedBefore, stored));
     }
-    return weight;
+    return urgency;
   }
 
-  private _believe(changes: readonly ObjectChange[]): void {
-    const weights = changes.map(({ object, gone }) => this._set(object.name, gone ? undefined : object));
-    const isUsed = weights.some((weight) => weight !== 'none');
+  private _putInForce(changes: readonly ObjectChange[]): void {
+    const urgencies = changes.map(({ object, gone }) =>
+      this._setInForce(object.name, gone ? undefined : object),
+    );
+    const isUsed = urgencies.some((urgency) => urgency !== 'none');
     if (isUsed) this.emit('change', { cause: 'retained', whole: false, changes: [] });
   }
 
-  private _set(name: string, object: StoredObject | undefined): ChangeWeight {
-    const weight = this._weigh(this.objects.get(name), object);
+  private _setInForce(name: string, object: StoredObject | undefined): ChangeUrgency {
+    const urgency = this._classify(this.objects.get(name), object);
     if (!object) this.objects.delete(name);
     else {
       this.objects.set(name, object);
-      this._retained?.noteWritten(name);
+      this._retained?.forgetDeletion(name);
     }
-    return weight;
+    return urgency;
   }
 }
 
-function heavier(a: ChangeWeight, b: ChangeWeight): ChangeWeight {
-  const order: readonly ChangeWeight[] = ['none', 'minor', 'urgent'];
+function moreUrgent(a: ChangeUrgency, b: ChangeUrgency): ChangeUrgency {
+  const order: readonly ChangeUrgency[] = ['none', 'minor', 'urgent'];
   return order.indexOf(a) >= order.indexOf(b) ? a : b;
 }
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -1,11 +1,14 @@
-/** Carries out from whom this entry takes its copies of the store's records, and whether it reads the store itself. */
+/**
+ * Keeps this entry connected to the sources of its copies of the store's records, and starts and stops its own
+ * reading of the store.
+ */
 import type { ControlOptions } from '../protocol/controlConnection.js';
 import type { RecordChanges, RecordStamp } from '../protocol/recordMessages.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import { errorText } from '../utils/stepError.js';
 import { FailedSources } from './failedSources.js';
-import { LagWatch } from './lagWatch.js';
+import { LagDetector } from './lagDetector.js';
 import type { RecordRelay } from './recordRelay.js';
 import type { RecordState } from './recordState.js';
 import { freshnessOf } from './recordState.js';
@@ -14,14 +17,13 @@
 import { SourceLink } from './sourceLink.js';
 import { generationOf, startOfGeneration } from './storeRevision.js';
 import type { StoreReader } from './storeReader.js';
-import { storedObject } from './toldObject.js';
+import { fromWireObject } from './wireObject.js';
 import type { WatchableStore } from './watchableStore.js';
 
-/** What the sources work with. */
 export interface RecordSourcesOptions {
   own: RecordSource;
   seeds: readonly string[];
-  /** Live entries in an order that all of them work out alike. */
+  /** Live entries in an order that is the same at every entry. */
   ranking: () => readonly RecordSource[];
   state: RecordState;
   reader: StoreReader;
@@ -33,22 +35,25 @@
 }
 
 const TICK_MILLISECONDS = 100;
-/** Three stamps and the way. */
-const SILENT_MILLISECONDS = 1_000;
-/** Two probes of the store, the time-out of one, and a stamp: a reader that is well confirms its copies more often. */
-const UNCONFIRMED_MILLISECONDS = 1_300;
-/** Time that a new source, or this process when it begins to read, has to become current. */
-const OPENING_MILLISECONDS = 1_000;
-/** The choice to read has to last so long, since entries that start learn of each other one after the other. */
+/** The time of three stamps, and a margin for the network. */
+const SILENCE_TIMEOUT_MILLISECONDS = 1_000;
+/** Two intervals of probes, the timeout of a probe, and a stamp: a healthy reader confirms its copies more often. */
+const CONFIRMATION_TIMEOUT_MILLISECONDS = 1_300;
+/** Time within which a new source has to become current, and this process after it has started to read. */
+const GRACE_MILLISECONDS = 1_000;
+/** The choice to read the store must last for this time, because starting entries discover each other one by one. */
 const SETTLE_MILLISECONDS = 250;
-/** Time after a start in which others may still be starting, so that they are dialled again before they are passed over. */
-const STARTING_MILLISECONDS = 700;
+/**
+ * During this time after the start, other entries may still be starting, so a lost link is retried before its source
+ * counts as failed.
+ */
+const STARTUP_MILLISECONDS = 700;
 
 export class RecordSources {
   private readonly _options: RecordSourcesOptions;
   private readonly _links = new Map<string, SourceLink>();
   private readonly _failed: FailedSources;
-  private readonly _lag = new LagWatch();
+  private readonly _lagDetector = new LagDetector();
   private _startedAt = 0;
   private _shouldReadSince: number | undefined;
   private _readingSince = 0;
@@ -64,7 +69,7 @@
   start(): void {
     this._startedAt = this._options.clock.now();
     this._timer = setInterval(() => this._tick(), TICK_MILLISECONDS);
-    void this._takeStaleCopies();
+    void this._loadStaleCopies();
     this._tick();
   }
 
@@ -77,16 +82,16 @@
   }
 
   /**
-   * Takes what the store held some seconds ago, so that requests are served and other entries found at once, also where all
-   * seeds are gone. The copies are not confirmed by that.
+   * Loads what the store held some seconds ago, so that this entry can serve requests and find other entries at once,
+   * even if all seeds are gone. This doesn't confirm the copies.
    */
-  private async _takeStaleCopies(): Promise<void> {
+  private async _loadStaleCopies(): Promise<void> {
     const { state, store, log } = this._options;
     await Promise.all(
       state.replicas.map(async (replica) => {
         try {
           const { objects } = await store.listStale(replica.kind, this._stopped.signal);
-          replica.takeProvisional(objects);
+          replica.applyProvisional(objects);
         } catch (error) {
           if (this._stopped.signal.aborted) return;
           log.state('records.no-stale-copy', { kind: replica.kind, reason: errorText(error) });
@@ -96,50 +101,54 @@
   }
 
   private _tick(): void {
-    this._noteFailures();
+    this._checkSources();
     const { own, seeds, ranking } = this._options;
     const hasFailed = (address: string): boolean => this._failed.has(address);
     const choice = chooseSources({ own, seeds, ranking: ranking(), hasFailed });
-    this._listenTo(choice.sources);
-    this._readIf(choice);
-    this._choosePrimary(choice.sources);
-    this._lookBehind();
+    this._updateLinks(choice.sources);
+    this._updateReading(choice);
+    this._selectPrimary(choice.sources);
+    this._checkLag();
     this._options.state.releaseRetained();
   }
 
-  private _fail(address: string, reason: string): void {
+  private _markFailed(address: string, reason: string): void {
     this._failed.add(address, reason);
     this._closeLink(address);
   }
 
-  private _noteFailures(): void {
+  private _checkSources(): void {
     for (const [address, link] of this._links) {
-      if (link.silentFor > SILENT_MILLISECONDS) this._fail(address, 'silent');
-      else if (link.stamp?.lost) this._fail(address, 'has lost the store');
-      else if (this._isUnconfirmed(link)) this._fail(address, 'does not reach the store');
+      if (link.silentFor > SILENCE_TIMEOUT_MILLISECONDS) this._markFailed(address, 'silent');
+      else if (link.stamp?.lost) this._markFailed(address, 'has lost the store');
+      else if (this._isUnconfirmed(link)) this._markFailed(address, 'does not reach the store');
     }
-    this._noteOwnFailure();
+    this._checkOwnReading();
   }
 
-  /** Tells a loss of the store at once, so that others begin to read before what they rely on is too old. */
-  private _noteOwnFailure(): void {
+  /**
+   * Tells other entries at once that this one has lost the store, so that they start to read before their copies are
+   * too old.
+   */
+  private _checkOwnReading(): void {
     const { reader, own, clock, relay, state } = this._options;
     if (reader.isLost && !this._failed.has(own.address)) {
-      this._fail(own.address, 'has lost the store');
+      this._markFailed(own.address, 'has lost the store');
       state.noteLost();
-      relay.tellStamp();
+      relay.sendStamps();
     }
-    if (!reader.isReading || clock.now() - this._readingSince < OPENING_MILLISECONDS) return;
-    if (clock.now() - reader.confirmedAt > UNCONFIRMED_MILLISECONDS) this._fail(own.address, 'own reading');
+    if (!reader.isReading || clock.now() - this._readingSince < GRACE_MILLISECONDS) return;
+    if (clock.now() - reader.confirmedAt > CONFIRMATION_TIMEOUT_MILLISECONDS)
+      this._markFailed(own.address, 'own reading');
   }
 
   private _isUnconfirmed(link: SourceLink): boolean {
     const now = this._options.clock.now();
-    if (!link.stamp || now - link.openedAt < OPENING_MILLISECONDS) return false;
-    return now - freshnessOf(link.stamp, link.stampedAt).confirmedAt > UNCONFIRMED_MILLISECONDS;
+    if (!link.stamp || now - link.openedAt < GRACE_MILLISECONDS) return false;
+    return now - freshnessOf(link.stamp, link.stampedAt).confirmedAt > CONFIRMATION_TIMEOUT_MILLISECONDS;
   }
 
-  private _listenTo(sources: readonly RecordSource[]): void {
+  private _updateLinks(sources: readonly RecordSource[]): void {
     const wanted = new Set(sources.map(({ address }) => address));
     for (const address of [...this._links.keys()]) if (!wanted.has(address)) this._closeLink(address);
     for (const address of wanted) if (!this._links.has(address)) this._openLink(address);
@@ -154,8 +163,8 @@
       revisions: () => state.revisions,
       onStamp: (stamp) => this._onStamp(address, stamp),
       onChanges: (changes) => this._onChanges(changes),
-      onRetained: (records) => state.takeRetained(records),
-      onLost: (reason) => this._onLost(address, reason),
+      onRetained: (records) => state.adoptRetained(records),
+      onLost: (reason) => this._onLinkLost(address, reason),
     });
     this._links.set(address, link);
   }
@@ -165,14 +174,14 @@
     this._links.delete(address);
   }
 
-  private _onLost(address: string, reason: string): void {
+  private _onLinkLost(address: string, reason: string): void {
     this._links.delete(address);
-    const isStarting = this._options.clock.now() - this._startedAt < STARTING_MILLISECONDS;
-    if (!isStarting) this._fail(address, reason);
+    const isStarting = this._options.clock.now() - this._startedAt < STARTUP_MILLISECONDS;
+    if (!isStarting) this._markFailed(address, reason);
   }
 
-  /** Begins to read when that is wanted for long enough, and ends when others are known to read. */
-  private _readIf({ reads, sources }: SourceChoice): void {
+  /** Starts to read the store when the choice to read has settled. Stops only when another source is current. */
+  private _updateReading({ reads, sources }: SourceChoice): void {
     const { reader, clock } = this._options;
     const now = clock.now();
     this._shouldReadSince = reads ? (this._shouldReadSince ?? now) : undefined;
@@ -186,33 +195,36 @@
       reader.stop();
   }
 
-  /** Whether a source is known to have the newest copies. */
+  /** Whether a source has confirmed recently that its copies are the newest. */
   private _isCurrent(address: string): boolean {
     const link = this._links.get(address);
     if (!link?.stamp) return false;
     const { confirmedAt } = freshnessOf(link.stamp, link.stampedAt);
-    return this._options.clock.now() - confirmedAt <= UNCONFIRMED_MILLISECONDS;
+    return this._options.clock.now() - confirmedAt <= CONFIRMATION_TIMEOUT_MILLISECONDS;
   }
 
-  /** Takes changes from one source, and from none while the own reading is current. */
-  private _choosePrimary(sources: readonly RecordSource[]): void {
+  /** Subscribes to the changes of one source, or of none while the own reading is current. */
+  private _selectPrimary(sources: readonly RecordSource[]): void {
     const { reader, log } = this._options;
     const isReader = reader.confirmedAt > Number.NEGATIVE_INFINITY;
     const primary = isReader ? '' : (sources[0]?.address ?? '');
-    for (const [address, link] of this._links) link.want(address === primary);
+    for (const [address, link] of this._links) link.setWantsChanges(address === primary);
     if (primary === this._primary) return;
     this._primary = primary;
     log.state('records.source', { source: primary === '' ? 'store' : primary });
   }
 
-  /** Notices that another source knows of changes that the copies lack: whoever brings them is not to be relied upon. */
-  private _lookBehind(): void {
+  /**
+   * Checks whether the copies have lacked a change of another source for too long. If so, the source of the copies
+   * doesn't work: the own reading, or the primary source.
+   */
+  private _checkLag(): void {
     const { state, clock, reader } = this._options;
     for (const { kind, revision } of state.replicas) {
       const newest = [...this._links.values()].map((link) => newestOf(kind, link.stamp));
-      if (!this._lag.isTooLong(kind, revision, Math.max(0, ...newest), clock.now())) continue;
+      if (!this._lagDetector.exceedsLimit(kind, revision, Math.max(0, ...newest), clock.now())) continue;
       if (reader.confirmedAt > Number.NEGATIVE_INFINITY) reader.refresh();
-      else if (this._primary !== '') this._fail(this._primary, `behind in ${kind}`);
+      else if (this._primary !== '') this._markFailed(this._primary, `behind in ${kind}`);
     }
   }
 
@@ -222,30 +234,30 @@
     if (link) this._exchangeRetained(link, stamp);
   }
 
-  /** Exchanges retained records with a source where either side has more. */
+  /** Sends retained records to a source that has fewer, and requests those of a source that has more. */
   private _exchangeRetained(link: SourceLink, stamp: RecordStamp): void {
     const { state } = this._options;
     for (const replica of state.replicas) {
       const { kind, revision, retained } = replica;
       if (generationOf(stamp.revisions[kind] ?? 0) !== generationOf(revision)) continue;
       const step = link.retainedExchange.next(kind, retained.length, stamp.retained[kind] ?? 0);
-      if (step === 'tell') link.tellRetained(state.toldRetained(replica));
-      else if (step === 'ask') link.askForRetained();
+      if (step === 'send') link.sendRetained(state.retainedMessage(replica));
+      else if (step === 'request') link.requestRetained();
     }
   }
 
   private _onChanges({ kind, revision, whole, objects, gone }: RecordChanges): void {
     const replica = this._options.state.replica(kind);
     if (!replica) return;
-    if (whole) return replica.takeListing({ revision, objects: objects.map(storedObject) });
-    replica.takeChanges(revision, [
-      ...objects.map((object) => ({ object: storedObject(object), gone: false })),
+    if (whole) return replica.applyListing({ revision, objects: objects.map(fromWireObject) });
+    replica.applyChanges(revision, [
+      ...objects.map((object) => ({ object: fromWireObject(object), gone: false })),
       ...gone.map((name) => ({ object: { name, revision, value: undefined }, gone: true })),
     ]);
   }
 }
 
-/** The newest that a source knows of a kind: a change, or that the store was rolled back. */
+/** Revision of the newest change of a kind that a source has; a rollback of the store counts as a change. */
 function newestOf(kind: string, stamp: RecordStamp | undefined): number {
   return Math.max(stamp?.newestChanges[kind] ?? 0, startOfGeneration(stamp?.revisions[kind] ?? 0));
 }
--- a/src/records/storeProbe.ts
+++ b/src/records/storeProbe.ts
@@ -1,4 +1,4 @@
-/** Asks the store now and then whether it is there: a watch that waits cannot tell a quiet store from a lost one. */
+/** Probes the store at intervals, because a pending watch cannot tell an idle store from a lost one. */
 import { EventEmitter } from 'node:events';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
@@ -6,7 +6,6 @@
 import { pause } from '../utils/timers.js';
 import type { WatchableStore } from './watchableStore.js';
 
-/** What a probe works with. */
 export interface StoreProbeOptions {
   store: WatchableStore;
   clock: Clock;
@@ -15,13 +14,15 @@
 
 interface StoreProbeEvents {
   answered: [];
-  /** The store is silent: watches that were opened before may hang, also once it answers again. */
+  /** A probe has failed. Pending watches may hang, even after the store answers again. */
   lost: [];
-  /** The store was rolled back: watches that wait may miss changes. */
+  /** The store was rolled back. Pending watches may miss changes. */
   rollback: [];
 }
 
-/** With the time-out, the longest time until those who rely on this process know that it has lost the store. */
+/**
+ * Together with the timeout, this bounds the time until listeners of this process learn that it has lost the store.
+ */
 const INTERVAL_MILLISECONDS = 500;
 const LOST_INTERVAL_MILLISECONDS = 250;
 const TIMEOUT_MILLISECONDS = 600;
@@ -32,7 +33,7 @@
   private _isLost = false;
   private _answeredAt = Number.NEGATIVE_INFINITY;
   private _regainedAt = Number.NEGATIVE_INFINITY;
-  /** Of the last answer; undefined before the first one. */
+  /** Generation in the last answer; undefined before the first one. */
   private _generation: number | undefined;
 
   constructor(options: StoreProbeOptions) {
@@ -40,17 +41,17 @@
     this._options = options;
   }
 
-  /** Monotonic milliseconds at which the last probe was sent that was answered; -infinity while the store is lost. */
+  /** Monotonic milliseconds at which the last answered probe was sent; -infinity while the store is lost. */
   get answeredAt(): number {
     return this._isLost ? Number.NEGATIVE_INFINITY : this._answeredAt;
   }
 
-  /** Whether the last probe was not answered. */
+  /** Whether the last probe failed. */
   get isLost(): boolean {
     return this._isLost;
   }
 
-  /** Monotonic milliseconds at which the store was regained; -infinity when it never was lost. */
+  /** Monotonic milliseconds at which the store was last regained; -infinity if it never was lost. */
   get regainedAt(): number {
     return this._regainedAt;
   }
@@ -68,12 +69,12 @@
 
   private async _run(stopped: AbortSignal): Promise<void> {
     while (!stopped.aborted) {
-      const askedAt = this._options.clock.now();
+      const sentAt = this._options.clock.now();
       try {
         const generation = await this._options.store.probe(TIMEOUT_MILLISECONDS, stopped);
-        if (!stopped.aborted) this._onAnswer(askedAt, generation);
+        if (!stopped.aborted) this._onAnswer(sentAt, generation);
       } catch (error) {
-        if (!stopped.aborted) this._onSilence(errorText(error));
+        if (!stopped.aborted) this._onFailure(errorText(error));
       }
       await pause(this._isLost ? LOST_INTERVAL_MILLISECONDS : INTERVAL_MILLISECONDS, stopped);
     }
@@ -81,7 +82,7 @@
 
   private _onAnswer(askedAt: number, generation: number): void {
     this._answeredAt = askedAt;
-    this._noteGeneration(generation);
+    this._updateGeneration(generation);
     if (this._isLost) {
       this._isLost = false;
       this._regainedAt = this._options.clock.now();
@@ -90,7 +91,7 @@
     this.emit('answered');
   }
 
-  private _noteGeneration(generation: number): void {
+  private _updateGeneration(generation: number): void {
     const former = this._generation;
     this._generation = generation;
     if (former === undefined || former === generation) return;
@@ -98,7 +99,7 @@
     this.emit('rollback');
   }
 
-  private _onSilence(reason: string): void {
+  private _onFailure(reason: string): void {
     if (this._isLost) return;
     this._isLost = true;
     this._options.log.state('store.lost', { reason });
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -1,9 +1,9 @@
 /** The records of the platform that a gateway follows, and whether it can trust its copies. */
-import { Suspicions } from '../crashes/suspicions.js';
+import { SuspicionTracker } from '../crashes/suspicionTracker.js';
 import { RetainedRecords } from '../records/retainedRecords.js';
 import { KindFollower } from '../records/kindFollower.js';
 import { RecordRelay } from '../records/recordRelay.js';
-import type { WeighChange } from '../records/recordReplica.js';
+import type { ClassifyChange } from '../records/recordReplica.js';
 import { RecordReplica } from '../records/recordReplica.js';
 import type { RecordSourcesOptions } from '../records/recordSources.js';
 import { RecordSources } from '../records/recordSources.js';
@@ -49,7 +49,7 @@
   readonly configuration: RecordReplica;
   readonly servers: RecordReplica;
   readonly versions: RecordReplica;
-  readonly suspicions: Suspicions;
+  readonly suspicions: SuspicionTracker;
   readonly decoded: DecodedServers;
   readonly relay: RecordRelay;
   private readonly _suspicions: RecordReplica;
@@ -61,12 +61,12 @@
     const { platform, clock, log } = options;
     const { store, reader, unreadable } = platform;
     this.decoded = new DecodedServers(reader, unreadable);
-    const weighServer: WeighChange = (before, after) => this.decoded.weigh(before, after);
-    const replicaOf = (kind: string, policy: RollbackPolicy, weigh?: WeighChange): RecordReplica =>
+    const weighServer: ClassifyChange = (before, after) => this.decoded.weigh(before, after);
+    const replicaOf = (kind: string, policy: RollbackPolicy, weigh?: ClassifyChange): RecordReplica =>
       new RecordReplica(
         kind,
         weigh,
-        new RetainedRecords({ kind, policy, mayHaveLapsed: () => this.isEchoing, clock, log }),
+        new RetainedRecords({ kind, policy, mayHaveExpired: () => this.isEchoing, clock, log }),
       );
     this.configuration = replicaOf(
       reader.kinds.configuration,
@@ -147,9 +147,9 @@
     this.relay.close();
   }
 
-  private _createSuspicions(options: PlatformFollowersOptions): Suspicions {
+  private _createSuspicions(options: PlatformFollowersOptions): SuspicionTracker {
     const { platform, own, ranking } = options;
-    return new Suspicions({
+    return new SuspicionTracker({
       ...options,
       ...platform,
       box: own.box,
@@ -169,8 +169,8 @@
       store: platform.store,
       random,
       log,
-      gatherMilliseconds,
-      gatherMinorMilliseconds,
+      urgentBatchMilliseconds: gatherMilliseconds,
+      minorBatchMilliseconds: gatherMinorMilliseconds,
     });
   }
 
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -1,7 +1,7 @@
-/** Suspicions that the store has lost, as it was rolled back: nobody else writes them again. */
+/** Suspicions that a rollback of the store has lost. Only entries write them, so they have to restore them. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
-import type { Suspicions } from '../src/crashes/suspicions.js';
+import type { SuspicionTracker } from '../src/crashes/suspicionTracker.js';
 import { pause } from '../src/utils/timers.js';
 import { KIND, SuspicionsFixture } from './fixtures/suspicionsFixture.js';
 import { until } from './fixtures/until.js';
@@ -14,103 +14,103 @@
 
 afterEach(() => fixture.close());
 
-function standings(...entries: Suspicions[]): string[] {
-  return entries.map((entry) => entry.standing('f', 'other'));
+function decisions(...entries: SuspicionTracker[]): string[] {
+  return entries.map((entry) => entry.runDecision('f', 'other'));
 }
 
-/** Lets a request be at the ends of two servers, and of a third as its trial. */
-async function shutOut(entry: Suspicions): Promise<void> {
-  fixture.suspect(entry, 's-1', 's-2');
-  const turn = fixture.turn(entry, 'trial');
-  await turn.take();
-  void entry.noteEnd('f', { server: 's-3', trial: turn.id });
-  turn.release();
+/** Reports the exits of two servers under the request, and of a third one during its trial. */
+async function shutOut(entry: SuspicionTracker): Promise<void> {
+  fixture.reportTwoExits(entry, 's-1', 's-2');
+  const gate = fixture.gate(entry, 'trial');
+  await gate.wait();
+  void entry.recordServerExit('f', { server: 's-3', trial: gate.id });
+  gate.release();
   await until(() => fixture.held?.ends.length === 3 && fixture.held.trial === undefined);
-  await fixture.hear();
+  await fixture.sync();
 }
 
-test('should keep a request shut out that the store has forgotten, and write that again', async () => {
+test('should keep a request shut out after the store has lost its suspicion, and restore the suspicion', async () => {
   const entries = [fixture.entry('a'), fixture.entry('b')];
   const copy = fixture.store.copy();
   await shutOut(entries[0]);
   fixture.store.rollBackTo(copy);
-  await fixture.hear();
-  expect(standings(...entries)).toEqual(['shut-out', 'shut-out']);
+  await fixture.sync();
+  expect(decisions(...entries)).toEqual(['shut-out', 'shut-out']);
   await until(() => fixture.held?.ends.length === 3);
-  await fixture.hear();
-  expect(standings(...entries)).toEqual(['shut-out', 'shut-out']);
+  await fixture.sync();
+  expect(decisions(...entries)).toEqual(['shut-out', 'shut-out']);
 });
 
-test('should write again what was lost once, however many entries know of it', async () => {
+test('should restore a suspicion with one write, however many entries know it', async () => {
   const reader = fixture.entry('a');
   const others = ['b', 'c', 'd', 'e'].map((box) => fixture.entry(box, false));
   const copy = fixture.store.copy();
   await shutOut(reader);
   fixture.store.rollBackTo(copy);
-  await fixture.hear();
+  await fixture.sync();
   const { writes } = fixture.store;
   await until(() => fixture.held !== undefined);
-  await fixture.hear();
+  await fixture.sync();
   expect(others.every((other) => other.counts.shutOut === 1)).toEqual(true);
-  // longer than those take that do not read the store
+  // longer than the wait of entries that don't read the store
   await pause(1_700);
   expect(fixture.store.writes - writes).toEqual(1);
 });
 
-test('should write again what was lost where those that read the store have just started', async () => {
+test('should restore a suspicion when the entries that read the store have just started', async () => {
   const [former, other] = [fixture.entry('a'), fixture.entry('b', false)];
   const copy = fixture.store.copy();
   await shutOut(former);
   former.close();
   fixture.store.rollBackTo(copy);
   fixture.entry('a');
-  await fixture.hear();
+  await fixture.sync();
   await until(() => fixture.held?.ends.length === 3);
-  expect(standings(other)).toEqual(['shut-out']);
+  expect(decisions(other)).toEqual(['shut-out']);
 });
 
-test('should not bring back a suspicion that had been cleared', async () => {
+test('should not bring back a suspicion that was cleared', async () => {
   const entries = [fixture.entry('a'), fixture.entry('b')];
-  fixture.suspect(entries[0], 's-1', 's-2');
+  fixture.reportTwoExits(entries[0], 's-1', 's-2');
   await until(() => fixture.held !== undefined);
-  await fixture.hear();
+  await fixture.sync();
   const copy = fixture.store.copy();
-  entries[0].noteGoodEnd('f');
+  entries[0].recordSuccess('f');
   await until(() => fixture.held === undefined);
-  await fixture.hear();
+  await fixture.sync();
   fixture.store.rollBackTo(copy);
-  await fixture.hear();
-  expect(standings(...entries)).toEqual(['free', 'free']);
+  await fixture.sync();
+  expect(decisions(...entries)).toEqual(['run', 'run']);
   await until(() => fixture.held === undefined);
-  await fixture.hear();
+  await fixture.sync();
   expect(entries.map(({ isEmpty }) => isEmpty)).toEqual([true, true]);
 });
 
-test('should know what the store has lost beside what has come since', async () => {
+test('should merge a lost suspicion with a newer one in the store', async () => {
   const entry = fixture.entry('a');
-  fixture.suspect(entry, 's-1', 's-2');
+  fixture.reportTwoExits(entry, 's-1', 's-2');
   await until(() => fixture.held !== undefined);
-  await fixture.hear();
+  await fixture.sync();
   const copy = fixture.store.copy();
   await shutOut(entry);
   fixture.store.rollBackTo(copy);
   fixture.store.change(KIND, 'f', { ends: [{ server: 's-4', trial: 'another' }] });
-  await fixture.hear();
+  await fixture.sync();
   await until(() => fixture.held?.ends.length === 4);
   const servers = fixture.held?.ends.map(({ server }) => server).sort();
   expect(servers).toEqual(['s-1', 's-2', 's-3', 's-4']);
 });
 
-test('should write on an object older than the copy once a conflict has told of it twice', async () => {
+test('should overwrite an object older than the copy after the second conflict with it', async () => {
   const entry = fixture.entry('a');
-  fixture.suspect(entry, 's-1', 's-2');
+  fixture.reportTwoExits(entry, 's-1', 's-2');
   await until(() => fixture.held !== undefined);
   const copy = fixture.store.copy();
   await shutOut(entry);
-  fixture.store.rollBackTo(copy, { tellsGeneration: false });
+  fixture.store.rollBackTo(copy, { startsGeneration: false });
   const { writes } = fixture.store;
-  fixture.store.mostWrites = writes + 20;
-  void entry.noteEnd('f', { server: 's-4', trial: '' });
+  fixture.store.maxWrites = writes + 20;
+  void entry.recordServerExit('f', { server: 's-4', trial: '' });
   await until(() => fixture.held?.ends.length === 4);
   expect(fixture.store.writes - writes).toEqual(3);
 });
