--- a/src/entry/callerApi.ts
+++ b/src/entry/callerApi.ts
@@ -121,7 +121,8 @@
     const usable = slots
       .map((owner, slot) => ({ owner, slot }))
       .filter(
-        ({ owner }) => routes.owner(name, owner.box, owner.incarnation) && routes.circuit(owner.box).allows,
+        ({ owner }) =>
+          routes.owner(name, owner.box, owner.incarnation) && routes.circuitBreaker(owner.box).allowsRequests,
       );
     if (usable.length === 0) return [];
     return Array.from({ length: count }, () => {
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -29,7 +29,7 @@
 import type { EntryAddress } from '../routing/entryOrder.js';
 import { orderEntries } from '../routing/entryOrder.js';
 import { RouteTable } from '../routing/routeTable.js';
-import { agentSubset } from '../routing/subset.js';
+import { agentSubset } from '../routing/agentSubset.js';
 import type { EntrySettings } from '../settings/entrySettings.js';
 import { Logger } from '../telemetry/logger.js';
 import { Metrics } from '../telemetry/metrics.js';
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -143,7 +143,7 @@
       const slot = (first + offset) % LEDGER_SLOTS;
       const owner = slots[slot];
       const backend = this._options.routes.owner(request.name, owner.box, owner.incarnation);
-      if (!backend || !this._options.routes.circuit(owner.box).allows) continue;
+      if (!backend || !this._options.routes.circuitBreaker(owner.box).allowsRequests) continue;
       const ledger = { slot, slotEpoch: owner.epoch, ticketed: true, incarnation: owner.incarnation };
       return { request: { ...request, idempotencyKey: randomUUID() }, backend, ledger };
     }
@@ -152,7 +152,7 @@
 
   private _choose(request: CallerRequest, tried: ReadonlySet<string>): Backend | undefined {
     const { routes, clock, random } = this._options;
-    const allows = (box: string): boolean => !tried.has(box) && routes.circuit(box).allows;
+    const allows = (box: string): boolean => !tried.has(box) && routes.circuitBreaker(box).allowsRequests;
     const { affinity } = request;
     const choice = chooseBackend(routes.pool(request.name), { affinity, allows, now: clock.now() }, random);
     if (!choice) return undefined;
@@ -197,10 +197,10 @@
 
   /** A box that cannot be reached, or whose backend server cannot, is left alone for a while. */
   private _judge(backend: Backend, result: AttemptResult, left: AbortSignal): void {
-    const circuit = this._options.routes.circuit(backend.box);
+    const circuit = this._options.routes.circuitBreaker(backend.box);
     const failed = result.kind === 'refused' && (!result.reached || result.reason === 'backend-unreachable');
-    if (!failed) circuit.succeeded();
-    else if (!left.aborted) circuit.failed();
+    if (!failed) circuit.recordSuccess();
+    else if (!left.aborted) circuit.recordFailure();
   }
 
   private _routed(answer: AgentAnswer, backend: Backend): RouteResult {
--- a/src/routing/circuit.ts
+++ b/src/routing/circuitBreaker.ts
@@ -6,7 +6,7 @@
 const LONGEST_OPEN_MILLISECONDS = 10_000;
 
 /** One per box. */
-export class Circuit {
+export class CircuitBreaker {
   private readonly _clock: Clock;
   private _failures = 0;
   private _openUntil = 0;
@@ -17,17 +17,17 @@
   }
 
   /** Whether a request may be sent. */
-  get allows(): boolean {
+  get allowsRequests(): boolean {
     return this._clock.now() >= this._openUntil;
   }
 
-  succeeded(): void {
+  recordSuccess(): void {
     this._failures = 0;
     this._openMilliseconds = FIRST_OPEN_MILLISECONDS;
   }
 
   /** Counts a failure; after a few, and at once when the trial fails, the circuit opens for longer each time. */
-  failed(): void {
+  recordFailure(): void {
     this._failures++;
     if (this._failures < FAILURES_TO_OPEN) return;
     this._openUntil = this._clock.now() + this._openMilliseconds;
--- a/src/routing/routeTable.ts
+++ b/src/routing/routeTable.ts
@@ -8,13 +8,13 @@
 import type { Backend } from './backend.js';
 import { BoxLoad } from './backend.js';
 import type { BackendPool } from './backendChoice.js';
-import { Circuit } from './circuit.js';
+import { CircuitBreaker } from './circuitBreaker.js';
 import { preferVersion } from './versionPreference.js';
 
 /** What an entry keeps of a box across reports. */
 interface BoxState {
   load: BoxLoad;
-  circuit: Circuit;
+  circuitBreaker: CircuitBreaker;
   reportedAt: number;
 }
 
@@ -73,14 +73,14 @@
       ?.find((each) => each.box === box && each.incarnation === incarnation);
   }
 
-  circuit(box: string): Circuit {
-    return this._state(box).circuit;
+  circuitBreaker(box: string): CircuitBreaker {
+    return this._state(box).circuitBreaker;
   }
 
   private _state(box: string): BoxState {
     let state = this._boxes.get(box);
     if (!state) {
-      state = { load: new BoxLoad(), circuit: new Circuit(this._clock), reportedAt: 0 };
+      state = { load: new BoxLoad(), circuitBreaker: new CircuitBreaker(this._clock), reportedAt: 0 };
       this._boxes.set(box, state);
     }
     return state;
--- a/tests/routing.spec.ts
+++ b/tests/routing.spec.ts
@@ -4,9 +4,9 @@
 import type { Backend } from '../src/routing/backend.js';
 import { BoxLoad } from '../src/routing/backend.js';
 import { chooseBackend } from '../src/routing/backendChoice.js';
-import { Circuit } from '../src/routing/circuit.js';
+import { CircuitBreaker } from '../src/routing/circuitBreaker.js';
 import { orderEntries } from '../src/routing/entryOrder.js';
-import { agentSubset } from '../src/routing/subset.js';
+import { agentSubset } from '../src/routing/agentSubset.js';
 import { preferVersion } from '../src/routing/versionPreference.js';
 import { RetryBudget } from '../src/requests/retryBudget.js';
 import { ManualClock } from '../src/utils/clock.js';
@@ -75,16 +75,16 @@
 test('should open a circuit after failures and try again later', () => {
   const clock = new ManualClock();
   clock.advance(1);
-  const circuit = new Circuit(clock);
-  for (let failure = 0; failure < 3; failure++) circuit.failed();
-  expect(circuit.allows).toEqual(false);
+  const circuit = new CircuitBreaker(clock);
+  for (let failure = 0; failure < 3; failure++) circuit.recordFailure();
+  expect(circuit.allowsRequests).toEqual(false);
   clock.advance(500);
-  expect(circuit.allows).toEqual(true);
-  circuit.failed();
-  expect(circuit.allows).toEqual(false);
+  expect(circuit.allowsRequests).toEqual(true);
+  circuit.recordFailure();
+  expect(circuit.allowsRequests).toEqual(false);
   clock.advance(1_000);
-  circuit.succeeded();
-  expect(circuit.allows).toEqual(true);
+  circuit.recordSuccess();
+  expect(circuit.allowsRequests).toEqual(true);
 });
 
 test('should not let retries grow beyond a part of the requests', () => {
