--- a/src/agent/requestGate.ts
+++ b/src/agent/requestGate.ts
@@ -3,7 +3,7 @@
 import { err, ok } from 'neverthrow';
 import type { Priority } from '../protocol/headers.js';
 import type { Admission, FairQueue } from '../requests/fairQueue.js';
-import type { KeptAnswer, Ledger, LedgerRequest, LedgerVerdict } from '../requests/ledger.js';
+import type { StoredAnswer, Ledger, LedgerRequest, LedgerDecision } from '../requests/ledger.js';
 import type { Refusal, RefusalReason } from '../requests/refusals.js';
 import { refusalFor } from '../requests/refusals.js';
 import type { ServiceHost } from './serviceHost.js';
@@ -32,10 +32,10 @@
 /** The kept answer of a request that ran before. */
 export interface Replay {
   kind: 'replay';
-  answer: KeptAnswer;
+  answer: StoredAnswer;
 }
 
-const VERDICT_REASON: Record<Exclude<LedgerVerdict['kind'], 'run' | 'answered'>, RefusalReason> = {
+const VERDICT_REASON: Record<Exclude<LedgerDecision['kind'], 'run' | 'answered'>, RefusalReason> = {
   started: 'already-started',
   'not-owner': 'not-owner',
   uncertain: 'uncertain',
--- a/src/entry/callerApi.ts
+++ b/src/entry/callerApi.ts
@@ -8,7 +8,7 @@
 import { problemsOf } from '../configuration/resolveSpecification.js';
 import type { ServiceKind } from '../protocol/index.js';
 import type { CallerRequest } from '../requests/callerRequest.js';
-import { readTerms } from '../requests/callerRequest.js';
+import { parseCallerOptions } from '../requests/callerRequest.js';
 import type { LedgerRecord } from '../requests/ledgerSlots.js';
 import type { RequestRouter } from '../requests/requestRouter.js';
 import { issueTicket } from '../requests/ticket.js';
@@ -173,7 +173,7 @@
     target: Pick<CallerRequest, 'name' | 'path' | 'body' | 'affinity'>,
     repeatable: boolean,
   ): Promise<void> {
-    const terms = readTerms(request.headers, repeatable);
+    const terms = parseCallerOptions(request.headers, repeatable);
     if (terms.isErr()) return answerProblems(response, terms.error);
     const arrivedAt = this._options.clock.now();
     const callerRequest: CallerRequest = {
--- a/src/requests/callerRequest.ts
+++ b/src/requests/callerRequest.ts
@@ -9,7 +9,7 @@
 import type { Priority } from '../protocol/headers.js';
 
 /** What the caller wants, apart from the body. */
-export interface CallerTerms {
+export interface CallerOptions {
   /** May the system run it again when it cannot tell whether it ran? */
   repeatable: boolean;
   /** The caller's own key, or ''. */
@@ -20,7 +20,7 @@
 }
 
 /** A request on its way to a box. */
-export interface CallerRequest extends CallerTerms {
+export interface CallerRequest extends CallerOptions {
   id: string;
   name: ConfigurationName;
   method: string;
@@ -49,10 +49,10 @@
 });
 
 /** Reads the headers that a caller may set; without `Larklatch-Repeatable` the `standard` holds. */
-export function readTerms(
+export function parseCallerOptions(
   headers: http.IncomingHttpHeaders,
   standard: boolean,
-): Result<CallerTerms, FieldProblem[]> {
+): Result<CallerOptions, FieldProblem[]> {
   const parsed = termsSchema.safeParse(headers);
   if (!parsed.success) {
     return err(
--- a/src/requests/fairQueue.ts
+++ b/src/requests/fairQueue.ts
@@ -5,11 +5,11 @@
 import type { Clock } from '../utils/clock.js';
 
 /** Why a request was not admitted. */
-export type AdmissionRefusal = 'queue-full' | 'deadline-too-close';
+export type AdmissionRefusalReason = 'queue-full' | 'deadline-too-close';
 
 /** A refusal and when to come back, in milliseconds from now. */
-export interface Refused {
-  reason: AdmissionRefusal;
+export interface AdmissionRefusal {
+  reason: AdmissionRefusalReason;
   retryAfterMilliseconds: number;
 }
 
@@ -87,7 +87,7 @@
   }
 
   /** Admits a request to a slot or the queue, or refuses it at once. */
-  admit(request: AdmissionRequest): Result<Admission, Refused> {
+  admit(request: AdmissionRequest): Result<Admission, AdmissionRefusal> {
     const customer = this._customer(request.customer);
     const queued = waitingOf(customer);
     const expectedWait = this._expectedWait(customer, queued, request.weight);
@@ -212,6 +212,6 @@
   return undefined;
 }
 
-function refused(reason: AdmissionRefusal, expectedWait: number): Refused {
+function refused(reason: AdmissionRefusalReason, expectedWait: number): AdmissionRefusal {
   return { reason, retryAfterMilliseconds: Math.max(SHORTEST_RETRY_MILLISECONDS, Math.ceil(expectedWait)) };
 }
--- a/src/requests/ledger.ts
+++ b/src/requests/ledger.ts
@@ -7,7 +7,7 @@
 import { ledgerHash } from './ledgerSlots.js';
 
 /** A finished answer, kept so that a caller whose answer was lost gets it again. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   status: number;
   contentType: string;
   version: string;
@@ -15,10 +15,10 @@
 }
 
 /** What the ledger says of a request. */
-export type LedgerVerdict =
+export type LedgerDecision =
   | { kind: 'run' }
   /** Ran, and here is its answer. */
-  | { kind: 'answered'; answer: KeptAnswer }
+  | { kind: 'answered'; answer: StoredAnswer }
   /** Is running, or ran with an answer that is not kept. */
   | { kind: 'started' }
   /** This incarnation does not own the slot at that epoch: nothing ran here, it may run elsewhere. */
@@ -53,7 +53,7 @@
 
 interface KeyState {
   running: boolean;
-  answer: KeptAnswer | undefined;
+  answer: StoredAnswer | undefined;
   expiresAt: number;
 }
 
@@ -113,7 +113,7 @@
   }
 
   /** Decides; `run` books the key, and the caller of this method must run it now or call {@link Ledger.cancel}. */
-  check(service: string, request: LedgerRequest): LedgerVerdict {
+  check(service: string, request: LedgerRequest): LedgerDecision {
     const known = this._keys.get(request.key);
     if (known) return known.answer ? { kind: 'answered', answer: known.answer } : { kind: 'started' };
     const owned = this._slots.get(service)?.get(request.slot);
@@ -131,13 +131,13 @@
   }
 
   /** Ends the run of a booked request; `answer` is undefined when it was lost or is too long to keep. */
-  finish(key: string, answer: KeptAnswer | undefined): void {
+  finish(key: string, answer: StoredAnswer | undefined): void {
     this._keys.delete(key);
     this._keys.set(key, { running: false, answer, expiresAt: this._expiry() });
   }
 
   /** A ticket of an earlier epoch may have been used with the earlier owner; a newer epoch has not reached us. */
-  private _otherEpoch(owned: SlotState, request: LedgerRequest): LedgerVerdict {
+  private _otherEpoch(owned: SlotState, request: LedgerRequest): LedgerDecision {
     const older = request.slotEpoch < owned.slotEpoch;
     return request.ticketed && older ? { kind: 'uncertain' } : { kind: 'not-owner' };
   }
--- a/src/requests/ledgerSlots.ts
+++ b/src/requests/ledgerSlots.ts
@@ -5,7 +5,7 @@
 import { placementHash } from '../utils/hash.js';
 
 /** Parts of a service's key space. */
-export const LEDGER_SLOTS = 32;
+export const LEDGER_SLOT_COUNT = 32;
 
 /** One slot's owner. `epoch` grows at each change of owner; `blind` when the owner before was lost. */
 export const slotOwnerSchema = z.object({
@@ -18,7 +18,7 @@
 
 /** The ledger object of a configuration. */
 export const ledgerRecordSchema = z.object({
-  slots: z.array(slotOwnerSchema).length(LEDGER_SLOTS),
+  slots: z.array(slotOwnerSchema).length(LEDGER_SLOT_COUNT),
   changeId: z.string(),
 });
 export type LedgerRecord = z.infer<typeof ledgerRecordSchema>;
@@ -31,11 +31,11 @@
 
 /** Returns the slot of a caller's key. */
 export function slotOfKey(key: string): number {
-  return placementHash('ledger', key) % LEDGER_SLOTS;
+  return placementHash('ledger', key) % LEDGER_SLOT_COUNT;
 }
 
 /** `lost`: proven gone, with its memory. `handed-over`: it has given up its slots and its keys have been imported. */
-export type OwnerFate = 'owns' | 'lost' | 'handed-over';
+export type OwnerStatus = 'owns' | 'lost' | 'handed-over';
 
 /**
  * Gives every slot without an owner, or whose owner is lost or has handed over, to the candidate with the fewest.
@@ -44,13 +44,13 @@
 export function assignSlots(
   current: readonly SlotOwner[],
   candidates: readonly LedgerCandidate[],
-  fateOf: (owner: SlotOwner) => OwnerFate,
+  fateOf: (owner: SlotOwner) => OwnerStatus,
 ): SlotOwner[] {
   const load = new Map(candidates.map((candidate) => [identityOf(candidate), 0]));
   for (const owner of current) {
     if (fateOf(owner) === 'owns') load.set(identityOf(owner), (load.get(identityOf(owner)) ?? 0) + 1);
   }
-  return Array.from({ length: LEDGER_SLOTS }, (_unused, slot) => {
+  return Array.from({ length: LEDGER_SLOT_COUNT }, (_unused, slot) => {
     const owner = current[slot];
     if ((owner && fateOf(owner) === 'owns') || candidates.length === 0) return owner;
     const next = leastLoaded(candidates, load);
@@ -78,7 +78,7 @@
 }
 
 /** A slot stays blind when it is handed over by an owner that was blind itself. */
-function isBlind(before: SlotOwner | undefined, fateOf: (owner: SlotOwner) => OwnerFate): boolean {
+function isBlind(before: SlotOwner | undefined, fateOf: (owner: SlotOwner) => OwnerStatus): boolean {
   return before !== undefined && (fateOf(before) === 'lost' || before.blind);
 }
 
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -12,7 +12,7 @@
 import type { RouteTable } from '../routing/routeTable.js';
 import type { AgentAnswer, AgentClient, AttemptResult, LedgerTarget } from './agentClient.js';
 import type { CallerRequest } from './callerRequest.js';
-import { LEDGER_SLOTS, slotOfKey } from './ledgerSlots.js';
+import { LEDGER_SLOT_COUNT, slotOfKey } from './ledgerSlots.js';
 import type { LedgerRecord, SlotOwner } from './ledgerSlots.js';
 import type { Refusal, RefusalReason } from './refusals.js';
 import { refusalFor } from './refusals.js';
@@ -138,9 +138,9 @@
     request: CallerRequest,
     slots: readonly SlotOwner[],
   ): { request: CallerRequest; backend: Backend; ledger: LedgerTarget } | undefined {
-    const first = this._options.random.integer(LEDGER_SLOTS);
-    for (let offset = 0; offset < LEDGER_SLOTS; offset++) {
-      const slot = (first + offset) % LEDGER_SLOTS;
+    const first = this._options.random.integer(LEDGER_SLOT_COUNT);
+    for (let offset = 0; offset < LEDGER_SLOT_COUNT; offset++) {
+      const slot = (first + offset) % LEDGER_SLOT_COUNT;
       const owner = slots[slot];
       const backend = this._options.routes.owner(request.name, owner.box, owner.incarnation);
       if (!backend || !this._options.routes.circuitBreaker(owner.box).allowsRequests) continue;
--- a/src/rollout/ledgerAssigner.ts
+++ b/src/rollout/ledgerAssigner.ts
@@ -8,7 +8,7 @@
 import type { AgentLinks } from '../membership/agentLinks.js';
 import type { BoxListFollower } from '../membership/boxListFollower.js';
 import type { LedgerSlot, ReplyMessage } from '../protocol/rolloutMessages.js';
-import type { LedgerCandidate, LedgerRecord, OwnerFate, SlotOwner } from '../requests/ledgerSlots.js';
+import type { LedgerCandidate, LedgerRecord, OwnerStatus, SlotOwner } from '../requests/ledgerSlots.js';
 import { assignSlots, identityOf, ledgerHash, ledgerRecordSchema, slotsOf } from '../requests/ledgerSlots.js';
 import type { Logger } from '../telemetry/logger.js';
 import { errorText } from '../utils/stepError.js';
@@ -45,7 +45,7 @@
     const candidates = ledgerCandidates(boxes);
     if (candidates.length === 0) return;
     const handedOver = await this._takeOver(table?.slots ?? [], boxes);
-    const fateOf = (owner: SlotOwner): OwnerFate =>
+    const fateOf = (owner: SlotOwner): OwnerStatus =>
       handedOver.has(identityOf(owner)) ? 'handed-over' : this._fateOf(owner);
     const slots = assignSlots(table?.slots ?? [], candidates, fateOf);
     if (!(await this._import(table?.slots ?? [], slots, handedOver))) return;
@@ -94,7 +94,7 @@
     return true;
   }
 
-  private _fateOf(owner: SlotOwner): OwnerFate {
+  private _fateOf(owner: SlotOwner): OwnerStatus {
     return isOwnerGone(owner, this._services.boxes, this._services.links) ? 'lost' : 'owns';
   }
 
--- a/tests/ledger.spec.ts
+++ b/tests/ledger.spec.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import fc from 'fast-check';
-import type { LedgerRequest, LedgerVerdict } from '../src/requests/ledger.js';
+import type { LedgerRequest, LedgerDecision } from '../src/requests/ledger.js';
 import { Ledger } from '../src/requests/ledger.js';
 import type { LedgerCandidate, SlotOwner } from '../src/requests/ledgerSlots.js';
-import { LEDGER_SLOTS, assignSlots, ledgerHash, slotsOf } from '../src/requests/ledgerSlots.js';
+import { LEDGER_SLOT_COUNT, assignSlots, ledgerHash, slotsOf } from '../src/requests/ledgerSlots.js';
 import { issueTicket, readTicket } from '../src/requests/ticket.js';
 import { ManualClock } from '../src/utils/clock.js';
 
@@ -29,7 +29,7 @@
   what: string;
   blind: boolean;
   request: Partial<LedgerRequest>;
-  verdict: LedgerVerdict['kind'];
+  verdict: LedgerDecision['kind'];
 }[] = [
   { what: 'the owner, same epoch', blind: false, request: {}, verdict: 'run' },
   { what: 'a slot of another box', blind: false, request: { slot: 4 }, verdict: 'not-owner' },
@@ -126,7 +126,7 @@
 test('should deal all slots evenly at first', () => {
   const slots = assignSlots([], BOXES, () => 'owns');
   const counts = BOXES.map(({ box }) => slots.filter((owner) => owner.box === box).length);
-  expect(slots.length).toEqual(LEDGER_SLOTS);
+  expect(slots.length).toEqual(LEDGER_SLOT_COUNT);
   expect(Math.max(...counts) - Math.min(...counts) <= 1).toEqual(true);
   expect(slots.every((owner) => owner.epoch === 1 && !owner.blind)).toEqual(true);
 });
