--- a/src/serving/admittedRequest.ts
+++ b/src/serving/admittedRequest.ts
@@ -18,7 +18,7 @@
   headers: string[];
   body: Buffer | undefined;
   /** Size of the prompt, in usual prompts of the service; 1 when the caller does not tell it. */
-  prompts: number;
+  promptSize: number;
   /** The last event that the caller has seen, '' for none. */
   lastEventId: string;
   retries: RetryAllowance;
--- a/src/serving/answerJudgement.ts
+++ b/src/serving/answerClassification.ts
@@ -1,5 +1,5 @@
 /** What an answer of a backend server means, and when a missing one is given up. Pure. */
-import { MISDIRECTED } from './answerHead.js';
+import { MISDIRECTED_REQUEST } from './answerHead.js';
 import type { AnswerHeaders } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
 
@@ -15,7 +15,7 @@
  * `not-run`: the server says so. `failed`: it ran and failed, and the caller may be told so. `unclear`: the caller
  * must not be told what the server said, since it would conclude what is not known.
  */
-export type AnswerVerdict = 'not-run' | 'answered' | 'failed' | 'unclear';
+export type AnswerClass = 'not-run' | 'answered' | 'failed' | 'unclear';
 
 /** Statuses that promise that a request has not run, which without a proof may not be passed on. */
 const PROMISING_STATUSES = new Set([408, 421, 429, 503]);
@@ -23,8 +23,8 @@
 const REDIRECTION = 300;
 
 /** Judges a whole answer. */
-export function judgeAnswer(status: number, headers: AnswerHeaders, names: HeaderNames): AnswerVerdict {
-  if (headers[names.notRun] !== undefined || status === MISDIRECTED) return 'not-run';
+export function classifyAnswer(status: number, headers: AnswerHeaders, names: HeaderNames): AnswerClass {
+  if (headers[names.notRun] !== undefined || status === MISDIRECTED_REQUEST) return 'not-run';
   if (PROMISING_STATUSES.has(status)) return 'unclear';
   if (status >= SERVER_ERROR) return 'failed';
   const isSuccess = status < REDIRECTION;
@@ -32,7 +32,7 @@
 }
 
 /** Whether the server has run the request to a success: it did not end by it. */
-export function isGoodEnd(verdict: AnswerVerdict, status: number): boolean {
+export function isSuccessfulRun(verdict: AnswerClass, status: number): boolean {
   return verdict === 'answered' && status < REDIRECTION;
 }
 
@@ -64,7 +64,7 @@
 /** How an attempt stands; times in milliseconds. */
 export interface AttemptProgress {
   /** Since the attempt began. */
-  waited: number;
+  elapsedMilliseconds: number;
   objective: number;
   /** Since the server sent anything for any stream. */
   serverSilentFor: number;
@@ -74,12 +74,15 @@
 }
 
 /** Whether the attempt should be given up for another server. */
-export function isSilent(attempt: AttemptProgress): boolean {
+export function isStalled(attempt: AttemptProgress): boolean {
   if (!attempt.stream) {
-    return attempt.waited > Math.max(LEAST_PATIENCE_MILLISECONDS, attempt.objective * PATIENCE_OBJECTIVES);
+    return (
+      attempt.elapsedMilliseconds >
+      Math.max(LEAST_PATIENCE_MILLISECONDS, attempt.objective * PATIENCE_OBJECTIVES)
+    );
   }
   if (attempt.streamSilentFor !== undefined) return attempt.streamSilentFor > STREAM_SILENCE_MILLISECONDS;
   const isAtWork = attempt.serverSilentFor < AT_WORK_MILLISECONDS;
   const patience = isAtWork ? QUEUED_STREAM_PATIENCE_MILLISECONDS : STREAM_PATIENCE_MILLISECONDS;
-  return attempt.waited > patience || attempt.serverSilentFor > STREAM_SILENCE_MILLISECONDS;
+  return attempt.elapsedMilliseconds > patience || attempt.serverSilentFor > STREAM_SILENCE_MILLISECONDS;
 }
--- a/src/serving/answerHead.ts
+++ b/src/serving/answerHead.ts
@@ -5,10 +5,10 @@
 import type { TrackedServer } from './trackedServer.js';
 
 /** Another server has the address, or the server holds another version. */
-export const MISDIRECTED = 421;
+export const MISDIRECTED_REQUEST = 421;
 
 /** Notes the head of an answer of `server`; `model` is '' for requests without one. */
-export function noteAnswerHead(
+export function recordAnswerHead(
   server: TrackedServer,
   status: number,
   headers: AnswerHeaders,
@@ -18,5 +18,5 @@
   const version = Number(headers[names.version]);
   if (model !== '' && version > 0) server.noteVersion(model, version);
   // a misdirected request may have been answered by another server
-  if (status !== MISDIRECTED) server.backpressure.note(readSignals(status, headers, names));
+  if (status !== MISDIRECTED_REQUEST) server.backpressure.note(readSignals(status, headers, names));
 }
--- a/src/serving/answerReceiver.ts
+++ b/src/serving/answerReceiver.ts
@@ -1,5 +1,5 @@
 /** Takes the answer of an attempt as it comes: events of a stream are passed on, all else is kept until it is whole. */
-import type { PartialAnswer } from './answerJudgement.js';
+import type { PartialAnswer } from './answerClassification.js';
 import type { AnswerHeaders, BackendCall } from './backendCall.js';
 import type { CallerExchange } from './callerExchange.js';
 import type { StreamRelay } from './streamRelay.js';
@@ -26,12 +26,12 @@
   }
 
   /** Whether the events of the attempt under way are passed on as they come: never those without the proof of a server. */
-  get isPassedOn(): boolean {
+  get isForwarding(): boolean {
     return this._relay?.begun === true && this._answer?.status === SUCCESS && this._isSealed;
   }
 
   /** Another attempt begins. */
-  forget(): void {
+  reset(): void {
     this._answer = undefined;
   }
 
@@ -46,7 +46,7 @@
   onData(bytes: Buffer, call: BackendCall | undefined): boolean {
     const answer = this._answer;
     if (!answer) return true;
-    if (this._relay && this.isPassedOn) {
+    if (this._relay && this.isForwarding) {
       this._passOn(this._relay, bytes, call);
       return true;
     }
@@ -58,6 +58,6 @@
   private _passOn(relay: StreamRelay, bytes: Buffer, call: BackendCall | undefined): void {
     if (relay.push(bytes)) return;
     call?.pause();
-    this._exchange.onceDrained(() => call?.resume());
+    this._exchange.onceWritable(() => call?.resume());
   }
 }
--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -12,7 +12,7 @@
   headers: string[];
   body: Buffer | undefined;
   /** Size of the prompt, in usual prompts of the service. */
-  prompts: number;
+  promptSize: number;
 }
 
 /** Header values by lower-case name. */
@@ -78,9 +78,9 @@
     const connection = server.connections.acquire();
     if (!connection) return undefined;
     const giveBack = (reusable: boolean): void => server.connections.release(connection, reusable);
-    const call = new BackendCall(server, connection, giveBack, listener, request.prompts);
+    const call = new BackendCall(server, connection, giveBack, listener, request.promptSize);
     server.load.outstanding++;
-    server.noteSent(request.prompts);
+    server.noteSent(request.promptSize);
     server.backpressure.noteSent();
     call._dispatch(request);
     return call;
--- a/src/serving/backendConnections.ts
+++ b/src/serving/backendConnections.ts
@@ -104,7 +104,7 @@
    * Closes unused connections, and ends the requests on those that were opened before `time`, in monotonic milliseconds: who
    * answered there has ended.
    */
-  endOpenedBefore(time: number): void {
+  resetOpenedBefore(time: number): void {
     this.close();
     for (const connection of this._all) if (connection.openedAt < time) connection.reset();
   }
--- a/src/serving/callerDrain.ts
+++ b/src/serving/callerDrain.ts
@@ -3,7 +3,7 @@
 import { pause } from '../utils/timers.js';
 
 /** What a leaving entry is to its drain. */
-export interface DrainedEntry {
+export interface DrainingEntry {
   clock: Clock;
   /** Time for all of it, in milliseconds. */
   drainMilliseconds: number;
@@ -21,14 +21,14 @@
 const FIRST_REQUEST_MILLISECONDS = 200;
 
 /** When a drain that begins now ends at the latest, in monotonic milliseconds. */
-export function drainEnd({ clock, drainMilliseconds }: DrainedEntry): number {
+export function drainDeadline({ clock, drainMilliseconds }: DrainingEntry): number {
   return clock.now() + drainMilliseconds * END_SHARE;
 }
 
 /** Takes connections for most of the time, then lets requests in flight end. */
-export async function drainCallers(entry: DrainedEntry): Promise<void> {
+export async function drainCallers(entry: DrainingEntry): Promise<void> {
   const { clock, drainMilliseconds, running, stopListening } = entry;
-  const endsAt = drainEnd(entry);
+  const endsAt = drainDeadline(entry);
   const listensUntil = clock.now() + drainMilliseconds * LISTEN_SHARE;
   while (clock.now() < listensUntil) await pause(POLL_MILLISECONDS);
   await stopListening();
--- a/src/serving/callerExchange.ts
+++ b/src/serving/callerExchange.ts
@@ -7,9 +7,9 @@
   unauthorized: 401,
   noRoute: 404,
   tooLarge: 413,
-  unclear: 502,
+  unknown: 502,
   notRun: 503,
-  timeOver: 504,
+  timeOut: 504,
 } as const;
 
 /** Headers that concern one connection only. */
@@ -47,7 +47,7 @@
   }
 
   /** Whether the caller has been sent a status already. */
-  get begun(): boolean {
+  get headersSent(): boolean {
     return this._response.headersSent;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Calls `listener` when the caller leaves before the answer has ended. */
-  onCallerGone(listener: () => void): void {
+  onCallerDisconnect(listener: () => void): void {
     this._response.once('close', () => {
       if (!this._response.writableFinished) listener();
     });
@@ -64,7 +64,7 @@
 
   /** Answers for this process itself. `retryAfterMilliseconds` says when to come back. */
   refuse(status: number, reason: string, retryAfterMilliseconds?: number): void {
-    if (this.begun || this.ended) return this.cut();
+    if (this.headersSent || this.ended) return this.abort();
     const text = JSON.stringify({ error: reason });
     if (this.requestId !== '') this._response.setHeader(this._requestIdHeader, this.requestId);
     if (retryAfterMilliseconds !== undefined) {
@@ -76,7 +76,7 @@
 
   /** Passes a whole answer of a backend server on. */
   answer(status: number, headers: http.IncomingHttpHeaders, body: Buffer): void {
-    if (this.begun || this.ended) return this.cut();
+    if (this.headersSent || this.ended) return this.abort();
     this._copyHeaders(headers);
     const hasBody = status !== 204 && status !== 304 && this.request.method !== 'HEAD';
     const framed = hasBody && this._keepFraming(headers);
@@ -86,7 +86,7 @@
 
   /** Begins an answer whose length is not known yet. */
   begin(status: number, headers: http.IncomingHttpHeaders): void {
-    if (this.begun || this.ended) return;
+    if (this.headersSent || this.ended) return;
     this._copyHeaders(headers);
     this._keepFraming(headers);
     this._finishHead(status, undefined);
@@ -98,7 +98,7 @@
     return this.ended || this._response.write(bytes);
   }
 
-  onceDrained(listener: () => void): void {
+  onceWritable(listener: () => void): void {
     this._response.once('drain', listener);
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** Closes the caller's connection, so that the answer cannot look whole. */
-  cut(): void {
+  abort(): void {
     this._response.destroy();
   }
 
@@ -139,7 +139,7 @@
 }
 
 /** The headers of a request that are passed on: names and values in turn, without those that `drop` names. */
-export function passedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
+export function forwardedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
   const named = new Set(
     String(request.headers.connection ?? '')
       .split(',')
--- a/src/serving/currentAttempt.ts
+++ b/src/serving/currentAttempt.ts
@@ -23,7 +23,7 @@
   }
 
   /** Milliseconds since the attempt began. */
-  get waited(): number {
+  get elapsedMilliseconds(): number {
     return this._clock.now() - this._startedAt;
   }
 
@@ -38,23 +38,23 @@
   }
 
   /** Goes on with a call that began at `startedAt` beside the one before. */
-  follow(call: BackendCall, startedAt: number): void {
+  adopt(call: BackendCall, startedAt: number): void {
     this._call = call;
     this._startedAt = startedAt;
   }
 
   /** The call at `server` has ended; an event that it broke off is dropped. */
-  forget(server: TrackedServer): void {
+  clear(server: TrackedServer): void {
     if (!this._call) return;
     this._call = undefined;
     if (this._relay) server.streamEnded();
-    this._relay?.forgetPartial();
+    this._relay?.dropPartialEvent();
   }
 
   /** Ends the attempt, if there is one. */
-  end(reason: AbortReason): void {
+  abort(reason: AbortReason): void {
     const call = this._call;
-    if (call) this.forget(call.server);
+    if (call) this.clear(call.server);
     call?.abort(reason);
   }
 }
--- a/src/serving/finalAnswer.ts
+++ b/src/serving/finalAnswer.ts
@@ -9,7 +9,7 @@
 export type EndListener = (outcome: RequestOutcome, fields: EndFields) => void;
 
 /** How a request stands that is given up. */
-export interface GivenUp {
+export interface GiveUpDetails {
   /** Whether the caller has a part of the answer. */
   begun: boolean;
   mayHaveRun: boolean;
@@ -29,12 +29,12 @@
   }
 
   /** Whether the request has ended. */
-  get given(): boolean {
+  get isFinal(): boolean {
     return this._given;
   }
 
   /** Passes the whole answer of a server on. */
-  pass(server: TrackedServer, status: number, headers: AnswerHeaders, body: Buffer): void {
+  forward(server: TrackedServer, status: number, headers: AnswerHeaders, body: Buffer): void {
     this._exchange.answer(status, headers, body);
     this._end('answered', { status, server: server.record.id });
   }
@@ -52,7 +52,7 @@
   }
 
   /** No server can go on: cuts an answer that has begun, and says of any other whether it may have run. */
-  giveUp(reason: string, { begun, mayHaveRun, retryAfterMilliseconds }: GivenUp): void {
+  giveUp(reason: string, { begun, mayHaveRun, retryAfterMilliseconds }: GiveUpDetails): void {
     if (begun || mayHaveRun) return this.fail(begun, reason);
     this.refuse(OWN_STATUS.notRun, reason, retryAfterMilliseconds);
   }
@@ -60,24 +60,24 @@
   /** The request may have run, and nobody can go on with it. */
   fail(begun: boolean, reason: string): void {
     if (begun) this.cut(reason);
-    else this.refuse(OWN_STATUS.unclear, reason);
+    else this.refuse(OWN_STATUS.unknown, reason);
   }
 
   /** The caller or the operator no longer waits; `sent` when the request may have run. */
-  timeOver(begun: boolean, sent: boolean): void {
+  timeOut(begun: boolean, sent: boolean): void {
     if (begun) return this.cut('time over');
-    if (sent) return this.refuse(OWN_STATUS.timeOver, 'time over');
+    if (sent) return this.refuse(OWN_STATUS.timeOut, 'time over');
     this.refuse(OWN_STATUS.notRun, 'time over before the request was sent', 0);
   }
 
   /** Closes the caller's connection, so that what was passed on cannot look whole. */
   cut(reason: string): void {
-    this._exchange.cut();
+    this._exchange.abort();
     this._end('cut', { reason });
   }
 
   /** The caller has left. */
-  callerGone(): void {
+  callerDisconnected(): void {
     this._end('caller-gone', {});
   }
 
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -2,18 +2,18 @@
 import type { AnswerHeaders, BackendCallListener, CallFailure } from './backendCall.js';
 import { RequestTurn } from '../crashes/requestTurn.js';
 import { SharedInterval } from '../utils/sharedInterval.js';
-import { MISDIRECTED, noteAnswerHead } from './answerHead.js';
+import { MISDIRECTED_REQUEST, recordAnswerHead } from './answerHead.js';
 import { AnswerReceiver } from './answerReceiver.js';
 import type { BackendCall } from './backendCall.js';
 import { OWN_STATUS } from './callerExchange.js';
 import type { AdmittedRequest } from './admittedRequest.js';
-import type { PartialAnswer } from './answerJudgement.js';
-import { handoverDelay, isGoodEnd, isSilent, judgeAnswer } from './answerJudgement.js';
+import type { PartialAnswer } from './answerClassification.js';
+import { handoverDelay, isSuccessfulRun, isStalled, classifyAnswer } from './answerClassification.js';
 import { CurrentAttempt } from './currentAttempt.js';
 import { FinalAnswer } from './finalAnswer.js';
-import type { ForwardServices } from './forwardServices.js';
-import type { NoAttempt } from './noAttempt.js';
-import { mayPass, noAttemptOf } from './noAttempt.js';
+import type { ForwardingContext } from './forwardingContext.js';
+import type { NoAttemptReason } from './noAttemptReason.js';
+import { isTransient, noAttemptReasonOf } from './noAttemptReason.js';
 import { RequestAttempts } from './requestAttempts.js';
 import { RequestHandover } from './requestHandover.js';
 import type { EndFields, RequestOutcome } from './requestTrace.js';
@@ -26,7 +26,7 @@
 const watches = new SharedInterval(WATCH_INTERVAL_MILLISECONDS);
 
 export class ForwardedRequest {
-  private readonly _services: ForwardServices;
+  private readonly _services: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _trace: RequestTrace;
   private readonly _relay: StreamRelay | undefined;
@@ -39,16 +39,16 @@
   private readonly _final: FinalAnswer;
   private readonly _done: () => void;
   /** Why there was no next attempt when one was last wanted; undefined while there is one. */
-  private _noAttempt: NoAttempt | undefined;
+  private _noAttempt: NoAttemptReason | undefined;
   /** Whether a stream that has begun waits until it can go on elsewhere. */
   private _isWaiting = false;
   /** Whether the request may have run somewhere. */
   private _mayHaveRun = false;
-  private _deadlineTimer: NodeJS.Timeout | undefined;
+  private _timeout: NodeJS.Timeout | undefined;
   private _endWatch: () => void = () => undefined;
 
   /** `done` is called once, when the request has ended. */
-  constructor(services: ForwardServices, request: AdmittedRequest, done: () => void) {
+  constructor(services: ForwardingContext, request: AdmittedRequest, done: () => void) {
     this._services = services;
     this._request = request;
     this._done = done;
@@ -59,7 +59,7 @@
     this._trace = new RequestTrace(request, services.log, services.metrics, services.clock);
     this._handover = new RequestHandover(services, request, this._attempts, this._trace, {
       callListener: (server) => this._listenerFor(server),
-      onBegun: (server) => this._noteAttempt(server),
+      onSent: (server) => this._noteAttempt(server),
       onReady: (call, startedAt) => this._onHandoverReady(call, startedAt),
       onFailed: (server, failure, startedAt) => this._onHandoverFailed(server, failure, startedAt),
     });
@@ -72,8 +72,8 @@
   start(): void {
     const { exchange } = this._request;
     if (exchange.ended) return this._onCallerGone();
-    exchange.onCallerGone(() => this._onCallerGone());
-    this._deadlineTimer = setTimeout(() => this._onTimeOver(), Math.max(0, this._attempts.leftMilliseconds));
+    exchange.onCallerDisconnect(() => this._onCallerGone());
+    this._timeout = setTimeout(() => this._onTimeout(), Math.max(0, this._attempts.remainingMilliseconds));
     // a stream shows by its head that it has begun; other requests that may run once are left to end where they are
     if (this._attempts.repeatable || this._relay) this._endWatch = watches.add(() => this._watch());
     this._attempt();
@@ -81,12 +81,12 @@
 
   /** Sends the request to the best server there is. */
   private _attempt(): void {
-    if (this._final.given) return;
+    if (this._final.isFinal) return;
     if (!this._turn.isFree) return void this._awaitTurn();
     const found = this._attempts.find();
-    if (found.kind === 'none') return this._giveUp(noAttemptOf(found)!);
+    if (found.kind === 'none') return this._giveUp(noAttemptReasonOf(found)!);
     const { server } = found;
-    this._received.forget();
+    this._received.reset();
     const outgoing = this._attempts.outgoing(server, this._relay?.lastEventId ?? '');
     if (this._current.send(server, outgoing, this._listenerFor(server))) this._noteAttempt(server);
     else this._giveUp('all busy');
@@ -97,7 +97,7 @@
     if (this._turn.isAwaited) return;
     const outcome = await this._turn.take();
     if (outcome === 'granted') this._attempt();
-    else if (!this._final.given) this._giveUp(outcome);
+    else if (!this._final.isFinal) this._giveUp(outcome);
   }
 
   private _noteAttempt(server: TrackedServer): void {
@@ -119,8 +119,8 @@
     const { names } = this._services;
     const { exchange, model } = this._request;
     if (headers[names.requestId] !== exchange.requestId) return this._onForeignAnswer(server);
-    server.health.noteFirstAnswer(this._current.waited);
-    noteAnswerHead(server, status, headers, names, model);
+    server.health.noteFirstAnswer(this._current.elapsedMilliseconds);
+    recordAnswerHead(server, status, headers, names, model);
     this._received.onHead(status, headers, headers[names.seal] !== undefined);
   }
 
@@ -130,14 +130,14 @@
 
   /** The answer is for another request: nothing of this connection can be trusted. */
   private _onForeignAnswer(server: TrackedServer): void {
-    this._current.end('foreign-answer');
+    this._current.abort('foreign-answer');
     this._afterFailure(server, { sent: true, reason: 'foreign-answer' });
   }
 
   private _onEnd(server: TrackedServer): void {
     const answer = this._received.answer!;
-    this._current.forget(server);
-    if (this._received.isPassedOn) {
+    this._current.clear(server);
+    if (this._received.isForwarding) {
       server.health.note('succeeded');
       this._turn.noteGoodEnd();
       return this._final.endStream(server, answer.status);
@@ -148,15 +148,15 @@
   /** Acts on what a whole answer means. */
   private _judge(server: TrackedServer, answer: PartialAnswer): void {
     const { status, headers } = answer;
-    const verdict = judgeAnswer(status, headers, this._services.names);
+    const verdict = classifyAnswer(status, headers, this._services.names);
     if (verdict === 'not-run') return this._onRejected(server, status);
     this._mayHaveRun = true;
     server.health.note(verdict === 'failed' || verdict === 'unclear' ? 'failed' : 'succeeded');
-    if (isGoodEnd(verdict, status)) this._turn.noteGoodEnd();
+    if (isSuccessfulRun(verdict, status)) this._turn.noteGoodEnd();
     if (verdict !== 'answered' && this._attempts.repeatable && this._goOnElsewhere()) return;
-    if (verdict === 'unclear') return this._final.refuse(OWN_STATUS.unclear, `status ${status} from server`);
+    if (verdict === 'unclear') return this._final.refuse(OWN_STATUS.unknown, `status ${status} from server`);
     if (this._relay?.begun) return this._final.cut('stream could not be resumed');
-    this._final.pass(server, status, headers, Buffer.concat(answer.body));
+    this._final.forward(server, status, headers, Buffer.concat(answer.body));
   }
 
   /** The server says that the request has not run. */
@@ -166,14 +166,14 @@
   }
 
   private _noteRejected(server: TrackedServer, status: number): void {
-    server.health.note(status === MISDIRECTED ? 'displaced' : 'rejected');
+    server.health.note(status === MISDIRECTED_REQUEST ? 'displaced' : 'rejected');
     this._attempts.noteNotRun(server);
     this._trace.rejected(server, status);
   }
 
   private _afterFailure(server: TrackedServer, failure: CallFailure): void {
-    this._current.forget(server);
-    this._trace.attemptFailed(server, failure, this._current.waited);
+    this._current.clear(server);
+    this._trace.attemptFailed(server, failure, this._current.elapsedMilliseconds);
     if (!failure.sent && !this._handover.isUnderWay) return this._afterUnreachable(server);
     this._mayHaveRun = true;
     if (failure.reason === 'silent') server.health.note('silent');
@@ -186,7 +186,7 @@
   private async _afterBreak(server: TrackedServer, failure: CallFailure): Promise<void> {
     if (await this._turn.afterBreak(server.record)) server.health.noteUnreachable();
     const hasGoneOn = this._current.call !== undefined || this._handover.isUnderWay;
-    if (!hasGoneOn && !this._final.given) this._goOnAfter(failure);
+    if (!hasGoneOn && !this._final.isFinal) this._goOnAfter(failure);
   }
 
   private _goOnAfter(failure: CallFailure): void {
@@ -204,7 +204,7 @@
 
   /** Goes on with the handover under way, with another attempt or by waiting for one; false when there can be none. */
   private _goOnElsewhere(): boolean {
-    if (this._handover.isUnderWay || this._final.given) return true;
+    if (this._handover.isUnderWay || this._final.isFinal) return true;
     this._noAttempt = this._takeRetry();
     if (this._noAttempt) return this._waitsFor(this._noAttempt);
     this._attempt();
@@ -212,8 +212,8 @@
   }
 
   /** Lets a stream that has begun wait for what is missing, and holds nothing meanwhile; false when it is not to wait. */
-  private _waitsFor(reason: NoAttempt): boolean {
-    this._isWaiting = this._relay?.begun === true && this._attempts.repeatable && mayPass(reason);
+  private _waitsFor(reason: NoAttemptReason): boolean {
+    this._isWaiting = this._relay?.begun === true && this._attempts.repeatable && isTransient(reason);
     if (this._isWaiting) this._trace.waiting(reason);
     return this._isWaiting;
   }
@@ -224,7 +224,7 @@
   }
 
   /** Takes permission for one more attempt; returns why there is none. */
-  private _takeRetry(): NoAttempt | undefined {
+  private _takeRetry(): NoAttemptReason | undefined {
     const refused = this._attempts.takeRetry();
     if (!refused) this._trace.retried();
     return refused;
@@ -246,21 +246,21 @@
   /** No request may begin on an older version after the bound, whatever else is known of it. */
   private _takeBack({ server, sent }: BackendCall): void {
     this._trace.takenBack(server);
-    this._current.end('not-needed');
+    this._current.abort('not-needed');
     this._afterFailure(server, { sent, reason: 'not begun before the bound of its version' });
   }
 
   private _moveIfSilent({ server }: BackendCall): void {
-    const { waited } = this._current;
-    const silent = isSilent({
-      waited,
+    const { elapsedMilliseconds: waited } = this._current;
+    const silent = isStalled({
+      elapsedMilliseconds: waited,
       objective: this._request.route.objectiveMilliseconds,
       serverSilentFor: server.silentFor,
       stream: this._relay !== undefined,
       streamSilentFor: this._received.answer && this._relay?.begun ? this._relay.silentFor() : undefined,
     });
     if (!silent || this._takeRetry()) return;
-    this._current.end('silent');
+    this._current.abort('silent');
     this._mayHaveRun = true;
     server.health.note('silent');
     this._trace.attemptFailed(server, { sent: true, reason: 'silent' }, waited);
@@ -269,11 +269,11 @@
 
   /** The other server has sent an event: lets the first one go and follows the other. */
   private _onHandoverReady(call: BackendCall, startedAt: number): void {
-    const { call: former, waited } = this._current;
+    const { call: former, elapsedMilliseconds: waited } = this._current;
     if (former) this._trace.attemptFailed(former.server, { sent: true, reason: 'switching' }, waited);
-    this._current.end('not-needed');
+    this._current.abort('not-needed');
     this._mayHaveRun = true;
-    this._current.follow(call, startedAt);
+    this._current.adopt(call, startedAt);
   }
 
   private _onHandoverFailed(server: TrackedServer, failure: CallFailure, startedAt: number): void {
@@ -285,7 +285,7 @@
     this._trace.attemptFailed(server, failure, this._services.clock.now() - startedAt);
   }
 
-  private _giveUp(reason: NoAttempt): void {
+  private _giveUp(reason: NoAttemptReason): void {
     this._noAttempt = reason;
     if (this._waitsFor(reason)) return;
     this._final.giveUp(reason, {
@@ -295,22 +295,22 @@
     });
   }
 
-  private _onTimeOver(): void {
+  private _onTimeout(): void {
     const sent = this._mayHaveRun || this._handover.isUnderWay || this._current.call?.sent === true;
-    this._current.end('time-over');
-    this._final.timeOver(this._relay?.begun === true, sent);
+    this._current.abort('time-over');
+    this._final.timeOut(this._relay?.begun === true, sent);
   }
 
   private _onCallerGone(): void {
-    if (this._final.given) return;
-    this._current.end('caller-gone');
-    this._final.callerGone();
+    if (this._final.isFinal) return;
+    this._current.abort('caller-gone');
+    this._final.callerDisconnected();
   }
 
   private _onEnded(outcome: RequestOutcome, fields: EndFields): void {
     this._handover.cancel();
     this._turn.release();
-    clearTimeout(this._deadlineTimer);
+    clearTimeout(this._timeout);
     this._endWatch();
     this._trace.ended(outcome, this._attempts.count, { ...fields, noAttempt: this._noAttempt }, this._relay);
     this._done();
--- a/src/serving/forwardServices.ts
+++ b/src/serving/forwardingContext.ts
@@ -8,7 +8,7 @@
 import type { ServerPool } from './serverPool.js';
 import type { VersionGate } from './versionGate.js';
 
-export interface ForwardServices {
+export interface ForwardingContext {
   names: HeaderNames;
   pool: ServerPool;
   gate: VersionGate;
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -15,7 +15,7 @@
 import { errorText } from '../utils/stepError.js';
 import { AgentAnnouncements, boxOfHost } from './agentAnnouncements.js';
 import { BoxLinks } from './boxLinks.js';
-import { drainCallers, drainEnd } from './callerDrain.js';
+import { drainCallers, drainDeadline } from './callerDrain.js';
 import { CallerServer } from './callerServer.js';
 import { ConfigurationHolder } from './configurationHolder.js';
 import type { DirectoryPaths } from './directoryServer.js';
@@ -23,7 +23,7 @@
 import { EntryDirectory } from './entryDirectory.js';
 import { entrySignals } from './entrySignals.js';
 import { FollowedRecords } from './followedRecords.js';
-import type { ForwardServices } from './forwardServices.js';
+import type { ForwardingContext } from './forwardingContext.js';
 import { ForwardedRequest } from './forwardedRequest.js';
 import type { HeaderNames } from './headerNames.js';
 import { addGatewayGauges } from './gatewayGauges.js';
@@ -65,7 +65,7 @@
   private readonly _followers: PlatformFollowers;
   private readonly _control: ControlServer;
   private readonly _admission: RequestAdmission;
-  private readonly _forward: ForwardServices;
+  private readonly _forward: ForwardingContext;
   private readonly _callers: CallerServer;
   private readonly _directory: DirectoryServer;
   private readonly _metricsServer: MetricsServer;
@@ -176,7 +176,7 @@
       stopListening: async () => await this._callers.stopListening(),
     };
     this._entries.leave();
-    this._closesAt = drainEnd(drained);
+    this._closesAt = drainDeadline(drained);
     this._log.state('gateway.leaving', { running: this._running, connections: this._callers.connections });
     this._links.announceNow();
     await drainCallers(drained);
--- a/src/serving/noAttempt.ts
+++ b/src/serving/noAttemptReason.ts
@@ -12,7 +12,7 @@
  * - `time`: too little is left for another attempt.
  * - `ends servers`: the same request has ended several servers, and runs no more.
  */
-export type NoAttempt =
+export type NoAttemptReason =
   | 'attempts used'
   | 'retry budget'
   | 'asked just now'
@@ -24,7 +24,7 @@
   | 'ends servers';
 
 /** What may change while a caller waits. */
-const PASSING: ReadonlySet<NoAttempt> = new Set([
+const PASSING: ReadonlySet<NoAttemptReason> = new Set([
   'retry budget',
   'asked just now',
   'no server',
@@ -40,11 +40,11 @@
 } as const;
 
 /** The same for a choice that found no server; undefined when it found one. */
-export function noAttemptOf(found: ServerFound): NoAttempt | undefined {
+export function noAttemptReasonOf(found: ServerFound): NoAttemptReason | undefined {
   return found.kind === 'none' ? OF_CHOICE[found.reason] : undefined;
 }
 
 /** Whether it is worth waiting for another attempt. */
-export function mayPass(reason: NoAttempt): boolean {
+export function isTransient(reason: NoAttemptReason): boolean {
   return PASSING.has(reason);
 }
--- a/src/serving/outgoingRequest.ts
+++ b/src/serving/outgoingRequest.ts
@@ -5,10 +5,10 @@
 import type { TrackedServer } from './trackedServer.js';
 
 /** What changes from attempt to attempt. */
-export interface AttemptTerms {
+export interface AttemptParameters {
   server: TrackedServer;
   /** Milliseconds that are left for the attempt. */
-  leftMilliseconds: number;
+  remainingMilliseconds: number;
   /** The last event that the caller has been sent, '' for none. */
   lastEventId: string;
   /** The newest version of the request's model, 0 when none is known. */
@@ -19,15 +19,15 @@
 export function outgoingRequest(
   request: AdmittedRequest,
   names: HeaderNames,
-  terms: AttemptTerms,
+  terms: AttemptParameters,
 ): BackendRequest {
-  const { method, path, headers, body, model, prompts } = request;
-  const { server, leftMilliseconds, lastEventId, newestVersion } = terms;
+  const { method, path, headers, body, model, promptSize: prompts } = request;
+  const { server, remainingMilliseconds: leftMilliseconds, lastEventId, newestVersion } = terms;
   const own = [names.deadline, String(Math.max(1, Math.floor(leftMilliseconds)))];
   own.push(names.expectedServer, server.record.id);
   if (lastEventId !== '') own.push(names.lastEventId, lastEventId);
   const version = server.version(model);
   // a server that has taken a newer version meanwhile rejects the request, so that its load is known to be another
   if (model !== '' && newestVersion > version) own.push(names.expectedVersion, String(version));
-  return { method, path, headers: [...headers, ...own], body, prompts };
+  return { method, path, headers: [...headers, ...own], body, promptSize: prompts };
 }
--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -5,7 +5,7 @@
 import { bearerToken, readBody } from '../utils/httpBody.js';
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
-import { CallerExchange, OWN_STATUS, passedHeaders } from './callerExchange.js';
+import { CallerExchange, OWN_STATUS, forwardedHeaders } from './callerExchange.js';
 import type { ConfigurationHolder } from './configurationHolder.js';
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { HeaderNames } from './headerNames.js';
@@ -129,7 +129,7 @@
   ): AdmittedRequest {
     const { names, random } = this._options;
     const { request } = exchange;
-    const headers = passedHeaders(request, this._dropped);
+    const headers = forwardedHeaders(request, this._dropped);
     if (customer) headers.push(names.customer, customer.name);
     headers.push(names.priority, String(customer?.priority ?? route.priority));
     const service = chooseTarget(route, random.fraction());
@@ -149,7 +149,7 @@
       path,
       headers,
       body: body.length > 0 ? body : undefined,
-      prompts: promptSize(request.headers[names.tokens], this._usualPromptTokens(service)),
+      promptSize: promptSize(request.headers[names.tokens], this._usualPromptTokens(service)),
       lastEventId: String(request.headers[names.lastEventId] ?? ''),
       retries,
       endsAt: arrivedAt + this._longest(request, route),
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -1,13 +1,13 @@
 /** Where a request has been sent, and whether and where it may be sent next. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendRequest } from './backendCall.js';
-import type { ForwardServices } from './forwardServices.js';
-import type { NoAttempt } from './noAttempt.js';
-import { noAttemptOf } from './noAttempt.js';
+import type { ForwardingContext } from './forwardingContext.js';
+import type { NoAttemptReason } from './noAttemptReason.js';
+import { noAttemptReasonOf } from './noAttemptReason.js';
 import { outgoingRequest } from './outgoingRequest.js';
-import { retryAfter } from './retryAdvice.js';
+import { computeRetryAfter } from './retryAfter.js';
 import type { ServerFound } from './serverPool.js';
-import { LONGEST_HANDOVER_MILLISECONDS } from './streamHandover.js';
+import { HANDOVER_TIMEOUT_MILLISECONDS } from './streamHandover.js';
 import type { TrackedServer } from './trackedServer.js';
 
 /** Least time that is worth another attempt. */
@@ -23,7 +23,7 @@
 const RESEND_MILLISECONDS = 100;
 
 export class RequestAttempts {
-  private readonly _services: ForwardServices;
+  private readonly _services: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _hasBegun: () => boolean;
   private readonly _tried = new Set<string>();
@@ -38,7 +38,7 @@
   private _waitMilliseconds = 0;
 
   /** `hasBegun` tells whether the caller has a part of the answer. */
-  constructor(services: ForwardServices, request: AdmittedRequest, hasBegun: () => boolean = () => false) {
+  constructor(services: ForwardingContext, request: AdmittedRequest, hasBegun: () => boolean = () => false) {
     this._hasBegun = hasBegun;
     this._services = services;
     this._request = request;
@@ -56,7 +56,7 @@
   }
 
   /** Milliseconds until the caller or the operator no longer waits. */
-  get leftMilliseconds(): number {
+  get remainingMilliseconds(): number {
     return this._request.endsAt - this._services.clock.now();
   }
 
@@ -90,7 +90,7 @@
     const { names, gate } = this._services;
     return outgoingRequest(this._request, names, {
       server,
-      leftMilliseconds: this.leftMilliseconds,
+      remainingMilliseconds: this.remainingMilliseconds,
       lastEventId,
       newestVersion: gate.newest(this._request.model),
     });
@@ -120,35 +120,35 @@
   }
 
   /** Nothing reached the server, so that the attempt does not count; returns why not to go on to another one. */
-  noteUnreachable(server: TrackedServer): NoAttempt | undefined {
+  noteUnreachable(server: TrackedServer): NoAttemptReason | undefined {
     this._noteNotRunAt(server);
     this._count--;
     this._unreachable++;
     if (this._unreachable >= MOST_UNREACHABLE) return 'no server';
-    return this.leftMilliseconds <= SHORTEST_ATTEMPT_MILLISECONDS ? 'time' : undefined;
+    return this.remainingMilliseconds <= SHORTEST_ATTEMPT_MILLISECONDS ? 'time' : undefined;
   }
 
   /**
    * Takes permission for one more attempt: the route, the time left, a server and the retry budget must allow it. Returns
    * what does not.
    */
-  takeRetry(isHandover = false): NoAttempt | undefined {
+  takeRetry(isHandover = false): NoAttemptReason | undefined {
     const { route, retries } = this._request;
     // a stream that is handed over still has its first server, and needs no more sends than a new request
     const isBrokenOff = this._hasBegun() && !isHandover;
     const used = isBrokenOff ? this._count - this._notRun : this._count;
     if (used >= route.attempts) return 'attempts used';
-    if (this.leftMilliseconds < SHORTEST_ATTEMPT_MILLISECONDS) return 'time';
+    if (this.remainingMilliseconds < SHORTEST_ATTEMPT_MILLISECONDS) return 'time';
     if (isBrokenOff && this._isTooSoon()) return 'asked just now';
-    const noServer = noAttemptOf(this.find(isHandover));
+    const noServer = noAttemptReasonOf(this.find(isHandover));
     if (noServer) return noServer;
     return retries.takeRetry(this._hasBegun()) ? undefined : 'retry budget';
   }
 
   /** Milliseconds after which its caller should come back, where there is no attempt for `reason`. */
-  retryAfter(reason: NoAttempt): number {
+  retryAfter(reason: NoAttemptReason): number {
     const fraction = this._services.random.fraction();
-    return retryAfter(reason, this.leftMilliseconds, fraction, this._waitMilliseconds);
+    return computeRetryAfter(reason, this.remainingMilliseconds, fraction, this._waitMilliseconds);
   }
 
   private _noteNotRunAt(server: TrackedServer): void {
@@ -171,6 +171,6 @@
   /** Time that a server may take for its first answer. */
   private _objectiveMilliseconds(isHandover: boolean): number {
     if (!this._hasBegun()) return this._request.route.objectiveMilliseconds;
-    return isHandover ? LONGEST_HANDOVER_MILLISECONDS : Number.POSITIVE_INFINITY;
+    return isHandover ? HANDOVER_TIMEOUT_MILLISECONDS : Number.POSITIVE_INFINITY;
   }
 }
--- a/src/serving/requestHandover.ts
+++ b/src/serving/requestHandover.ts
@@ -1,8 +1,8 @@
 /** The handover of one request: another server is asked for the rest of its stream, while the first one goes on. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendCall, BackendCallListener, CallFailure } from './backendCall.js';
-import type { ForwardServices } from './forwardServices.js';
-import { noAttemptOf } from './noAttempt.js';
+import type { ForwardingContext } from './forwardingContext.js';
+import { noAttemptReasonOf } from './noAttemptReason.js';
 import type { RequestAttempts } from './requestAttempts.js';
 import type { RequestTrace } from './requestTrace.js';
 import { StreamHandover } from './streamHandover.js';
@@ -13,14 +13,14 @@
   /** Hears the call from when it is followed. */
   callListener(server: TrackedServer): BackendCallListener;
   /** The other server has been asked. */
-  onBegun(server: TrackedServer): void;
+  onSent(server: TrackedServer): void;
   /** It has sent an event of the call that began at `startedAt`. */
   onReady(call: BackendCall, startedAt: number): void;
   onFailed(server: TrackedServer, failure: CallFailure, startedAt: number): void;
 }
 
 export class RequestHandover {
-  private readonly _services: ForwardServices;
+  private readonly _services: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _attempts: RequestAttempts;
   private readonly _trace: RequestTrace;
@@ -28,7 +28,7 @@
   private _handover: StreamHandover | undefined;
 
   constructor(
-    services: ForwardServices,
+    services: ForwardingContext,
     request: AdmittedRequest,
     attempts: RequestAttempts,
     trace: RequestTrace,
@@ -48,7 +48,7 @@
   /** Asks a server other than `from` for what follows `lastEventId`, if there is one and the bounds allow it. */
   begin(from: TrackedServer, lastEventId: string): void {
     const found = this._attempts.find(true);
-    if (found.kind === 'none') return this._trace.notHandedOver(from, noAttemptOf(found)!);
+    if (found.kind === 'none') return this._trace.notHandedOver(from, noAttemptReasonOf(found)!);
     const refused = this._attempts.takeRetry(true);
     if (refused) return this._trace.notHandedOver(from, refused);
     this._trace.retried();
@@ -70,7 +70,7 @@
         this._listener.onFailed(server, failure, startedAt);
       },
     });
-    if (this._handover) this._listener.onBegun(server);
+    if (this._handover) this._listener.onSent(server);
   }
 
   cancel(): void {
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../utils/clock.js';
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { CallFailure } from './backendCall.js';
-import type { NoAttempt } from './noAttempt.js';
+import type { NoAttemptReason } from './noAttemptReason.js';
 import type { ServingMetrics } from '../telemetry/servingMetrics.js';
 import type { StreamRelay } from './streamRelay.js';
 import type { TrackedServer } from './trackedServer.js';
@@ -21,7 +21,7 @@
   private readonly _clock: Clock;
   private readonly _startedAt: number;
   private _stays = false;
-  private _waitsFor: NoAttempt | undefined;
+  private _waitsFor: NoAttemptReason | undefined;
 
   constructor(request: AdmittedRequest, log: EventLog, metrics: ServingMetrics, clock: Clock) {
     this._request = request;
@@ -83,7 +83,7 @@
   }
 
   /** A stream that has begun waits until it can go on elsewhere; logged once for each reason. */
-  waiting(reason: NoAttempt): void {
+  waiting(reason: NoAttemptReason): void {
     if (this._waitsFor === reason) return;
     this._waitsFor = reason;
     this._metrics.count(`streams_waiting_total{reason="${reason}"}`);
@@ -99,7 +99,7 @@
     const milliseconds = Math.round(this._clock.now() - this._startedAt);
     this._metrics.requestEnded(this._request.service, outcome, milliseconds);
     const { name: route, objectiveMilliseconds } = this._request.route;
-    const firstAt = stream?.firstAt ?? 0;
+    const firstAt = stream?.firstEventAt ?? 0;
     this._log.decision(`request.${outcome}`, {
       request: this._id,
       route,
--- a/src/serving/retryAdvice.ts
+++ b/src/serving/retryAfter.ts
@@ -1,6 +1,6 @@
 /** When a caller that was refused should come back. Pure. */
 import { SHUT_OUT_MILLISECONDS } from '../crashes/standing.js';
-import type { NoAttempt } from './noAttempt.js';
+import type { NoAttemptReason } from './noAttemptReason.js';
 
 /** Callers wait no longer than a third of the time that they have left, which is a little less at their end. */
 const LONGEST_SHARE = 0.32;
@@ -12,8 +12,8 @@
  * server without room has none a moment later either: bursts, switches and losses last for seconds, and an answer to
  * the new attempt is worth as much late as soon. No server takes it before `waitMilliseconds`.
  */
-export function retryAfter(
-  reason: NoAttempt,
+export function computeRetryAfter(
+  reason: NoAttemptReason,
   leftMilliseconds: number,
   fraction: number,
   waitMilliseconds = 0,
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -173,7 +173,7 @@
     const startedAt = this._lives.get(id)!.startedAt;
     this._options.log.state('server.started-again', { server: id, service, source, startedAt });
     const former = this._servers.get(id)!;
-    former.connections.endOpenedBefore(former.certainlyLivedAt);
+    former.connections.resetOpenedBefore(former.certainlyLivedAt);
     this._options.signals.startAnew(id);
     this._servers.set(id, this._track(record));
   }
--- a/src/serving/streamHandover.ts
+++ b/src/serving/streamHandover.ts
@@ -1,6 +1,6 @@
 /** Moves a stream to another server without a pause: the first server goes on until the second has sent an event. */
-import { noteAnswerHead } from './answerHead.js';
-import { judgeAnswer } from './answerJudgement.js';
+import { recordAnswerHead } from './answerHead.js';
+import { classifyAnswer } from './answerClassification.js';
 import type { AnswerHeaders, BackendCallListener, BackendRequest, CallFailure } from './backendCall.js';
 import { BackendCall } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
@@ -24,7 +24,7 @@
 }
 
 /** Time for the first event of the second server: less than entries keep clear of the bound of an older version. */
-export const LONGEST_HANDOVER_MILLISECONDS = 600;
+export const HANDOVER_TIMEOUT_MILLISECONDS = 600;
 const SUCCESS = 200;
 
 /** Ends by exactly one of `onReady`, `onFailed` and {@link StreamHandover.cancel}. */
@@ -39,7 +39,7 @@
     this._options = options;
     this._timer = setTimeout(
       () => this._fail({ sent: true, reason: 'handover was silent' }),
-      LONGEST_HANDOVER_MILLISECONDS,
+      HANDOVER_TIMEOUT_MILLISECONDS,
     );
   }
 
@@ -67,12 +67,12 @@
     if (this._state !== 'waiting') return;
     const { server, names, requestId, model } = this._options;
     const isOwn = headers[names.requestId] === requestId;
-    if (isOwn) noteAnswerHead(server, status, headers, names, model);
+    if (isOwn) recordAnswerHead(server, status, headers, names, model);
     if (isOwn && status === SUCCESS && headers[names.seal] !== undefined) {
       this._headers = headers;
       return;
     }
-    const isRejected = isOwn && judgeAnswer(status, headers, names) === 'not-run';
+    const isRejected = isOwn && classifyAnswer(status, headers, names) === 'not-run';
     const reason = `status ${status} of a handover`;
     this._fail({ sent: true, reason, rejectedWith: isRejected ? status : undefined });
   }
--- a/src/serving/streamRelay.ts
+++ b/src/serving/streamRelay.ts
@@ -34,7 +34,7 @@
   }
 
   /** Monotonic milliseconds at which the first event came, 0 before. */
-  get firstAt(): number {
+  get firstEventAt(): number {
     return this._firstAt;
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** Drops an event that was broken off. */
-  forgetPartial(): void {
+  dropPartialEvent(): void {
     this._splitter = new EventSplitter();
   }
 }
--- a/tests/backendCall.spec.ts
+++ b/tests/backendCall.spec.ts
@@ -9,7 +9,7 @@
 import { ScriptedBackend, answers } from '../standins/scriptedBackend.js';
 import { servingSignals } from './fixtures/servingSignals.js';
 
-const REQUEST = { method: 'GET', path: '/', headers: [], body: undefined, prompts: 0 };
+const REQUEST = { method: 'GET', path: '/', headers: [], body: undefined, promptSize: 0 };
 
 /** Sends a request, and lets the server ask for something before its connection is up. */
 async function sendBeforeWord(changes: { leaving: boolean; retryAfterMilliseconds: number }) {
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { AdmittedRequest } from '../src/serving/admittedRequest.js';
-import type { ForwardServices } from '../src/serving/forwardServices.js';
-import type { NoAttempt } from '../src/serving/noAttempt.js';
+import type { ForwardingContext } from '../src/serving/forwardingContext.js';
+import type { NoAttemptReason } from '../src/serving/noAttemptReason.js';
 import { RequestAttempts } from '../src/serving/requestAttempts.js';
 import { RetryAllowance } from '../src/serving/retryAllowance.js';
 import type { ServerNeed } from '../src/serving/serverNeed.js';
@@ -24,7 +24,7 @@
       return { kind: 'none', reason: 'no-server' } as const;
     },
   };
-  const services = { clock, gate, pool } as unknown as ForwardServices;
+  const services = { clock, gate, pool } as unknown as ForwardingContext;
   const request = { service: 's', model: 'm', route: routeFixture() } as AdmittedRequest;
   const attempts = new RequestAttempts(services, request);
   clock.advance(4_900);
@@ -40,7 +40,7 @@
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.note('m', 2, 0);
-  const services = { clock, gate } as unknown as ForwardServices;
+  const services = { clock, gate } as unknown as ForwardingContext;
   const request = { service: 's', model: 'm', route: routeFixture() } as AdmittedRequest;
   const attempts = new RequestAttempts(services, request);
   const server = { version: () => 1, slowLink: false, agentSilent: false } as unknown as TrackedServer;
@@ -68,7 +68,7 @@
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   const pool = { find: () => found };
-  const services = { clock, gate, pool } as unknown as ForwardServices;
+  const services = { clock, gate, pool } as unknown as ForwardingContext;
   const retries = new RetryAllowance({ ratio: 0, windowMilliseconds: 10_000, slack }, clock, () => 1);
   const endsAt = clock.now() + left;
   const request = { service: 's', model: 'm', route: routeFixture({ attempts: 2 }), retries, endsAt };
@@ -85,7 +85,7 @@
   ['all busy', { found: { kind: 'none', reason: 'all-busy' } }],
   ['old version', { found: { kind: 'none', reason: 'old-version' } }],
   ['time', { left: 30 }],
-] as const satisfies readonly (readonly [NoAttempt | undefined, Standing])[]) {
+] as const satisfies readonly (readonly [NoAttemptReason | undefined, Standing])[]) {
   test(`should say why there is no next attempt: ${why ?? 'there is one'}`, () => {
     expect(attemptsAt(standing).takeRetry()).toEqual(why);
   });
@@ -102,7 +102,7 @@
   gate.note('m', 2, 0);
   const needs: ServerNeed[] = [];
   const pool = { find: (need: ServerNeed) => (needs.push(need), found) };
-  const services = { clock, gate, pool } as unknown as ForwardServices;
+  const services = { clock, gate, pool } as unknown as ForwardingContext;
   const retries = new RetryAllowance({ ratio: 0, windowMilliseconds: 10_000, slack: 100 }, clock, () => 1);
   const route = routeFixture({ attempts: 2, objectiveMilliseconds: 200 });
   const request = { service: 's', model: 'm', route, retries, endsAt: 60_000 };
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -3,12 +3,12 @@
 import { expect } from 'earl';
 import { OWN_HEADER_NAMES } from '../src/serving/headerNames.js';
 import type { EntryAddress } from '../src/protocol/boxMessages.js';
-import type { AttemptProgress } from '../src/serving/answerJudgement.js';
-import { isSilent, judgeAnswer } from '../src/serving/answerJudgement.js';
+import type { AttemptProgress } from '../src/serving/answerClassification.js';
+import { isStalled, classifyAnswer } from '../src/serving/answerClassification.js';
 import { EventSplitter } from '../src/serving/eventSplitter.js';
 import { RetryAllowance } from '../src/serving/retryAllowance.js';
 import { RouteIndex, chooseTarget } from '../src/serving/routeIndex.js';
-import { retryAfter } from '../src/serving/retryAdvice.js';
+import { computeRetryAfter } from '../src/serving/retryAfter.js';
 import { ServerHealth } from '../src/serving/serverHealth.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { asking } from './fixtures/askingDirectory.js';
@@ -151,12 +151,12 @@
   ['a limit that may have run', 429, {}, 'unclear'],
 ] as const) {
   test(`should judge ${what}`, () => {
-    expect(judgeAnswer(status, { ...headers }, OWN_HEADER_NAMES)).toEqual(verdict);
+    expect(classifyAnswer(status, { ...headers }, OWN_HEADER_NAMES)).toEqual(verdict);
   });
 }
 
 const CALM: AttemptProgress = {
-  waited: 100,
+  elapsedMilliseconds: 100,
   objective: 400,
   serverSilentFor: 0,
   stream: true,
@@ -177,7 +177,7 @@
   ['a plain request in time', { stream: false, streamSilentFor: undefined, waited: 300 }, false],
 ] as const) {
   test(`should ${silent ? 'move' : 'keep'} ${what}`, () => {
-    expect(isSilent({ ...CALM, ...changes })).toEqual(silent);
+    expect(isStalled({ ...CALM, ...changes })).toEqual(silent);
   });
 }
 
@@ -225,8 +225,8 @@
 });
 
 test('should tell callers to come back within the time that they wait, and apart', () => {
-  expect(retryAfter('no server', 6_000, 0)).toEqual(960);
-  expect(retryAfter('all busy', 6_000, 0.999)).toEqual(1_919);
-  expect(retryAfter('time', -5, 0.5)).toEqual(0);
-  expect(retryAfter('ends servers', 6_000, 0.5)).toEqual(600_000);
+  expect(computeRetryAfter('no server', 6_000, 0)).toEqual(960);
+  expect(computeRetryAfter('all busy', 6_000, 0.999)).toEqual(1_919);
+  expect(computeRetryAfter('time', -5, 0.5)).toEqual(0);
+  expect(computeRetryAfter('ends servers', 6_000, 0.5)).toEqual(600_000);
 });
