--- a/src/requests/agentClient.ts
+++ b/src/requests/agentClient.ts
@@ -75,16 +75,16 @@
     try {
       const answer = await httpRequest(url, {
         method: request.method as 'POST',
-        headers: headersOf(attempt, this._token),
+        headers: requestHeaders(attempt, this._token),
         body: request.body.length > 0 ? request.body : undefined,
         dispatcher: this._dispatcher,
         signal: AbortSignal.any([attempt.signal, boxLost.signal]),
       });
-      return await resultOf(answer, request);
+      return await toAttemptResult(answer, request);
     } catch (error) {
       const neverSent = wasNeverSent(error);
       const reason = neverSent ? 'backend-unreachable' : 'backend-lost';
-      return unreached(reason, neverSent ? 'not-run' : 'unknown');
+      return unreachedResult(reason, neverSent ? 'not-run' : 'unknown');
     } finally {
       // an answer that has begun may still end over its own connection
       backend.lost.removeEventListener('abort', onLost);
@@ -94,7 +94,7 @@
 
 type HttpAnswer = Awaited<ReturnType<typeof httpRequest>>;
 
-function headersOf(
+function requestHeaders(
   { request, ledger, deadlineMilliseconds }: Attempt,
   token: string,
 ): Record<string, string> {
@@ -121,13 +121,13 @@
 }
 
 /** An answer that is not to this very request is never passed on. */
-async function resultOf(answer: HttpAnswer, request: CallerRequest): Promise<AttemptResult> {
+async function toAttemptResult(answer: HttpAnswer, request: CallerRequest): Promise<AttemptResult> {
   const text = (name: string): string => String(answer.headers[name] ?? '');
   const load =
     text(HEADER.inFlight) === '' ? undefined : Number(text(HEADER.inFlight)) + Number(text(HEADER.queued));
   if (text(HEADER.requestId) !== request.id || text(HEADER.customer) !== request.name.customer) {
     answer.body.destroy();
-    return unreached('backend-lost', 'unknown');
+    return unreachedResult('backend-lost', 'unknown');
   }
   if (text(HEADER.outcome) === 'answered') {
     const { statusCode: status, body } = answer;
@@ -152,7 +152,7 @@
   };
 }
 
-function unreached(reason: RefusalReason, outcome: Outcome): AttemptResult {
+function unreachedResult(reason: RefusalReason, outcome: Outcome): AttemptResult {
   const status = reason === 'backend-unreachable' ? 503 : 502;
   return {
     kind: 'refused',
--- a/src/requests/callerRequest.ts
+++ b/src/requests/callerRequest.ts
@@ -33,27 +33,27 @@
   arrivedAt: number;
 }
 
-const LONGEST_DEADLINE_MILLISECONDS = 3_600_000;
-const DEADLINE_ALLOWED = 'whole milliseconds from 1 to 3600000';
+const MAX_DEADLINE_MILLISECONDS = 3_600_000;
+const DEADLINE_FORMAT = 'whole milliseconds from 1 to 3600000';
 
-const termsSchema = z.object({
+const callerOptionsSchema = z.object({
   [HEADER.repeatable]: z.enum(['yes', 'no'], 'yes or no').optional(),
   [HEADER.idempotencyKey]: z.string().max(200, 'at most 200 characters').default(''),
   [HEADER.priority]: z.enum(['high', 'normal', 'low'], 'high, normal or low').default('normal'),
   [HEADER.deadline]: z.coerce
-    .number(DEADLINE_ALLOWED)
-    .int(DEADLINE_ALLOWED)
-    .min(1, DEADLINE_ALLOWED)
-    .max(LONGEST_DEADLINE_MILLISECONDS, DEADLINE_ALLOWED)
+    .number(DEADLINE_FORMAT)
+    .int(DEADLINE_FORMAT)
+    .min(1, DEADLINE_FORMAT)
+    .max(MAX_DEADLINE_MILLISECONDS, DEADLINE_FORMAT)
     .optional(),
 });
 
 /** Reads the headers that a caller may set; without `Larklatch-Repeatable` the `standard` holds. */
 export function parseCallerOptions(
   headers: http.IncomingHttpHeaders,
-  standard: boolean,
+  defaultRepeatable: boolean,
 ): Result<CallerOptions, FieldProblem[]> {
-  const parsed = termsSchema.safeParse(headers);
+  const parsed = callerOptionsSchema.safeParse(headers);
   if (!parsed.success) {
     return err(
       parsed.error.issues.map((issue) => {
@@ -62,12 +62,12 @@
       }),
     );
   }
-  const terms = parsed.data;
-  const repeatable = terms[HEADER.repeatable];
+  const options = parsed.data;
+  const repeatable = options[HEADER.repeatable];
   return ok({
-    repeatable: repeatable === undefined ? standard : repeatable === 'yes',
-    idempotencyKey: terms[HEADER.idempotencyKey],
-    priority: terms[HEADER.priority],
-    deadlineMilliseconds: terms[HEADER.deadline],
+    repeatable: repeatable === undefined ? defaultRepeatable : repeatable === 'yes',
+    idempotencyKey: options[HEADER.idempotencyKey],
+    priority: options[HEADER.priority],
+    deadlineMilliseconds: options[HEADER.deadline],
   });
 }
--- a/src/requests/fairQueue.ts
+++ b/src/requests/fairQueue.ts
@@ -53,9 +53,9 @@
 
 const PRIORITIES: readonly Priority[] = ['high', 'normal', 'low'];
 /** Weight of a new sample in the moving average of service times. */
-const AVERAGE_WEIGHT = 0.1;
-const FIRST_SERVICE_MILLISECONDS = 50;
-const SHORTEST_RETRY_MILLISECONDS = 200;
+const MOVING_AVERAGE_WEIGHT = 0.1;
+const INITIAL_SERVICE_MILLISECONDS = 50;
+const MIN_RETRY_AFTER_MILLISECONDS = 200;
 
 /**
  * Start-time fair queueing: the customer whose virtual time is lowest runs next; each run moves it on by one over
@@ -68,7 +68,7 @@
   private _running = 0;
   private _waitingCount = 0;
   private _virtualNow = 0;
-  private _serviceMilliseconds = FIRST_SERVICE_MILLISECONDS;
+  private _serviceMilliseconds = INITIAL_SERVICE_MILLISECONDS;
 
   constructor(options: FairQueueOptions) {
     this._options = options;
@@ -89,12 +89,12 @@
   /** Admits a request to a slot or the queue, or refuses it at once. */
   admit(request: AdmissionRequest): Result<Admission, AdmissionRefusal> {
     const customer = this._customer(request.customer);
-    const queued = waitingOf(customer);
+    const queued = waitingCountOf(customer);
     const expectedWait = this._expectedWait(customer, queued, request.weight);
-    if (queued >= this._options.waitingPerCustomer) return err(refused('queue-full', expectedWait));
+    if (queued >= this._options.waitingPerCustomer) return err(refusal('queue-full', expectedWait));
     const deadline = request.deadlineMilliseconds;
     if (deadline !== undefined && expectedWait + this._serviceMilliseconds > deadline) {
-      return err(refused('deadline-too-close', expectedWait));
+      return err(refusal('deadline-too-close', expectedWait));
     }
     return ok(this._enqueue(customer, request));
   }
@@ -108,11 +108,11 @@
 
   /** The part of the slots that a customer gets beside the others that are busy now. */
   private _shareOf(customer: CustomerQueue, weight: number): number {
-    let busy = 1;
+    let activeCustomers = 1;
     for (const other of this._customers.values()) {
-      if (other !== customer && waitingOf(other) + other.running > 0) busy++;
+      if (other !== customer && waitingCountOf(other) + other.running > 0) activeCustomers++;
     }
-    return Math.min(1, weight / (weight + busy - 1));
+    return Math.min(1, weight / (weight + activeCustomers - 1));
   }
 
   private _enqueue(customer: CustomerQueue, request: AdmissionRequest): Admission {
@@ -129,7 +129,7 @@
       };
     });
     const item: Waiting = { request, expiresAt, start };
-    if (waitingOf(customer) === 0 && customer.running === 0) {
+    if (waitingCountOf(customer) === 0 && customer.running === 0) {
       customer.virtualTime = Math.max(customer.virtualTime, this._virtualNow);
     }
     customer.waiting[request.priority].push(item);
@@ -156,8 +156,12 @@
   private _finish(customer: CustomerQueue, name: string, milliseconds: number): void {
     customer.running--;
     this._running--;
-    this._serviceMilliseconds += AVERAGE_WEIGHT * (milliseconds - this._serviceMilliseconds);
-    if (customer.running === 0 && waitingOf(customer) === 0 && customer.virtualTime <= this._virtualNow) {
+    this._serviceMilliseconds += MOVING_AVERAGE_WEIGHT * (milliseconds - this._serviceMilliseconds);
+    if (
+      customer.running === 0 &&
+      waitingCountOf(customer) === 0 &&
+      customer.virtualTime <= this._virtualNow
+    ) {
       this._customers.delete(name);
     }
     this._runNext();
@@ -165,7 +169,7 @@
 
   private _runNext(): void {
     while (this._running < this._options.slots) {
-      const customer = this._mostDue();
+      const customer = this._nextCustomer();
       if (!customer) return;
       const item = firstWaiting(customer)!;
       customer.waiting[item.request.priority].shift();
@@ -182,10 +186,10 @@
     }
   }
 
-  private _mostDue(): CustomerQueue | undefined {
+  private _nextCustomer(): CustomerQueue | undefined {
     let best: CustomerQueue | undefined;
     for (const customer of this._customers.values()) {
-      if (waitingOf(customer) === 0) continue;
+      if (waitingCountOf(customer) === 0) continue;
       if (!best || customer.virtualTime < best.virtualTime) best = customer;
     }
     return best;
@@ -201,7 +205,7 @@
   }
 }
 
-function waitingOf(customer: CustomerQueue): number {
+function waitingCountOf(customer: CustomerQueue): number {
   return PRIORITIES.reduce((sum, priority) => sum + customer.waiting[priority].length, 0);
 }
 
@@ -212,6 +216,6 @@
   return undefined;
 }
 
-function refused(reason: AdmissionRefusalReason, expectedWait: number): AdmissionRefusal {
-  return { reason, retryAfterMilliseconds: Math.max(SHORTEST_RETRY_MILLISECONDS, Math.ceil(expectedWait)) };
+function refusal(reason: AdmissionRefusalReason, expectedWait: number): AdmissionRefusal {
+  return { reason, retryAfterMilliseconds: Math.max(MIN_RETRY_AFTER_MILLISECONDS, Math.ceil(expectedWait)) };
 }
--- a/src/requests/ledger.ts
+++ b/src/requests/ledger.ts
@@ -118,9 +118,9 @@
     if (known) return known.answer ? { kind: 'answered', answer: known.answer } : { kind: 'started' };
     const owned = this._slots.get(service)?.get(request.slot);
     if (!owned) return { kind: 'not-owner' };
-    if (owned.slotEpoch !== request.slotEpoch) return this._otherEpoch(owned, request);
+    if (owned.slotEpoch !== request.slotEpoch) return this._decideOtherEpoch(owned, request);
     if (!request.ticketed && this._options.clock.now() < owned.blindUntil) return { kind: 'uncertain' };
-    if (!this._makeRoom()) return { kind: 'full' };
+    if (!this._evictExpired()) return { kind: 'full' };
     this._keys.set(request.key, { running: true, answer: undefined, expiresAt: this._expiry() });
     return { kind: 'run' };
   }
@@ -137,7 +137,7 @@
   }
 
   /** A ticket of an earlier epoch may have been used with the earlier owner; a newer epoch has not reached us. */
-  private _otherEpoch(owned: SlotState, request: LedgerRequest): LedgerDecision {
+  private _decideOtherEpoch(owned: SlotState, request: LedgerRequest): LedgerDecision {
     const older = request.slotEpoch < owned.slotEpoch;
     return request.ticketed && older ? { kind: 'uncertain' } : { kind: 'not-owner' };
   }
@@ -147,7 +147,7 @@
   }
 
   /** Drops expired keys, oldest first; never drops one that a caller may still send again. */
-  private _makeRoom(): boolean {
+  private _evictExpired(): boolean {
     const now = this._options.clock.now();
     for (const [key, state] of this._keys) {
       if (state.expiresAt > now) break;
--- a/src/requests/ledgerSlots.ts
+++ b/src/requests/ledgerSlots.ts
@@ -44,18 +44,18 @@
 export function assignSlots(
   current: readonly SlotOwner[],
   candidates: readonly LedgerCandidate[],
-  fateOf: (owner: SlotOwner) => OwnerStatus,
+  statusOf: (owner: SlotOwner) => OwnerStatus,
 ): SlotOwner[] {
   const load = new Map(candidates.map((candidate) => [identityOf(candidate), 0]));
   for (const owner of current) {
-    if (fateOf(owner) === 'owns') load.set(identityOf(owner), (load.get(identityOf(owner)) ?? 0) + 1);
+    if (statusOf(owner) === 'owns') load.set(identityOf(owner), (load.get(identityOf(owner)) ?? 0) + 1);
   }
   return Array.from({ length: LEDGER_SLOT_COUNT }, (_unused, slot) => {
     const owner = current[slot];
-    if ((owner && fateOf(owner) === 'owns') || candidates.length === 0) return owner;
+    if ((owner && statusOf(owner) === 'owns') || candidates.length === 0) return owner;
     const next = leastLoaded(candidates, load);
     load.set(identityOf(next), load.get(identityOf(next))! + 1);
-    return { ...next, epoch: (owner?.epoch ?? 0) + 1, blind: isBlind(owner, fateOf) };
+    return { ...next, epoch: (owner?.epoch ?? 0) + 1, blind: isBlind(owner, statusOf) };
   });
 }
 
--- a/src/requests/refusals.ts
+++ b/src/requests/refusals.ts
@@ -26,9 +26,9 @@
   retryAfterMilliseconds: number;
 }
 
-const DEFAULT_RETRY_MILLISECONDS = 500;
+const DEFAULT_RETRY_AFTER_MILLISECONDS = 500;
 
-const STATUS: Record<RefusalReason, number> = {
+const STATUS_BY_REASON: Record<RefusalReason, number> = {
   leaving: 503,
   'not-serving': 503,
   'other-version': 503,
@@ -45,7 +45,7 @@
   cancelled: 499,
 };
 
-const UNKNOWN: ReadonlySet<RefusalReason> = new Set([
+const UNKNOWN_OUTCOME_REASONS: ReadonlySet<RefusalReason> = new Set([
   'already-started',
   'uncertain',
   'backend-lost',
@@ -55,8 +55,8 @@
 /** Builds the refusal for a reason; `outcome` is `unknown` where the work may have started. */
 export function refusalFor(
   reason: RefusalReason,
-  retryAfterMilliseconds = DEFAULT_RETRY_MILLISECONDS,
+  retryAfterMilliseconds = DEFAULT_RETRY_AFTER_MILLISECONDS,
 ): Refusal {
-  const outcome = UNKNOWN.has(reason) ? 'unknown' : 'not-run';
-  return { reason, status: STATUS[reason], outcome, retryAfterMilliseconds };
+  const outcome = UNKNOWN_OUTCOME_REASONS.has(reason) ? 'unknown' : 'not-run';
+  return { reason, status: STATUS_BY_REASON[reason], outcome, retryAfterMilliseconds };
 }
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -44,14 +44,18 @@
 export type RouteResult = { kind: 'routed'; routed: RoutedAnswer } | { kind: 'refused'; refusal: Refusal };
 
 /** Attempts at different boxes, the first included. */
-const MOST_ATTEMPTS = 4;
+const MAX_ATTEMPTS = 4;
 /** Refusals after which another box may be asked without a price: nothing ran, and the box does not take part. */
-const FREE_RETRY: ReadonlySet<RefusalReason> = new Set(['leaving', 'not-serving', 'backend-unreachable']);
+const UNBUDGETED_RETRY_REASONS: ReadonlySet<RefusalReason> = new Set([
+  'leaving',
+  'not-serving',
+  'backend-unreachable',
+]);
 /** Statuses of a backend server after which a repeatable request is tried elsewhere. */
 const OVERLOADED_STATUSES: ReadonlySet<number> = new Set([429, 502, 503]);
 /** How often, and how far apart, a ledger slot whose owner takes no work is looked up again: it may be moving. */
-const OWNER_TRIES = 12;
-const OWNER_PAUSE_MILLISECONDS = 60;
+const MAX_OWNER_LOOKUPS = 12;
+const OWNER_LOOKUP_INTERVAL_MILLISECONDS = 60;
 
 /** One per entry. */
 export class RequestRouter {
@@ -62,58 +66,60 @@
   }
 
   /** Runs a request. `left` is aborted when the caller has gone. */
-  async route(request: CallerRequest, left: AbortSignal): Promise<RouteResult> {
+  async route(request: CallerRequest, callerSignal: AbortSignal): Promise<RouteResult> {
     this._options.retries.onRequest();
-    return request.repeatable ? await this._repeatable(request, left) : await this._once(request, left);
+    return request.repeatable
+      ? await this._routeRepeatable(request, callerSignal)
+      : await this._routeOnce(request, callerSignal);
   }
 
-  private async _repeatable(request: CallerRequest, left: AbortSignal): Promise<RouteResult> {
+  private async _routeRepeatable(request: CallerRequest, callerSignal: AbortSignal): Promise<RouteResult> {
     const tried = new Set<string>();
     let refusal = refusalFor('no-backend');
     let mayHaveRun = false;
-    for (let attempt = 0; attempt < MOST_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const backend = this._choose(request, tried);
       if (!backend) break;
       tried.add(backend.box);
-      const result = await this._attempt(request, backend, undefined, left);
-      const last = attempt === MOST_ATTEMPTS - 1;
+      const result = await this._attempt(request, backend, undefined, callerSignal);
+      const last = attempt === MAX_ATTEMPTS - 1;
       if (result.kind === 'answer' && (last || !OVERLOADED_STATUSES.has(result.status)))
         return this._routed(result, backend);
-      this._end(backend);
-      refusal = result.kind === 'answer' ? overloaded(result) : refusalOf(result);
+      this._releaseLoad(backend);
+      refusal = result.kind === 'answer' ? overloadRefusal(result) : refusalOf(result);
       mayHaveRun ||= refusal.outcome === 'unknown';
-      if (left.aborted || this._isPastDeadline(request)) break;
-      if (!FREE_RETRY.has(refusal.reason) && !this._options.retries.takeRetry()) break;
+      if (callerSignal.aborted || this._isPastDeadline(request)) break;
+      if (!UNBUDGETED_RETRY_REASONS.has(refusal.reason) && !this._options.retries.takeRetry()) break;
     }
     return this._refuse(request, mayHaveRun ? { ...refusal, outcome: 'unknown' } : refusal);
   }
 
   /** Sent to the one incarnation that owns the key's slot; whatever is not certain is `unknown`. */
-  private async _once(request: CallerRequest, left: AbortSignal): Promise<RouteResult> {
+  private async _routeOnce(request: CallerRequest, callerSignal: AbortSignal): Promise<RouteResult> {
     const callerKeyed = request.idempotencyKey !== '';
-    const unsent = (reason: RefusalReason): RouteResult => {
+    const refuseUnsent = (reason: RefusalReason): RouteResult => {
       const refusal = refusalFor(reason);
       // an earlier sending of the same key may have run: only the owner of its slot can say that it did not
       return this._refuse(request, callerKeyed ? { ...refusal, outcome: 'unknown' } : refusal);
     };
-    if (this._options.isIsolated()) return unsent('isolated');
+    if (this._options.isIsolated()) return refuseUnsent('isolated');
     let reason: RefusalReason = 'no-backend';
-    for (let attempt = 0; attempt < OWNER_TRIES; attempt++) {
-      if (left.aborted || this._isPastDeadline(request)) break;
+    for (let attempt = 0; attempt < MAX_OWNER_LOOKUPS; attempt++) {
+      if (callerSignal.aborted || this._isPastDeadline(request)) break;
       const owned = this._ownerFor(request);
       if (owned === 'lost-epoch') return this._refuse(request, refusalFor('uncertain'));
       if (owned) {
         this._logRouted(request, owned.backend, 'owns-key');
-        const result = await this._attempt(owned.request, owned.backend, owned.ledger, left);
+        const result = await this._attempt(owned.request, owned.backend, owned.ledger, callerSignal);
         if (result.kind === 'answer') return this._routed(result, owned.backend);
-        this._end(owned.backend);
+        this._releaseLoad(owned.backend);
         reason = result.reason;
         const movedOn = reason === 'not-owner' || reason === 'leaving' || !result.reached;
         if (!movedOn || result.outcome === 'unknown') return this._refuse(request, refusalOf(result));
       }
-      await pause(OWNER_PAUSE_MILLISECONDS);
+      await pause(OWNER_LOOKUP_INTERVAL_MILLISECONDS);
     }
-    return unsent(reason);
+    return refuseUnsent(reason);
   }
 
   /** The owner of the request's slot; for a request without a key, a new key whose owner takes work. */
@@ -122,7 +128,7 @@
   ): { request: CallerRequest; backend: Backend; ledger: LedgerTarget } | 'lost-epoch' | undefined {
     const table = this._options.ledgers.get(configurationKey('ledger', request.name));
     if (!table) return undefined;
-    if (request.idempotencyKey === '') return this._freshOwner(request, table.slots);
+    if (request.idempotencyKey === '') return this._anyAvailableOwner(request, table.slots);
     const ticket = readTicket(this._options.sharedKey, shortName(request.name), request.idempotencyKey);
     const slot = ticket ? ticket.slot : slotOfKey(request.idempotencyKey);
     const owner = table.slots[slot];
@@ -134,7 +140,7 @@
     return backend && { request, backend, ledger };
   }
 
-  private _freshOwner(
+  private _anyAvailableOwner(
     request: CallerRequest,
     slots: readonly SlotOwner[],
   ): { request: CallerRequest; backend: Backend; ledger: LedgerTarget } | undefined {
@@ -177,11 +183,13 @@
     request: CallerRequest,
     backend: Backend,
     ledger: LedgerTarget | undefined,
-    left: AbortSignal,
+    callerSignal: AbortSignal,
   ): Promise<AttemptResult> {
     const remaining = this._remaining(request);
     const signal =
-      remaining === undefined ? left : AbortSignal.any([left, AbortSignal.timeout(Math.max(1, remaining))]);
+      remaining === undefined
+        ? callerSignal
+        : AbortSignal.any([callerSignal, AbortSignal.timeout(Math.max(1, remaining))]);
     backend.load.outstanding++;
     const result = await this._options.client.send({
       request,
@@ -191,28 +199,28 @@
       signal,
     });
     if (result.load !== undefined) backend.load.report(result.load, this._options.clock.now());
-    this._judge(backend, result, left);
+    this._updateCircuitBreaker(backend, result, callerSignal);
     return result;
   }
 
   /** A box that cannot be reached, or whose backend server cannot, is left alone for a while. */
-  private _judge(backend: Backend, result: AttemptResult, left: AbortSignal): void {
+  private _updateCircuitBreaker(backend: Backend, result: AttemptResult, callerSignal: AbortSignal): void {
     const circuit = this._options.routes.circuitBreaker(backend.box);
     const failed = result.kind === 'refused' && (!result.reached || result.reason === 'backend-unreachable');
     if (!failed) circuit.recordSuccess();
-    else if (!left.aborted) circuit.recordFailure();
+    else if (!callerSignal.aborted) circuit.recordFailure();
   }
 
   private _routed(answer: AgentAnswer, backend: Backend): RouteResult {
     let ended = false;
     const done = (): void => {
-      if (!ended) this._end(backend);
+      if (!ended) this._releaseLoad(backend);
       ended = true;
     };
     return { kind: 'routed', routed: { answer, backend, done } };
   }
 
-  private _end(backend: Backend): void {
+  private _releaseLoad(backend: Backend): void {
     backend.load.outstanding--;
   }
 
@@ -241,7 +249,7 @@
 }
 
 /** A backend server's own refusal does not prove that nothing ran. */
-function overloaded(answer: AgentAnswer): Refusal {
+function overloadRefusal(answer: AgentAnswer): Refusal {
   answer.body.destroy();
   return { ...refusalFor('backend-lost'), status: answer.status };
 }
--- a/src/routing/backend.ts
+++ b/src/routing/backend.ts
@@ -31,11 +31,11 @@
 
   /** Requests on the box; what others sent counts less once the report is older than reports usually are. */
   estimate(now: number): number {
-    const age = Math.max(0, now - this._reportedAt - FRESH_MILLISECONDS);
-    return this.outstanding + this._othersReported * 0.5 ** (age / HALF_LIFE_MILLISECONDS);
+    const age = Math.max(0, now - this._reportedAt - REPORT_FRESH_MILLISECONDS);
+    return this.outstanding + this._othersReported * 0.5 ** (age / REPORT_HALF_LIFE_MILLISECONDS);
   }
 }
 
 /** Reports come a few times a second; until then what others sent is taken to stay as it is. */
-const FRESH_MILLISECONDS = 300;
-const HALF_LIFE_MILLISECONDS = 1_000;
+const REPORT_FRESH_MILLISECONDS = 300;
+const REPORT_HALF_LIFE_MILLISECONDS = 1_000;
--- a/src/routing/backendChoice.ts
+++ b/src/routing/backendChoice.ts
@@ -32,21 +32,23 @@
 const AFFINITY_TOLERANCE = 0.5;
 
 /** Up to this many boxes all are looked at; of more, a sample, since the look would cost more than it is worth. */
-const RANKED_BOXES = 64;
+const MAX_RANKED_BOXES = 64;
 const SAMPLED_BOXES = 16;
 
 /** The own data centre first; there, the affine box unless it is much busier than another, else the less loaded of two. */
 export function chooseBackend(pool: BackendPool, request: ChoiceRequest, random: Random): Choice | undefined {
-  const choice = chooseAmong(candidatesOf(pool.sameDataCentre, request, random), request, random);
-  if (choice && loadOf(choice.backend, request.now) < FULL_LOAD) return choice;
-  const other = chooseAmong(candidatesOf(pool.otherDataCentres, request, random), request, random);
+  const choice = chooseCandidate(candidatesOf(pool.sameDataCentre, request, random), request, random);
+  if (choice && utilizationOf(choice.backend, request.now) < FULL_LOAD) return choice;
+  const other = chooseCandidate(candidatesOf(pool.otherDataCentres, request, random), request, random);
   if (!choice || !other) return choice ?? other;
-  return loadOf(other.backend, request.now) < loadOf(choice.backend, request.now) ? other : choice;
+  return utilizationOf(other.backend, request.now) < utilizationOf(choice.backend, request.now)
+    ? other
+    : choice;
 }
 
 /** The boxes that may be chosen; of very many, a sample. */
 function candidatesOf(backends: readonly Backend[], request: ChoiceRequest, random: Random): Backend[] {
-  if (backends.length <= RANKED_BOXES) return backends.filter((backend) => request.allows(backend.box));
+  if (backends.length <= MAX_RANKED_BOXES) return backends.filter((backend) => request.allows(backend.box));
   const first = random.integer(backends.length);
   const sample = Array.from(
     { length: SAMPLED_BOXES },
@@ -56,7 +58,7 @@
   return allowed.length > 0 ? allowed : backends.filter((backend) => request.allows(backend.box));
 }
 
-function chooseAmong(
+function chooseCandidate(
   candidates: readonly Backend[],
   request: ChoiceRequest,
   random: Random,
@@ -66,12 +68,15 @@
   const first = random.integer(candidates.length);
   const one = candidates[first];
   const two = candidates[(first + 1 + random.integer(candidates.length - 1)) % candidates.length];
-  const lighter = loadOf(one, request.now) <= loadOf(two, request.now) ? one : two;
+  const lessLoaded = utilizationOf(one, request.now) <= utilizationOf(two, request.now) ? one : two;
   const affine = affineBackend(candidates, request.affinity);
-  if (affine && loadOf(affine, request.now) <= loadOf(lighter, request.now) + AFFINITY_TOLERANCE) {
+  if (
+    affine &&
+    utilizationOf(affine, request.now) <= utilizationOf(lessLoaded, request.now) + AFFINITY_TOLERANCE
+  ) {
     return { backend: affine, reason: 'affinity' };
   }
-  return { backend: lighter, reason: 'less-loaded' };
+  return { backend: lessLoaded, reason: 'less-loaded' };
 }
 
 function affineBackend(candidates: readonly Backend[], affinity: string): Backend | undefined {
@@ -79,6 +84,6 @@
   return rendezvousOrder(affinity, candidates, (backend) => backend.box)[0];
 }
 
-function loadOf(backend: Backend, now: number): number {
+function utilizationOf(backend: Backend, now: number): number {
   return backend.load.estimate(now) / backend.capacity;
 }
--- a/src/routing/entryOrder.ts
+++ b/src/routing/entryOrder.ts
@@ -9,16 +9,16 @@
 }
 
 /** The caller's data centre first; within a data centre each asker gets an order of its own, so that callers spread. */
-export function orderEntries(entries: readonly Box[], dataCentre: string, asker: string): EntryAddress[] {
+export function orderEntries(entries: readonly Box[], dataCentre: string, callerKey: string): EntryAddress[] {
   const dataCentres = [...new Set(entries.map((entry) => entry.dataCentre))].sort(compareText);
-  const far = rendezvousOrder(
-    asker,
+  const otherDataCentres = rendezvousOrder(
+    callerKey,
     dataCentres.filter((other) => other !== dataCentre),
     (other) => other,
   );
-  return [dataCentre, ...far].flatMap((each) => {
+  return [dataCentre, ...otherDataCentres].flatMap((each) => {
     const inDataCentre = entries.filter((entry) => entry.dataCentre === each);
-    const ordered = rendezvousOrder(asker, inDataCentre, (entry) => entry.box);
+    const ordered = rendezvousOrder(callerKey, inDataCentre, (entry) => entry.box);
     return ordered.map((entry) => ({
       dataCentre: entry.dataCentre,
       url: `http://${entry.address}:${entry.httpPort}`,
--- a/src/routing/routeTable.ts
+++ b/src/routing/routeTable.ts
@@ -20,7 +20,7 @@
 
 /** A pool and the rollout that it was made for. */
 interface CachedPool {
-  activated: string | undefined;
+  activatedRollout: string | undefined;
   pool: BackendPool;
 }
 
@@ -47,7 +47,7 @@
     this._clock = clock;
     this._activatedRollout = activatedRollout;
     links.on('change', () => (this._stale = true));
-    links.on('load', (link) => this._takeLoad(link));
+    links.on('load', (link) => this._updateLoad(link));
   }
 
   /** Boxes that take work for a configuration now. */
@@ -55,13 +55,13 @@
     if (this._stale) this._rebuild();
     const activated = this._activatedRollout(name);
     const cached = this._pools.get(shortName(name));
-    if (cached && cached.activated === activated) return cached.pool;
+    if (cached && cached.activatedRollout === activated) return cached.pool;
     const backends = preferVersion(this._backends.get(shortName(name)) ?? [], activated);
     const pool = {
       sameDataCentre: backends.filter((backend) => backend.dataCentre === this._dataCentre),
       otherDataCentres: backends.filter((backend) => backend.dataCentre !== this._dataCentre),
     };
-    this._pools.set(shortName(name), { activated, pool });
+    this._pools.set(shortName(name), { activatedRollout: activated, pool });
     return pool;
   }
 
@@ -93,19 +93,19 @@
     for (const link of this._links.all()) {
       const { report } = link;
       if (!link.live || !report?.backendUp || link.box.state === 'leaving') continue;
-      this._takeLoad(link);
-      for (const service of report.services) this._add(link, service);
+      this._updateLoad(link);
+      for (const service of report.services) this._addBackend(link, service);
     }
   }
 
-  private _takeLoad(link: AgentLink): void {
+  private _updateLoad(link: AgentLink): void {
     const state = this._state(link.box.box);
     if (state.reportedAt === link.reportedAt) return;
     state.reportedAt = link.reportedAt;
     state.load.report(link.report!.inFlight + link.report!.queued, link.reportedAt);
   }
 
-  private _add(link: AgentLink, service: ServiceReport): void {
+  private _addBackend(link: AgentLink, service: ServiceReport): void {
     if (service.activeVersion === '') return;
     const { box, dataCentre, address, httpPort } = link.box;
     const name = shortName(service);
--- a/src/routing/versionPreference.ts
+++ b/src/routing/versionPreference.ts
@@ -2,14 +2,14 @@
 import type { Backend } from './backend.js';
 
 /** Part of the boxes that must have confirmed the new version before the others get no more work. */
-const ENOUGH_CONFIRMED = 0.5;
+const CONFIRMED_QUORUM = 0.5;
 
 /** Returns the boxes on the activated rollout once enough have confirmed it, all serving boxes before. */
 export function preferVersion(
   backends: readonly Backend[],
-  activated: string | undefined,
+  activatedRollout: string | undefined,
 ): readonly Backend[] {
-  if (activated === undefined) return backends;
-  const confirmed = backends.filter((backend) => backend.rollout === activated);
-  return confirmed.length >= Math.max(1, backends.length * ENOUGH_CONFIRMED) ? confirmed : backends;
+  if (activatedRollout === undefined) return backends;
+  const confirmed = backends.filter((backend) => backend.rollout === activatedRollout);
+  return confirmed.length >= Math.max(1, backends.length * CONFIRMED_QUORUM) ? confirmed : backends;
 }
--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -18,14 +18,14 @@
 export type AnswerClass = 'not-run' | 'answered' | 'failed' | 'unclear';
 
 /** Statuses that promise that a request has not run, which without a proof may not be passed on. */
-const PROMISING_STATUSES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const SERVER_ERROR = 500;
 const REDIRECTION = 300;
 
 /** Judges a whole answer. */
 export function classifyAnswer(status: number, headers: AnswerHeaders, names: HeaderNames): AnswerClass {
   if (headers[names.notRun] !== undefined || status === MISDIRECTED_REQUEST) return 'not-run';
-  if (PROMISING_STATUSES.has(status)) return 'unclear';
+  if (NOT_RUN_STATUSES.has(status)) return 'unclear';
   if (status >= SERVER_ERROR) return 'failed';
   const isSuccess = status < REDIRECTION;
   return isSuccess && headers[names.seal] === undefined ? 'unclear' : 'answered';
@@ -37,34 +37,34 @@
 }
 
 /** First answer of a repeatable request, in parts of its objective, after which another server is tried. */
-const PATIENCE_OBJECTIVES = 2.5;
-const LEAST_PATIENCE_MILLISECONDS = 350;
+const TIMEOUT_OBJECTIVES = 2.5;
+const MIN_TIMEOUT_MILLISECONDS = 350;
 /** The same for the first event of a stream. */
-const STREAM_PATIENCE_MILLISECONDS = 1_000;
+const FIRST_EVENT_TIMEOUT_MILLISECONDS = 1_000;
 /** The same at a server that sends events to others: the prompt waits its turn, and would be read a second time elsewhere. */
-const QUEUED_STREAM_PATIENCE_MILLISECONDS = 1_800;
+const QUEUED_FIRST_EVENT_TIMEOUT_MILLISECONDS = 1_800;
 /** A server that was heard so lately is at work: a pass of its engine takes some 100 ms. */
-const AT_WORK_MILLISECONDS = 300;
+const ACTIVE_SERVER_MILLISECONDS = 300;
 /** Pause of a begun stream, or of a server that has streams to send, after which streams are resumed elsewhere. */
-const STREAM_SILENCE_MILLISECONDS = 900;
+const MAX_STREAM_SILENCE_MILLISECONDS = 900;
 
 /**
  * Streams at a server that is about to take another version are handed over to others after a time from this range, so
  * that they do not all meet on the others at once. Most end by themselves before: their prompts need not be read again.
  */
-const SHORTEST_HANDOVER_DELAY_MILLISECONDS = 500;
-const LONGEST_HANDOVER_DELAY_MILLISECONDS = 1_000;
+const MIN_HANDOVER_DELAY_MILLISECONDS = 500;
+const MAX_HANDOVER_DELAY_MILLISECONDS = 1_000;
 
 /** When a stream is handed over after its server has begun to switch; `fraction` is a random number from 0 up to 1. */
 export function handoverDelay(fraction: number): number {
-  const range = LONGEST_HANDOVER_DELAY_MILLISECONDS - SHORTEST_HANDOVER_DELAY_MILLISECONDS;
-  return SHORTEST_HANDOVER_DELAY_MILLISECONDS + range * fraction;
+  const range = MAX_HANDOVER_DELAY_MILLISECONDS - MIN_HANDOVER_DELAY_MILLISECONDS;
+  return MIN_HANDOVER_DELAY_MILLISECONDS + range * fraction;
 }
 
 /** How an attempt stands; times in milliseconds. */
 export interface AttemptProgress {
   /** Since the attempt began. */
-  elapsedMilliseconds: number;
+  elapsed: number;
   objective: number;
   /** Since the server sent anything for any stream. */
   serverSilentFor: number;
@@ -76,13 +76,10 @@
 /** Whether the attempt should be given up for another server. */
 export function isStalled(attempt: AttemptProgress): boolean {
   if (!attempt.stream) {
-    return (
-      attempt.elapsedMilliseconds >
-      Math.max(LEAST_PATIENCE_MILLISECONDS, attempt.objective * PATIENCE_OBJECTIVES)
-    );
+    return attempt.elapsed > Math.max(MIN_TIMEOUT_MILLISECONDS, attempt.objective * TIMEOUT_OBJECTIVES);
   }
-  if (attempt.streamSilentFor !== undefined) return attempt.streamSilentFor > STREAM_SILENCE_MILLISECONDS;
-  const isAtWork = attempt.serverSilentFor < AT_WORK_MILLISECONDS;
-  const patience = isAtWork ? QUEUED_STREAM_PATIENCE_MILLISECONDS : STREAM_PATIENCE_MILLISECONDS;
-  return attempt.elapsedMilliseconds > patience || attempt.serverSilentFor > STREAM_SILENCE_MILLISECONDS;
+  if (attempt.streamSilentFor !== undefined) return attempt.streamSilentFor > MAX_STREAM_SILENCE_MILLISECONDS;
+  const isServerActive = attempt.serverSilentFor < ACTIVE_SERVER_MILLISECONDS;
+  const timeout = isServerActive ? QUEUED_FIRST_EVENT_TIMEOUT_MILLISECONDS : FIRST_EVENT_TIMEOUT_MILLISECONDS;
+  return attempt.elapsed > timeout || attempt.serverSilentFor > MAX_STREAM_SILENCE_MILLISECONDS;
 }
--- a/src/serving/answerReceiver.ts
+++ b/src/serving/answerReceiver.ts
@@ -5,7 +5,7 @@
 import type { StreamRelay } from './streamRelay.js';
 
 /** Largest answer of a request that is no stream, in bytes. */
-const LARGEST_ANSWER = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 const SUCCESS = 200;
 
 export class AnswerReceiver {
@@ -47,15 +47,15 @@
     const answer = this._answer;
     if (!answer) return true;
     if (this._relay && this.isForwarding) {
-      this._passOn(this._relay, bytes, call);
+      this._forward(this._relay, bytes, call);
       return true;
     }
     answer.body.push(bytes);
     answer.length += bytes.length;
-    return answer.length <= LARGEST_ANSWER;
+    return answer.length <= MAX_ANSWER_BYTES;
   }
 
-  private _passOn(relay: StreamRelay, bytes: Buffer, call: BackendCall | undefined): void {
+  private _forward(relay: StreamRelay, bytes: Buffer, call: BackendCall | undefined): void {
     if (relay.push(bytes)) return;
     call?.pause();
     this._exchange.onceWritable(() => call?.resume());
--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -47,25 +47,25 @@
   readonly server: TrackedServer;
   private readonly _listener: BackendCallListener;
   private readonly _connection: BackendConnection;
-  private readonly _giveBack: (reusable: boolean) => void;
+  private readonly _release: (reusable: boolean) => void;
   private _controller: Dispatcher.DispatchController | undefined;
   private _sent = false;
   private _ended = false;
-  private readonly _prompts: number;
-  private _isRead = false;
+  private readonly _promptSize: number;
+  private _isPromptRead = false;
   private _aborted: AbortReason | undefined;
 
   private constructor(
     server: TrackedServer,
     connection: BackendConnection,
-    giveBack: (reusable: boolean) => void,
+    release: (reusable: boolean) => void,
     listener: BackendCallListener,
     prompts: number,
   ) {
     this.server = server;
-    this._prompts = prompts;
+    this._promptSize = prompts;
     this._connection = connection;
-    this._giveBack = giveBack;
+    this._release = release;
     this._listener = listener;
   }
 
@@ -77,8 +77,8 @@
   ): BackendCall | undefined {
     const connection = server.connections.acquire();
     if (!connection) return undefined;
-    const giveBack = (reusable: boolean): void => server.connections.release(connection, reusable);
-    const call = new BackendCall(server, connection, giveBack, listener, request.promptSize);
+    const release = (reusable: boolean): void => server.connections.release(connection, reusable);
+    const call = new BackendCall(server, connection, release, listener, request.promptSize);
     server.load.outstanding++;
     server.noteSent(request.promptSize);
     server.backpressure.noteSent();
@@ -135,7 +135,7 @@
 
   private _onData(bytes: Buffer): void {
     if (this._ended) return;
-    this._noteRead();
+    this._notePromptRead();
     this.server.heard();
     this._listener.onData(bytes);
   }
@@ -154,16 +154,16 @@
     this._listener.onFailed({ sent: this._sent, reason, brokeOff: this._sent });
   }
 
-  private _noteRead(): void {
-    if (this._isRead) return;
-    this._isRead = true;
-    this.server.noteRead(this._prompts);
+  private _notePromptRead(): void {
+    if (this._isPromptRead) return;
+    this._isPromptRead = true;
+    this.server.noteRead(this._promptSize);
   }
 
   private _end(reusable: boolean): void {
-    this._noteRead();
+    this._notePromptRead();
     this._ended = true;
     this.server.load.outstanding--;
-    this._giveBack(reusable);
+    this._release(reusable);
   }
 }
--- a/src/serving/backendConnections.ts
+++ b/src/serving/backendConnections.ts
@@ -4,10 +4,10 @@
 import type { Clock } from '../utils/clock.js';
 
 /** How long an unused connection is kept when the server does not say. */
-const KEEP_MILLISECONDS = 3_500;
+const IDLE_MILLISECONDS = 3_500;
 /** How much earlier than the server says an unused connection is closed. */
-const KEEP_MARGIN_MILLISECONDS = 1_200;
-const LONGEST_KEEP_MILLISECONDS = 60_000;
+const IDLE_MARGIN_MILLISECONDS = 1_200;
+const MAX_IDLE_MILLISECONDS = 60_000;
 
 /** One connection to a backend server; it carries one request at a time. */
 export class BackendConnection {
@@ -24,9 +24,9 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: KEEP_MILLISECONDS,
-      keepAliveMaxTimeout: LONGEST_KEEP_MILLISECONDS,
-      keepAliveTimeoutThreshold: KEEP_MARGIN_MILLISECONDS,
+      keepAliveTimeout: IDLE_MILLISECONDS,
+      keepAliveMaxTimeout: MAX_IDLE_MILLISECONDS,
+      keepAliveTimeoutThreshold: IDLE_MARGIN_MILLISECONDS,
       connect: (options, callback) =>
         connect(options, (...result) => {
           // heard before the client hears it, which takes an answer without length as whole after a reset
--- a/src/serving/callerDrain.ts
+++ b/src/serving/callerDrain.ts
@@ -15,14 +15,14 @@
 /** How long a leaving entry takes new connections: callers may keep its address for three times as long as told. */
 const LISTEN_SHARE = 0.72;
 /** Part of the time after which all connections are closed. */
-const END_SHARE = 0.95;
+const CLOSE_SHARE = 0.95;
 const POLL_MILLISECONDS = 50;
 /** Within this time after a connection is opened its first request comes, also where either side is slow to run. */
 const FIRST_REQUEST_MILLISECONDS = 200;
 
 /** When a drain that begins now ends at the latest, in monotonic milliseconds. */
 export function drainDeadline({ clock, drainMilliseconds }: DrainingEntry): number {
-  return clock.now() + drainMilliseconds * END_SHARE;
+  return clock.now() + drainMilliseconds * CLOSE_SHARE;
 }
 
 /** Takes connections for most of the time, then lets requests in flight end. */
--- a/src/serving/callerExchange.ts
+++ b/src/serving/callerExchange.ts
@@ -70,7 +70,7 @@
     if (retryAfterMilliseconds !== undefined) {
       this._response.setHeader('retry-after', (retryAfterMilliseconds / 1000).toFixed(2));
     }
-    this._finishHead(status, Buffer.byteLength(text));
+    this._writeHead(status, Buffer.byteLength(text));
     this._response.end(text);
   }
 
@@ -79,8 +79,8 @@
     if (this.headersSent || this.ended) return this.abort();
     this._copyHeaders(headers);
     const hasBody = status !== 204 && status !== 304 && this.request.method !== 'HEAD';
-    const framed = hasBody && this._keepFraming(headers);
-    this._finishHead(status, framed ? body.length : undefined);
+    const framed = hasBody && this._copyFraming(headers);
+    this._writeHead(status, framed ? body.length : undefined);
     this._response.end(hasBody ? body : undefined);
   }
 
@@ -88,8 +88,8 @@
   begin(status: number, headers: http.IncomingHttpHeaders): void {
     if (this.headersSent || this.ended) return;
     this._copyHeaders(headers);
-    this._keepFraming(headers);
-    this._finishHead(status, undefined);
+    this._copyFraming(headers);
+    this._writeHead(status, undefined);
     this._response.flushHeaders();
   }
 
@@ -116,7 +116,7 @@
    * An answer that says nothing of its length ends with its connection, and nobody can tell whether it is whole: it must
    * not be passed on as one of known length. Returns whether the length is known.
    */
-  private _keepFraming(headers: http.IncomingHttpHeaders): boolean {
+  private _copyFraming(headers: http.IncomingHttpHeaders): boolean {
     const framed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
     if (!framed) {
       this._response.useChunkedEncodingByDefault = false;
@@ -131,7 +131,7 @@
     }
   }
 
-  private _finishHead(status: number, length: number | undefined): void {
+  private _writeHead(status: number, length: number | undefined): void {
     if (length !== undefined) this._response.setHeader('content-length', length);
     if (this._isLeaving()) this._response.setHeader('connection', 'close');
     this._response.writeHead(status);
@@ -140,16 +140,16 @@
 
 /** The headers of a request that are passed on: names and values in turn, without those that `drop` names. */
 export function forwardedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
-  const named = new Set(
+  const connectionNamed = new Set(
     String(request.headers.connection ?? '')
       .split(',')
       .map((name) => name.trim().toLowerCase()),
   );
-  const passed: string[] = [];
+  const forwarded: string[] = [];
   for (let index = 0; index < request.rawHeaders.length; index += 2) {
     const name = request.rawHeaders[index].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || named.has(name) || drop.has(name)) continue;
-    passed.push(request.rawHeaders[index], request.rawHeaders[index + 1]);
+    if (CONNECTION_HEADERS.has(name) || connectionNamed.has(name) || drop.has(name)) continue;
+    forwarded.push(request.rawHeaders[index], request.rawHeaders[index + 1]);
   }
-  return passed;
+  return forwarded;
 }
--- a/src/serving/callerServer.ts
+++ b/src/serving/callerServer.ts
@@ -8,24 +8,24 @@
 /** Handles one request; must not throw. */
 export type RequestListener = (request: http.IncomingMessage, response: http.ServerResponse) => void;
 
-const LARGEST_HEADER_BYTES = 64 * 1024;
+const MAX_HEADER_BYTES = 64 * 1024;
 /** How much longer than the limit says an unused connection is kept, so that a request never meets its end. */
 const IDLE_MARGIN_MILLISECONDS = 2_000;
 const DEFAULT_IDLE_MILLISECONDS = 60_000;
-const MALFORMED_ANSWER = 'HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n';
+const BAD_REQUEST_ANSWER = 'HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n';
 
 export class CallerServer {
   private readonly _server: http.Server;
   private readonly _sockets = new Set<Socket>();
 
   constructor(listener: RequestListener) {
-    this._server = http.createServer({ maxHeaderSize: LARGEST_HEADER_BYTES, noDelay: true }, listener);
+    this._server = http.createServer({ maxHeaderSize: MAX_HEADER_BYTES, noDelay: true }, listener);
     this._server.keepAliveTimeout = DEFAULT_IDLE_MILLISECONDS;
     this._server.requestTimeout = 0;
     this._server.headersTimeout = 0;
-    this._server.on('connection', (socket) => this._keep(socket));
+    this._server.on('connection', (socket) => this._trackSocket(socket));
     this._server.on('clientError', (_error, socket) => {
-      if (socket.writable) socket.end(MALFORMED_ANSWER);
+      if (socket.writable) socket.end(BAD_REQUEST_ANSWER);
       else socket.destroy();
     });
   }
@@ -57,7 +57,7 @@
     this._server.closeAllConnections();
   }
 
-  private _keep(socket: Socket): void {
+  private _trackSocket(socket: Socket): void {
     this._sockets.add(socket);
     socket.once('close', () => this._sockets.delete(socket));
   }
--- a/src/serving/finalAnswer.ts
+++ b/src/serving/finalAnswer.ts
@@ -20,7 +20,7 @@
 export class FinalAnswer {
   private readonly _exchange: CallerExchange;
   private readonly _onEnd: EndListener;
-  private _given = false;
+  private _isFinal = false;
 
   /** `onEnd` is called once. */
   constructor(exchange: CallerExchange, onEnd: EndListener) {
@@ -30,7 +30,7 @@
 
   /** Whether the request has ended. */
   get isFinal(): boolean {
-    return this._given;
+    return this._isFinal;
   }
 
   /** Passes the whole answer of a server on. */
@@ -82,8 +82,8 @@
   }
 
   private _end(outcome: RequestOutcome, fields: EndFields): void {
-    if (this._given) return;
-    this._given = true;
+    if (this._isFinal) return;
+    this._isFinal = true;
     this._onEnd(outcome, fields);
   }
 }
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -23,10 +23,10 @@
 
 /** How often a request looks at its server, or for one that it waits for: several times within the shortest patience. */
 const WATCH_INTERVAL_MILLISECONDS = 50;
-const watches = new SharedInterval(WATCH_INTERVAL_MILLISECONDS);
+const watchInterval = new SharedInterval(WATCH_INTERVAL_MILLISECONDS);
 
 export class ForwardedRequest {
-  private readonly _services: ForwardingContext;
+  private readonly _context: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _trace: RequestTrace;
   private readonly _relay: StreamRelay | undefined;
@@ -45,37 +45,37 @@
   /** Whether the request may have run somewhere. */
   private _mayHaveRun = false;
   private _timeout: NodeJS.Timeout | undefined;
-  private _endWatch: () => void = () => undefined;
+  private _stopWatching: () => void = () => undefined;
 
   /** `done` is called once, when the request has ended. */
-  constructor(services: ForwardingContext, request: AdmittedRequest, done: () => void) {
-    this._services = services;
+  constructor(context: ForwardingContext, request: AdmittedRequest, done: () => void) {
+    this._context = context;
     this._request = request;
     this._done = done;
     this._final = new FinalAnswer(request.exchange, (outcome, fields) => this._onEnded(outcome, fields));
-    this._handoverDelay = handoverDelay(services.random.fraction());
-    this._attempts = new RequestAttempts(services, request, () => this._relay?.begun === true);
-    this._turn = new RequestTurn(services.suspicions, request, services.clock);
-    this._trace = new RequestTrace(request, services.log, services.metrics, services.clock);
-    this._handover = new RequestHandover(services, request, this._attempts, this._trace, {
+    this._handoverDelay = handoverDelay(context.random.fraction());
+    this._attempts = new RequestAttempts(context, request, () => this._relay?.begun === true);
+    this._turn = new RequestTurn(context.suspicions, request, context.clock);
+    this._trace = new RequestTrace(request, context.log, context.metrics, context.clock);
+    this._handover = new RequestHandover(context, request, this._attempts, this._trace, {
       callListener: (server) => this._listenerFor(server),
       onSent: (server) => this._noteAttempt(server),
       onReady: (call, startedAt) => this._onHandoverReady(call, startedAt),
       onFailed: (server, failure, startedAt) => this._onHandoverFailed(server, failure, startedAt),
     });
     if (request.route.kind === 'stream')
-      this._relay = new StreamRelay(request.exchange, request.lastEventId, services.clock);
+      this._relay = new StreamRelay(request.exchange, request.lastEventId, context.clock);
     this._received = new AnswerReceiver(request.exchange, this._relay);
-    this._current = new CurrentAttempt(services.clock, this._relay);
+    this._current = new CurrentAttempt(context.clock, this._relay);
   }
 
   start(): void {
     const { exchange } = this._request;
-    if (exchange.ended) return this._onCallerGone();
-    exchange.onCallerDisconnect(() => this._onCallerGone());
+    if (exchange.ended) return this._onCallerDisconnect();
+    exchange.onCallerDisconnect(() => this._onCallerDisconnect());
     this._timeout = setTimeout(() => this._onTimeout(), Math.max(0, this._attempts.remainingMilliseconds));
     // a stream shows by its head that it has begun; other requests that may run once are left to end where they are
-    if (this._attempts.repeatable || this._relay) this._endWatch = watches.add(() => this._watch());
+    if (this._attempts.repeatable || this._relay) this._stopWatching = watchInterval.add(() => this._watch());
     this._attempt();
   }
 
@@ -116,7 +116,7 @@
   }
 
   private _onHead(server: TrackedServer, status: number, headers: AnswerHeaders): void {
-    const { names } = this._services;
+    const { names } = this._context;
     const { exchange, model } = this._request;
     if (headers[names.requestId] !== exchange.requestId) return this._onForeignAnswer(server);
     server.health.noteFirstAnswer(this._current.elapsedMilliseconds);
@@ -142,19 +142,19 @@
       this._turn.noteGoodEnd();
       return this._final.endStream(server, answer.status);
     }
-    this._judge(server, answer);
+    this._onWholeAnswer(server, answer);
   }
 
   /** Acts on what a whole answer means. */
-  private _judge(server: TrackedServer, answer: PartialAnswer): void {
+  private _onWholeAnswer(server: TrackedServer, answer: PartialAnswer): void {
     const { status, headers } = answer;
-    const verdict = classifyAnswer(status, headers, this._services.names);
-    if (verdict === 'not-run') return this._onRejected(server, status);
+    const kind = classifyAnswer(status, headers, this._context.names);
+    if (kind === 'not-run') return this._onRejected(server, status);
     this._mayHaveRun = true;
-    server.health.note(verdict === 'failed' || verdict === 'unclear' ? 'failed' : 'succeeded');
-    if (isSuccessfulRun(verdict, status)) this._turn.noteGoodEnd();
-    if (verdict !== 'answered' && this._attempts.repeatable && this._goOnElsewhere()) return;
-    if (verdict === 'unclear') return this._final.refuse(OWN_STATUS.unknown, `status ${status} from server`);
+    server.health.note(kind === 'failed' || kind === 'unclear' ? 'failed' : 'succeeded');
+    if (isSuccessfulRun(kind, status)) this._turn.noteGoodEnd();
+    if (kind !== 'answered' && this._attempts.repeatable && this._continueElsewhere()) return;
+    if (kind === 'unclear') return this._final.refuse(OWN_STATUS.unknown, `status ${status} from server`);
     if (this._relay?.begun) return this._final.cut('stream could not be resumed');
     this._final.forward(server, status, headers, Buffer.concat(answer.body));
   }
@@ -162,7 +162,7 @@
   /** The server says that the request has not run. */
   private _onRejected(server: TrackedServer, status: number): void {
     this._noteRejected(server, status);
-    if (!this._goOnElsewhere()) this._giveUp(this._noAttempt!);
+    if (!this._continueElsewhere()) this._giveUp(this._noAttempt!);
   }
 
   private _noteRejected(server: TrackedServer, status: number): void {
@@ -178,19 +178,19 @@
     this._mayHaveRun = true;
     if (failure.reason === 'silent') server.health.note('silent');
     else server.health.note('failed');
-    if (failure.brokeOff) void this._afterBreak(server, failure);
-    else this._goOnAfter(failure);
+    if (failure.brokeOff) void this._afterDisconnect(server, failure);
+    else this._continueAfter(failure);
   }
 
   /** The connection broke off: if with the server, whoever sends the request next has to know. */
-  private async _afterBreak(server: TrackedServer, failure: CallFailure): Promise<void> {
+  private async _afterDisconnect(server: TrackedServer, failure: CallFailure): Promise<void> {
     if (await this._turn.afterBreak(server.record)) server.health.noteUnreachable();
-    const hasGoneOn = this._current.call !== undefined || this._handover.isUnderWay;
-    if (!hasGoneOn && !this._final.isFinal) this._goOnAfter(failure);
+    const hasContinued = this._current.call !== undefined || this._handover.isUnderWay;
+    if (!hasContinued && !this._final.isFinal) this._continueAfter(failure);
   }
 
-  private _goOnAfter(failure: CallFailure): void {
-    if (this._attempts.repeatable && this._goOnElsewhere()) return;
+  private _continueAfter(failure: CallFailure): void {
+    if (this._attempts.repeatable && this._continueElsewhere()) return;
     this._final.fail(this._relay?.begun === true, failure.reason);
   }
 
@@ -203,16 +203,16 @@
   }
 
   /** Goes on with the handover under way, with another attempt or by waiting for one; false when there can be none. */
-  private _goOnElsewhere(): boolean {
+  private _continueElsewhere(): boolean {
     if (this._handover.isUnderWay || this._final.isFinal) return true;
     this._noAttempt = this._takeRetry();
-    if (this._noAttempt) return this._waitsFor(this._noAttempt);
+    if (this._noAttempt) return this._waitIfTransient(this._noAttempt);
     this._attempt();
     return true;
   }
 
   /** Lets a stream that has begun wait for what is missing, and holds nothing meanwhile; false when it is not to wait. */
-  private _waitsFor(reason: NoAttemptReason): boolean {
+  private _waitIfTransient(reason: NoAttemptReason): boolean {
     this._isWaiting = this._relay?.begun === true && this._attempts.repeatable && isTransient(reason);
     if (this._isWaiting) this._trace.waiting(reason);
     return this._isWaiting;
@@ -220,7 +220,7 @@
 
   private _tryAgain(): void {
     this._isWaiting = false;
-    if (!this._goOnElsewhere()) this._giveUp(this._noAttempt!);
+    if (!this._continueElsewhere()) this._giveUp(this._noAttempt!);
   }
 
   /** Takes permission for one more attempt; returns why there is none. */
@@ -238,7 +238,7 @@
     if (!this._received.answer && this._attempts.mayBeginTooLate(call.server)) return this._takeBack(call);
     if (this._handover.isUnderWay || !this._attempts.repeatable) return;
     const { switchingFor } = call.server;
-    if (switchingFor === 0) this._moveIfSilent(call);
+    if (switchingFor === 0) this._retryIfStalled(call);
     else if (this._relay && switchingFor > this._handoverDelay)
       this._handover.begin(call.server, this._relay.lastEventId);
   }
@@ -250,20 +250,20 @@
     this._afterFailure(server, { sent, reason: 'not begun before the bound of its version' });
   }
 
-  private _moveIfSilent({ server }: BackendCall): void {
-    const { elapsedMilliseconds: waited } = this._current;
-    const silent = isStalled({
-      elapsedMilliseconds: waited,
+  private _retryIfStalled({ server }: BackendCall): void {
+    const { elapsedMilliseconds: elapsed } = this._current;
+    const stalled = isStalled({
+      elapsed: elapsed,
       objective: this._request.route.objectiveMilliseconds,
       serverSilentFor: server.silentFor,
       stream: this._relay !== undefined,
       streamSilentFor: this._received.answer && this._relay?.begun ? this._relay.silentFor() : undefined,
     });
-    if (!silent || this._takeRetry()) return;
+    if (!stalled || this._takeRetry()) return;
     this._current.abort('silent');
     this._mayHaveRun = true;
     server.health.note('silent');
-    this._trace.attemptFailed(server, { sent: true, reason: 'silent' }, waited);
+    this._trace.attemptFailed(server, { sent: true, reason: 'silent' }, elapsed);
     this._attempt();
   }
 
@@ -282,12 +282,12 @@
     if (rejectedWith !== undefined) return this._onRejected(server, rejectedWith);
     if (!this._current.call) return this._afterFailure(server, failure);
     this._mayHaveRun ||= failure.sent;
-    this._trace.attemptFailed(server, failure, this._services.clock.now() - startedAt);
+    this._trace.attemptFailed(server, failure, this._context.clock.now() - startedAt);
   }
 
   private _giveUp(reason: NoAttemptReason): void {
     this._noAttempt = reason;
-    if (this._waitsFor(reason)) return;
+    if (this._waitIfTransient(reason)) return;
     this._final.giveUp(reason, {
       begun: this._relay?.begun === true,
       mayHaveRun: this._mayHaveRun,
@@ -301,7 +301,7 @@
     this._final.timeOut(this._relay?.begun === true, sent);
   }
 
-  private _onCallerGone(): void {
+  private _onCallerDisconnect(): void {
     if (this._final.isFinal) return;
     this._current.abort('caller-gone');
     this._final.callerDisconnected();
@@ -311,7 +311,7 @@
     this._handover.cancel();
     this._turn.release();
     clearTimeout(this._timeout);
-    this._endWatch();
+    this._stopWatching();
     this._trace.ended(outcome, this._attempts.count, { ...fields, noAttempt: this._noAttempt }, this._relay);
     this._done();
   }
--- a/src/serving/noAttemptReason.ts
+++ b/src/serving/noAttemptReason.ts
@@ -24,7 +24,7 @@
   | 'ends servers';
 
 /** What may change while a caller waits. */
-const PASSING: ReadonlySet<NoAttemptReason> = new Set([
+const TRANSIENT_REASONS: ReadonlySet<NoAttemptReason> = new Set([
   'retry budget',
   'asked just now',
   'no server',
@@ -32,7 +32,7 @@
   'old version',
   'servers at limit',
 ]);
-const OF_CHOICE = {
+const REASON_BY_CHOICE = {
   'no-server': 'no server',
   'all-busy': 'all busy',
   'old-version': 'old version',
@@ -41,10 +41,10 @@
 
 /** The same for a choice that found no server; undefined when it found one. */
 export function noAttemptReasonOf(found: ServerFound): NoAttemptReason | undefined {
-  return found.kind === 'none' ? OF_CHOICE[found.reason] : undefined;
+  return found.kind === 'none' ? REASON_BY_CHOICE[found.reason] : undefined;
 }
 
 /** Whether it is worth waiting for another attempt. */
 export function isTransient(reason: NoAttemptReason): boolean {
-  return PASSING.has(reason);
+  return TRANSIENT_REASONS.has(reason);
 }
--- a/src/serving/outgoingRequest.ts
+++ b/src/serving/outgoingRequest.ts
@@ -19,10 +19,10 @@
 export function outgoingRequest(
   request: AdmittedRequest,
   names: HeaderNames,
-  terms: AttemptParameters,
+  parameters: AttemptParameters,
 ): BackendRequest {
   const { method, path, headers, body, model, promptSize: prompts } = request;
-  const { server, remainingMilliseconds: leftMilliseconds, lastEventId, newestVersion } = terms;
+  const { server, remainingMilliseconds: leftMilliseconds, lastEventId, newestVersion } = parameters;
   const own = [names.deadline, String(Math.max(1, Math.floor(leftMilliseconds)))];
   own.push(names.expectedServer, server.record.id);
   if (lastEventId !== '') own.push(names.lastEventId, lastEventId);
--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -40,23 +40,23 @@
   reason: string;
 }
 
-const RETRY_AFTER_UNKNOWN_MILLISECONDS = 400;
-const LONGEST_MILLISECONDS = 3_600_000;
+const RETRY_AFTER_STALE_CONFIGURATION_MILLISECONDS = 400;
+const MAX_REQUEST_MILLISECONDS = 3_600_000;
 /** Longest time that a request usually takes. A leaving entry takes only what ends before it does. */
-const USUAL_MILLISECONDS = 3_200;
+const TYPICAL_REQUEST_MILLISECONDS = 3_200;
 /** Another entry takes the request at once. */
 const RETRY_AFTER_LEAVING_MILLISECONDS = 10;
 
 export class RequestAdmission {
   private readonly _options: AdmissionOptions;
   private readonly _retries: RetryAllowances;
-  private readonly _dropped: ReadonlySet<string>;
+  private readonly _droppedHeaders: ReadonlySet<string>;
 
   constructor(options: AdmissionOptions) {
     this._options = options;
     const { names, retryBound, clock, entries, isFirstStart } = options;
     this._retries = new RetryAllowances(retryBound, clock, entries, isFirstStart);
-    this._dropped = new Set([
+    this._droppedHeaders = new Set([
       'authorization',
       names.deadline,
       names.customer,
@@ -78,7 +78,11 @@
     const exchange = new CallerExchange(request, response, names.requestId, isLeaving);
     const { index } = configuration;
     if (!index) {
-      exchange.refuse(OWN_STATUS.notRun, 'no configuration yet', RETRY_AFTER_UNKNOWN_MILLISECONDS);
+      exchange.refuse(
+        OWN_STATUS.notRun,
+        'no configuration yet',
+        RETRY_AFTER_STALE_CONFIGURATION_MILLISECONDS,
+      );
       return undefined;
     }
     const route = index.route(request.headers.host ?? '', request.url ?? '/');
@@ -107,7 +111,12 @@
       current,
     });
     if (current) exchange.refuse(denial.status, denial.reason);
-    else exchange.refuse(OWN_STATUS.notRun, 'configuration may be old', RETRY_AFTER_UNKNOWN_MILLISECONDS);
+    else
+      exchange.refuse(
+        OWN_STATUS.notRun,
+        'configuration may be old',
+        RETRY_AFTER_STALE_CONFIGURATION_MILLISECONDS,
+      );
     return undefined;
   }
 
@@ -129,7 +138,7 @@
   ): AdmittedRequest {
     const { names, random } = this._options;
     const { request } = exchange;
-    const headers = forwardedHeaders(request, this._dropped);
+    const headers = forwardedHeaders(request, this._droppedHeaders);
     if (customer) headers.push(names.customer, customer.name);
     headers.push(names.priority, String(customer?.priority ?? route.priority));
     const service = chooseTarget(route, random.fraction());
@@ -152,7 +161,7 @@
       promptSize: promptSize(request.headers[names.tokens], this._usualPromptTokens(service)),
       lastEventId: String(request.headers[names.lastEventId] ?? ''),
       retries,
-      endsAt: arrivedAt + this._longest(request, route),
+      endsAt: arrivedAt + this._timeoutMilliseconds(request, route),
     };
   }
 
@@ -162,12 +171,17 @@
   }
 
   /** The longest time that a request may take, in milliseconds. */
-  private _longest(request: http.IncomingMessage, route: Route): number {
-    const told = Number(request.headers[this._options.names.deadline] ?? LONGEST_MILLISECONDS);
-    return Math.min(told || LONGEST_MILLISECONDS, route.timeoutMilliseconds);
+  private _timeoutMilliseconds(request: http.IncomingMessage, route: Route): number {
+    const requestedMilliseconds = Number(
+      request.headers[this._options.names.deadline] ?? MAX_REQUEST_MILLISECONDS,
+    );
+    return Math.min(requestedMilliseconds || MAX_REQUEST_MILLISECONDS, route.timeoutMilliseconds);
   }
 
   private _endsInTime(request: http.IncomingMessage, route: Route): boolean {
-    return this._options.closesIn() >= Math.min(this._longest(request, route), USUAL_MILLISECONDS);
+    return (
+      this._options.closesIn() >=
+      Math.min(this._timeoutMilliseconds(request, route), TYPICAL_REQUEST_MILLISECONDS)
+    );
   }
 }
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -11,19 +11,19 @@
 import type { TrackedServer } from './trackedServer.js';
 
 /** Least time that is worth another attempt. */
-const SHORTEST_ATTEMPT_MILLISECONDS = 40;
+const MIN_ATTEMPT_MILLISECONDS = 40;
 /** Connections that cannot be opened cost no attempt, but there is an end to them. */
-const MOST_UNREACHABLE = 4;
+const MAX_UNREACHABLE = 4;
 /** Time after which a server that has not run a begun stream is asked again: until then choices avoid it (serverHealth). */
-const ASK_AGAIN_MILLISECONDS = 150;
+const SAME_SERVER_RETRY_MILLISECONDS = 150;
 /**
  * Least time between the sends of a begun stream beyond those that its route allows at once: places come free every few
  * milliseconds, but each send takes a retry from all others.
  */
-const RESEND_MILLISECONDS = 100;
+const MIN_RESEND_INTERVAL_MILLISECONDS = 100;
 
 export class RequestAttempts {
-  private readonly _services: ForwardingContext;
+  private readonly _context: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _hasBegun: () => boolean;
   private readonly _tried = new Set<string>();
@@ -32,15 +32,15 @@
   private _lastNotRunAt = Number.NEGATIVE_INFINITY;
   private _count = 0;
   /** Those of the sends that a server says it has not run. */
-  private _notRun = 0;
-  private _unreachable = 0;
+  private _notRunCount = 0;
+  private _unreachableCount = 0;
   /** For how long no server took the request when one was last sought. */
   private _waitMilliseconds = 0;
 
   /** `hasBegun` tells whether the caller has a part of the answer. */
-  constructor(services: ForwardingContext, request: AdmittedRequest, hasBegun: () => boolean = () => false) {
+  constructor(context: ForwardingContext, request: AdmittedRequest, hasBegun: () => boolean = () => false) {
     this._hasBegun = hasBegun;
-    this._services = services;
+    this._context = context;
     this._request = request;
   }
 
@@ -57,7 +57,7 @@
 
   /** Milliseconds until the caller or the operator no longer waits. */
   get remainingMilliseconds(): number {
-    return this._request.endsAt - this._services.clock.now();
+    return this._request.endsAt - this._context.clock.now();
   }
 
   /**
@@ -66,7 +66,7 @@
    */
   find(isHandover = false): ServerFound {
     const { service, model } = this._request;
-    const { gate, pool } = this._services;
+    const { gate, pool } = this._context;
     const preferredVersion = gate.preferred(model);
     // what is handed over late to a server of an older version would have to move again, and may begin there too late
     const lowestForHandover = isHandover ? preferredVersion : 0;
@@ -79,7 +79,7 @@
       newestVersion: gate.newest(model),
       objectiveMilliseconds: this._objectiveMilliseconds(isHandover),
       isCarriedOver: isHandover || this._hasBegun(),
-      tried: this._hasBegun() && !isHandover ? this._triedLately() : this._tried,
+      tried: this._hasBegun() && !isHandover ? this._excludedServers() : this._tried,
     });
     this._waitMilliseconds = 'waitMilliseconds' in found ? found.waitMilliseconds : 0;
     return found;
@@ -87,7 +87,7 @@
 
   /** The request as `server` gets it, from the event after `lastEventId` on. */
   outgoing(server: TrackedServer, lastEventId: string): BackendRequest {
-    const { names, gate } = this._services;
+    const { names, gate } = this._context;
     return outgoingRequest(this._request, names, {
       server,
       remainingMilliseconds: this.remainingMilliseconds,
@@ -99,8 +99,8 @@
   /** Whether the bound is so near that the request should no longer begin on the version of `server`. */
   mayBeginTooLate(server: TrackedServer): boolean {
     const { model } = this._request;
-    const mayLie = server.slowLink || server.agentSilent;
-    return model !== '' && server.version(model) < this._services.gate.lowestToBegin(model, mayLie);
+    const mayBeDelayed = server.slowLink || server.agentSilent;
+    return model !== '' && server.version(model) < this._context.gate.lowestToBegin(model, mayBeDelayed);
   }
 
   /** Counts an attempt. */
@@ -115,7 +115,7 @@
    * this when it is broken off, and may ask the server again. A new request is sent to no more servers than its route allows.
    */
   noteNotRun(server: TrackedServer): void {
-    this._notRun++;
+    this._notRunCount++;
     this._noteNotRunAt(server);
   }
 
@@ -123,9 +123,9 @@
   noteUnreachable(server: TrackedServer): NoAttemptReason | undefined {
     this._noteNotRunAt(server);
     this._count--;
-    this._unreachable++;
-    if (this._unreachable >= MOST_UNREACHABLE) return 'no server';
-    return this.remainingMilliseconds <= SHORTEST_ATTEMPT_MILLISECONDS ? 'time' : undefined;
+    this._unreachableCount++;
+    if (this._unreachableCount >= MAX_UNREACHABLE) return 'no server';
+    return this.remainingMilliseconds <= MIN_ATTEMPT_MILLISECONDS ? 'time' : undefined;
   }
 
   /**
@@ -135,11 +135,11 @@
   takeRetry(isHandover = false): NoAttemptReason | undefined {
     const { route, retries } = this._request;
     // a stream that is handed over still has its first server, and needs no more sends than a new request
-    const isBrokenOff = this._hasBegun() && !isHandover;
-    const used = isBrokenOff ? this._count - this._notRun : this._count;
+    const isResumption = this._hasBegun() && !isHandover;
+    const used = isResumption ? this._count - this._notRunCount : this._count;
     if (used >= route.attempts) return 'attempts used';
-    if (this.remainingMilliseconds < SHORTEST_ATTEMPT_MILLISECONDS) return 'time';
-    if (isBrokenOff && this._isTooSoon()) return 'asked just now';
+    if (this.remainingMilliseconds < MIN_ATTEMPT_MILLISECONDS) return 'time';
+    if (isResumption && this._isTooSoon()) return 'asked just now';
     const noServer = noAttemptReasonOf(this.find(isHandover));
     if (noServer) return noServer;
     return retries.takeRetry(this._hasBegun()) ? undefined : 'retry budget';
@@ -147,25 +147,26 @@
 
   /** Milliseconds after which its caller should come back, where there is no attempt for `reason`. */
   retryAfter(reason: NoAttemptReason): number {
-    const fraction = this._services.random.fraction();
+    const fraction = this._context.random.fraction();
     return computeRetryAfter(reason, this.remainingMilliseconds, fraction, this._waitMilliseconds);
   }
 
   private _noteNotRunAt(server: TrackedServer): void {
-    this._lastNotRunAt = this._services.clock.now();
+    this._lastNotRunAt = this._context.clock.now();
     this._notRunAt.set(server.record.id, this._lastNotRunAt);
   }
 
   /** Servers that may have run the request, and those that have not but were asked only just now. */
-  private _triedLately(): Set<string> {
-    const now = this._services.clock.now();
-    const isLate = (id: string): boolean => now - (this._notRunAt.get(id) ?? now) >= ASK_AGAIN_MILLISECONDS;
-    return new Set([...this._tried].filter((id) => !isLate(id)));
+  private _excludedServers(): Set<string> {
+    const now = this._context.clock.now();
+    const mayRetry = (id: string): boolean =>
+      now - (this._notRunAt.get(id) ?? now) >= SAME_SERVER_RETRY_MILLISECONDS;
+    return new Set([...this._tried].filter((id) => !mayRetry(id)));
   }
 
   private _isTooSoon(): boolean {
-    const isBeyond = this._count >= this._request.route.attempts || this._unreachable >= MOST_UNREACHABLE;
-    return isBeyond && this._services.clock.now() - this._lastNotRunAt < RESEND_MILLISECONDS;
+    const isBeyond = this._count >= this._request.route.attempts || this._unreachableCount >= MAX_UNREACHABLE;
+    return isBeyond && this._context.clock.now() - this._lastNotRunAt < MIN_RESEND_INTERVAL_MILLISECONDS;
   }
 
   /** Time that a server may take for its first answer. */
--- a/src/serving/requestHandover.ts
+++ b/src/serving/requestHandover.ts
@@ -20,7 +20,7 @@
 }
 
 export class RequestHandover {
-  private readonly _services: ForwardingContext;
+  private readonly _context: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _attempts: RequestAttempts;
   private readonly _trace: RequestTrace;
@@ -28,13 +28,13 @@
   private _handover: StreamHandover | undefined;
 
   constructor(
-    services: ForwardingContext,
+    context: ForwardingContext,
     request: AdmittedRequest,
     attempts: RequestAttempts,
     trace: RequestTrace,
     listener: HandoverListener,
   ) {
-    this._services = services;
+    this._context = context;
     this._request = request;
     this._attempts = attempts;
     this._trace = trace;
@@ -53,11 +53,11 @@
     if (refused) return this._trace.notHandedOver(from, refused);
     this._trace.retried();
     const { server } = found;
-    const startedAt = this._services.clock.now();
+    const startedAt = this._context.clock.now();
     this._handover = StreamHandover.begin({
       server,
       request: this._attempts.outgoing(server, lastEventId),
-      names: this._services.names,
+      names: this._context.names,
       requestId: this._request.exchange.requestId,
       model: this._request.model,
       listener: this._listener.callListener(server),
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -20,8 +20,8 @@
   private readonly _metrics: ServingMetrics;
   private readonly _clock: Clock;
   private readonly _startedAt: number;
-  private _stays = false;
-  private _waitsFor: NoAttemptReason | undefined;
+  private _hasLoggedNotHandedOver = false;
+  private _waitReason: NoAttemptReason | undefined;
 
   constructor(request: AdmittedRequest, log: EventLog, metrics: ServingMetrics, clock: Clock) {
     this._request = request;
@@ -32,7 +32,7 @@
   }
 
   sent(server: TrackedServer, attempt: number): void {
-    this._waitsFor = undefined;
+    this._waitReason = undefined;
     const now = this._clock.now();
     const { statusAge } = server;
     if (statusAge !== undefined) this._metrics.loadUsed(server.record.service, statusAge);
@@ -52,8 +52,8 @@
     this._log.decision('request.rejected', { request: this._id, server: server.record.id, status });
   }
 
-  attemptFailed(server: TrackedServer, failure: CallFailure, waited: number): void {
-    const milliseconds = Math.round(waited);
+  attemptFailed(server: TrackedServer, failure: CallFailure, elapsed: number): void {
+    const milliseconds = Math.round(elapsed);
     this._log.decision('request.attempt-failed', {
       request: this._id,
       server: server.record.id,
@@ -76,16 +76,16 @@
 
   /** A stream stays at a server that is about to change its version; logged once. */
   notHandedOver(server: TrackedServer, reason: string): void {
-    if (this._stays) return;
-    this._stays = true;
+    if (this._hasLoggedNotHandedOver) return;
+    this._hasLoggedNotHandedOver = true;
     this._metrics.count(`handovers_refused_total{reason="${reason}"}`);
     this._log.decision('request.not-handed-over', { request: this._id, server: server.record.id, reason });
   }
 
   /** A stream that has begun waits until it can go on elsewhere; logged once for each reason. */
   waiting(reason: NoAttemptReason): void {
-    if (this._waitsFor === reason) return;
-    this._waitsFor = reason;
+    if (this._waitReason === reason) return;
+    this._waitReason = reason;
     this._metrics.count(`streams_waiting_total{reason="${reason}"}`);
     const leftMilliseconds = Math.round(this._request.endsAt - this._clock.now());
     this._log.decision('request.waiting', { request: this._id, noAttempt: reason, leftMilliseconds });
--- a/src/serving/retryAfter.ts
+++ b/src/serving/retryAfter.ts
@@ -3,9 +3,9 @@
 import type { NoAttemptReason } from './noAttemptReason.js';
 
 /** Callers wait no longer than a third of the time that they have left, which is a little less at their end. */
-const LONGEST_SHARE = 0.32;
+const MAX_SHARE = 0.32;
 /** The shortest advice, in parts of the longest: callers that were refused together come back apart. */
-const SHORTEST_SHARE = 0.5;
+const MIN_SPREAD = 0.5;
 
 /**
  * Milliseconds to wait, for a request that was refused for `reason` and has `leftMilliseconds` left; `fraction` is a random number from 0 up to 1. A
@@ -19,7 +19,7 @@
   waitMilliseconds = 0,
 ): number {
   if (reason === 'ends servers') return SHUT_OUT_MILLISECONDS;
-  const longest = Math.max(0, leftMilliseconds) * LONGEST_SHARE;
-  const spread = longest * (SHORTEST_SHARE + (1 - SHORTEST_SHARE) * fraction);
+  const longest = Math.max(0, leftMilliseconds) * MAX_SHARE;
+  const spread = longest * (MIN_SPREAD + (1 - MIN_SPREAD) * fraction);
   return Math.round(Math.max(spread, Math.min(longest, waitMilliseconds)));
 }
--- a/src/serving/streamRelay.ts
+++ b/src/serving/streamRelay.ts
@@ -14,7 +14,7 @@
   private _heardAt = 0;
   /** When the server that sends the events now was last heard. */
   private _serverHeardAt = 0;
-  private _firstAt = 0;
+  private _firstEventAt = 0;
   private _longestPause = 0;
 
   /** `lastEventId` is the last event that the caller has seen, '' for none. */
@@ -35,7 +35,7 @@
 
   /** Monotonic milliseconds at which the first event came, 0 before. */
   get firstEventAt(): number {
-    return this._firstAt;
+    return this._firstEventAt;
   }
 
   /** Longest time between bytes after the first event, in milliseconds. */
@@ -60,19 +60,19 @@
   /** Passes whole events on; false when the caller reads too slowly. */
   push(bytes: Buffer): boolean {
     const now = this._clock.now();
-    if (this._firstAt > 0) this._longestPause = Math.max(this._longestPause, now - this._heardAt);
-    else this._firstAt = now;
+    if (this._firstEventAt > 0) this._longestPause = Math.max(this._longestPause, now - this._heardAt);
+    else this._firstEventAt = now;
     this._heardAt = now;
     this._serverHeardAt = now;
-    let flows = true;
+    let canTakeMore = true;
     for (const event of this._splitter.push(bytes)) {
       if (event.id !== undefined) {
         if (isRepeated(event.id, this._lastEventId)) continue;
         this._lastEventId = event.id;
       }
-      flows = this._exchange.write(event.bytes) && flows;
+      canTakeMore = this._exchange.write(event.bytes) && canTakeMore;
     }
-    return flows;
+    return canTakeMore;
   }
 
   /** Drops an event that was broken off. */
