--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -40,10 +40,10 @@
   reason: string;
 }
 
-const RETRY_AFTER_STALE_CONFIGURATION_MILLISECONDS = 400;
+const RETRY_AFTER_STALE_MILLISECONDS = 400;
 const MAX_REQUEST_MILLISECONDS = 3_600_000;
 /** Longest time that a request usually takes. A leaving entry takes only what ends before it does. */
-const TYPICAL_REQUEST_MILLISECONDS = 3_200;
+const TYPICAL_MILLISECONDS = 3_200;
 /** Another entry takes the request at once. */
 const RETRY_AFTER_LEAVING_MILLISECONDS = 10;
 
@@ -78,11 +78,7 @@
     const exchange = new CallerExchange(request, response, names.requestId, isLeaving);
     const { index } = configuration;
     if (!index) {
-      exchange.refuse(
-        OWN_STATUS.notRun,
-        'no configuration yet',
-        RETRY_AFTER_STALE_CONFIGURATION_MILLISECONDS,
-      );
+      exchange.refuse(OWN_STATUS.notRun, 'no configuration yet', RETRY_AFTER_STALE_MILLISECONDS);
       return undefined;
     }
     const route = index.route(request.headers.host ?? '', request.url ?? '/');
@@ -111,12 +107,7 @@
       current,
     });
     if (current) exchange.refuse(denial.status, denial.reason);
-    else
-      exchange.refuse(
-        OWN_STATUS.notRun,
-        'configuration may be old',
-        RETRY_AFTER_STALE_CONFIGURATION_MILLISECONDS,
-      );
+    else exchange.refuse(OWN_STATUS.notRun, 'configuration may be old', RETRY_AFTER_STALE_MILLISECONDS);
     return undefined;
   }
 
@@ -161,7 +152,7 @@
       promptSize: promptSize(request.headers[names.tokens], this._usualPromptTokens(service)),
       lastEventId: String(request.headers[names.lastEventId] ?? ''),
       retries,
-      endsAt: arrivedAt + this._timeoutMilliseconds(request, route),
+      endsAt: arrivedAt + this._timeout(request, route),
     };
   }
 
@@ -171,17 +162,12 @@
   }
 
   /** The longest time that a request may take, in milliseconds. */
-  private _timeoutMilliseconds(request: http.IncomingMessage, route: Route): number {
-    const requestedMilliseconds = Number(
-      request.headers[this._options.names.deadline] ?? MAX_REQUEST_MILLISECONDS,
-    );
-    return Math.min(requestedMilliseconds || MAX_REQUEST_MILLISECONDS, route.timeoutMilliseconds);
+  private _timeout(request: http.IncomingMessage, route: Route): number {
+    const requested = Number(request.headers[this._options.names.deadline] ?? MAX_REQUEST_MILLISECONDS);
+    return Math.min(requested || MAX_REQUEST_MILLISECONDS, route.timeoutMilliseconds);
   }
 
   private _endsInTime(request: http.IncomingMessage, route: Route): boolean {
-    return (
-      this._options.closesIn() >=
-      Math.min(this._timeoutMilliseconds(request, route), TYPICAL_REQUEST_MILLISECONDS)
-    );
+    return this._options.closesIn() >= Math.min(this._timeout(request, route), TYPICAL_MILLISECONDS);
   }
 }
