--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -64,7 +64,7 @@
 /** How an attempt stands; times in milliseconds. */
 export interface AttemptProgress {
   /** Since the attempt began. */
-  elapsed: number;
+  waited: number;
   objective: number;
   /** Since the server sent anything for any stream. */
   serverSilentFor: number;
@@ -76,10 +76,10 @@
 /** Whether the attempt should be given up for another server. */
 export function isStalled(attempt: AttemptProgress): boolean {
   if (!attempt.stream) {
-    return attempt.elapsed > Math.max(MIN_TIMEOUT_MILLISECONDS, attempt.objective * TIMEOUT_OBJECTIVES);
+    return attempt.waited > Math.max(MIN_TIMEOUT_MILLISECONDS, attempt.objective * TIMEOUT_OBJECTIVES);
   }
   if (attempt.streamSilentFor !== undefined) return attempt.streamSilentFor > MAX_STREAM_SILENCE_MILLISECONDS;
   const isServerActive = attempt.serverSilentFor < ACTIVE_SERVER_MILLISECONDS;
   const timeout = isServerActive ? QUEUED_FIRST_EVENT_TIMEOUT_MILLISECONDS : FIRST_EVENT_TIMEOUT_MILLISECONDS;
-  return attempt.elapsed > timeout || attempt.serverSilentFor > MAX_STREAM_SILENCE_MILLISECONDS;
+  return attempt.waited > timeout || attempt.serverSilentFor > MAX_STREAM_SILENCE_MILLISECONDS;
 }
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -253,7 +253,7 @@
   private _retryIfStalled({ server }: BackendCall): void {
     const { elapsedMilliseconds: elapsed } = this._current;
     const stalled = isStalled({
-      elapsed: elapsed,
+      waited: elapsed,
       objective: this._request.route.objectiveMilliseconds,
       serverSilentFor: server.silentFor,
       stream: this._relay !== undefined,
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -156,7 +156,7 @@
 }
 
 const CALM: AttemptProgress = {
-  elapsed: 100,
+  waited: 100,
   objective: 400,
   serverSilentFor: 0,
   stream: true,
