--- a/src/requests/agentClient.ts
+++ b/src/requests/agentClient.ts
@@ -7,7 +7,7 @@
 import type { CallerRequest } from './callerRequest.js';
 import type { RefusalReason } from './refusals.js';
 
-/** The ledger slot that a request without repetition is meant for. */
+/** The ledger slot, and its owner's incarnation, to which a non-repeatable request is addressed. */
 export interface LedgerTarget {
   slot: number;
   slotEpoch: number;
@@ -25,7 +25,7 @@
   load: number | undefined;
 }
 
-/** What came of an attempt. `reached` tells whether the agent itself spoke. */
+/** Result of an attempt. `reached` tells whether the refusal comes from the agent itself. */
 export type AttemptResult =
   | AgentAnswer
   | {
@@ -38,22 +38,25 @@
       load: number | undefined;
     };
 
-/** One attempt. */
+/** One attempt to send a request to a box. */
 export interface Attempt {
   request: CallerRequest;
   backend: Backend;
-  /** Present when the request is not repeatable. */
+  /** Set only when the request is not repeatable. */
   ledger: LedgerTarget | undefined;
   deadlineMilliseconds: number | undefined;
   signal: AbortSignal;
 }
 
-/** Holds the connections to agents. */
+/** Sends requests to agents over pooled connections. */
 export class AgentClient {
   private readonly _token: string;
   private readonly _dispatcher: Agent;
 
-  /** `token` proves this entry; `firstByteMilliseconds` bounds the wait for an answer to begin. */
+  /**
+   * `token` authenticates this entry to agents. `firstByteMilliseconds` limits the wait for the headers of an answer,
+   * and for each further part of its body.
+   */
   constructor(token: string, firstByteMilliseconds: number) {
     this._token = token;
     this._dispatcher = new Agent({
@@ -65,7 +68,7 @@
     });
   }
 
-  /** Never throws. */
+  /** Sends the attempt. Never throws; failures are returned as refusals. */
   async send(attempt: Attempt): Promise<AttemptResult> {
     const { request, backend } = attempt;
     const url = `http://${backend.address}:${backend.httpPort}/requests${request.path}`;
@@ -86,7 +89,7 @@
       const reason = neverSent ? 'backend-unreachable' : 'backend-lost';
       return unreachedResult(reason, neverSent ? 'not-run' : 'unknown');
     } finally {
-      // an answer that has begun may still end over its own connection
+      // once an answer has begun it may complete over its own connection even if the box counts as lost
       backend.lost.removeEventListener('abort', onLost);
     }
   }
@@ -120,7 +123,7 @@
   };
 }
 
-/** An answer that is not to this very request is never passed on. */
+/** Converts an HTTP answer. An answer whose request id or customer does not match the request is treated as lost. */
 async function toAttemptResult(answer: HttpAnswer, request: CallerRequest): Promise<AttemptResult> {
   const text = (name: string): string => String(answer.headers[name] ?? '');
   const load =
--- a/src/requests/callerRequest.ts
+++ b/src/requests/callerRequest.ts
@@ -1,4 +1,4 @@
-/** A caller's request after its headers have been checked. */
+/** A caller's request, and validation of the headers that control how it runs. */
 import type http from 'node:http';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -8,27 +8,27 @@
 import { HEADER } from '../protocol/headers.js';
 import type { Priority } from '../protocol/headers.js';
 
-/** What the caller wants, apart from the body. */
+/** Options that the caller sets in headers. */
 export interface CallerOptions {
-  /** May the system run it again when it cannot tell whether it ran? */
+  /** Whether the request may run again when it is unknown whether it has run. */
   repeatable: boolean;
-  /** The caller's own key, or ''. */
+  /** The caller's idempotency key, '' for none. */
   idempotencyKey: string;
   priority: Priority;
-  /** Milliseconds from arrival; undefined for none. */
+  /** Milliseconds from arrival; undefined for no deadline. */
   deadlineMilliseconds: number | undefined;
 }
 
-/** A request on its way to a box. */
+/** A validated request to be routed to a box. */
 export interface CallerRequest extends CallerOptions {
   id: string;
   name: ConfigurationName;
   method: string;
-  /** Path and query at the backend server. */
+  /** Path and query to request from the backend server. */
   path: string;
   contentType: string;
   body: Buffer;
-  /** Hash key of customer and prompt prefix, or ''. */
+  /** Hash key of customer and prompt prefix, '' for none. */
   affinity: string;
   arrivedAt: number;
 }
@@ -48,7 +48,7 @@
     .optional(),
 });
 
-/** Reads the headers that a caller may set; without `Larklatch-Repeatable` the `standard` holds. */
+/** Validates the headers that a caller may set. Without `Larklatch-Repeatable`, `defaultRepeatable` applies. */
 export function parseCallerOptions(
   headers: http.IncomingHttpHeaders,
   defaultRepeatable: boolean,
--- a/src/requests/fairQueue.ts
+++ b/src/requests/fairQueue.ts
@@ -7,7 +7,7 @@
 /** Why a request was not admitted. */
 export type AdmissionRefusalReason = 'queue-full' | 'deadline-too-close';
 
-/** A refusal and when to come back, in milliseconds from now. */
+/** A refusal, with the milliseconds after which the caller should retry. */
 export interface AdmissionRefusal {
   reason: AdmissionRefusalReason;
   retryAfterMilliseconds: number;
@@ -18,21 +18,21 @@
   customer: string;
   weight: number;
   priority: Priority;
-  /** Milliseconds from now within which the answer is of use; undefined for no limit. */
+  /** Milliseconds from now until the answer is no longer useful; undefined for no deadline. */
   deadlineMilliseconds: number | undefined;
 }
 
-/** A place in the queue or a slot. `release` ends it, in either state, and may be called twice. */
+/** A queued or running request. `release` removes it from the queue or frees its slot; further calls have no effect. */
 export interface Admission {
-  /** Resolves true once the request may run, false when its deadline passed while it waited. */
+  /** Resolves to true once the request may run, to false when its deadline passed or it was released while queued. */
   ready: Promise<boolean>;
   release(): void;
 }
 
-/** Sizes of the queue. */
+/** Options of a queue. */
 export interface FairQueueOptions {
   slots: number;
-  /** Requests that may wait, per customer. */
+  /** Maximum number of queued requests per customer. */
   waitingPerCustomer: number;
   clock: Clock;
 }
@@ -43,24 +43,24 @@
   start: (admitted: boolean) => void;
 }
 
-/** The requests of one customer, and how much of its share the customer has used. */
+/** Queued and running requests of one customer, and the customer's virtual time. */
 interface CustomerQueue {
   waiting: Record<Priority, Waiting[]>;
   running: number;
-  /** Virtual time at which the customer's next request is due. */
+  /** Virtual start time of the customer's next request. */
   virtualTime: number;
 }
 
 const PRIORITIES: readonly Priority[] = ['high', 'normal', 'low'];
-/** Weight of a new sample in the moving average of service times. */
+/** Weight of a new sample in the exponential moving average of service times. */
 const MOVING_AVERAGE_WEIGHT = 0.1;
 const INITIAL_SERVICE_MILLISECONDS = 50;
 const MIN_RETRY_AFTER_MILLISECONDS = 200;
 
 /**
- * Start-time fair queueing: the customer whose virtual time is lowest runs next; each run moves it on by one over
- * its weight. A customer that was idle starts at the present virtual time, so it cannot save up. A refusal is given
- * at once, when the queue of the customer is full or the expected wait is past the deadline.
+ * Start-time fair queueing: the customer with the lowest virtual time runs next, and each run advances its virtual time
+ * by 1 / weight. An idle customer resumes at the current virtual time, so it cannot accumulate credit. A request is
+ * refused on arrival when its customer's queue is full or the expected wait exceeds its deadline.
  */
 export class FairQueue {
   private readonly _options: FairQueueOptions;
@@ -86,7 +86,7 @@
     return this._options.slots;
   }
 
-  /** Admits a request to a slot or the queue, or refuses it at once. */
+  /** Starts or queues a request, or refuses it. */
   admit(request: AdmissionRequest): Result<Admission, AdmissionRefusal> {
     const customer = this._customer(request.customer);
     const queued = waitingCountOf(customer);
@@ -99,14 +99,14 @@
     return ok(this._enqueue(customer, request));
   }
 
-  /** Expected wait of a request that would be the next of its customer, in milliseconds. */
+  /** Expected wait, in milliseconds, of a request appended to the customer's queue. */
   private _expectedWait(customer: CustomerQueue, queued: number, weight: number): number {
     if (this._running < this._options.slots && queued === 0) return 0;
     const share = Math.max(1, this._options.slots * this._shareOf(customer, weight));
     return ((queued + 1) * this._serviceMilliseconds) / share;
   }
 
-  /** The part of the slots that a customer gets beside the others that are busy now. */
+  /** Share of the slots that the customer gets next to the other active customers, each counted with weight 1. */
   private _shareOf(customer: CustomerQueue, weight: number): number {
     let activeCustomers = 1;
     for (const other of this._customers.values()) {
--- a/src/requests/ledger.ts
+++ b/src/requests/ledger.ts
@@ -1,12 +1,12 @@
 /**
- * An agent's memory of requests that are not repeatable. It lasts as long as the agent's incarnation.
+ * Records which non-repeatable requests an agent has run. Held in memory, for the lifetime of the agent's incarnation.
  * See docs/decisions/0003-at-most-once.md.
  */
 import type { LedgerSlot } from '../protocol/rolloutMessages.js';
 import type { Clock } from '../utils/clock.js';
 import { ledgerHash } from './ledgerSlots.js';
 
-/** A finished answer, kept so that a caller whose answer was lost gets it again. */
+/** A complete answer, stored so that a caller whose answer was lost gets it when it sends the key again. */
 export interface StoredAnswer {
   status: number;
   contentType: string;
@@ -14,38 +14,38 @@
   body: Buffer;
 }
 
-/** What the ledger says of a request. */
+/** Result of {@link Ledger.check}. */
 export type LedgerDecision =
   | { kind: 'run' }
-  /** Ran, and here is its answer. */
+  /** The request has run and its answer is stored. */
   | { kind: 'answered'; answer: StoredAnswer }
-  /** Is running, or ran with an answer that is not kept. */
+  /** The request is running, or has run without a stored answer. */
   | { kind: 'started' }
-  /** This incarnation does not own the slot at that epoch: nothing ran here, it may run elsewhere. */
+  /** This incarnation does not own the slot at that epoch. The request has not run here and may run elsewhere. */
   | { kind: 'not-owner' }
-  /** An earlier owner may have run it: nobody can tell. */
+  /** An earlier owner of the slot may have run the request; this cannot be determined any more. */
   | { kind: 'uncertain' }
   | { kind: 'full' };
 
-/** What the caller's key is checked against. */
+/** A request as the ledger checks it. */
 export interface LedgerRequest {
-  /** Customer, configuration and the caller's key, joined. */
+  /** Customer, configuration and the caller's idempotency key, joined. */
   key: string;
   slot: number;
-  /** The slot's epoch that the entry knew, or that the caller's ticket names. */
+  /** Epoch of the slot, from the entry's table or from the caller's ticket. */
   slotEpoch: number;
-  /** Whether a signed ticket names the epoch, which proves that the key was first sent under it. */
+  /** Whether the epoch comes from a signed ticket, which proves that the key was not used before that epoch. */
   ticketed: boolean;
 }
 
-/** Bounds of a ledger. */
+/** Options of a ledger. */
 export interface LedgerOptions {
   clock: Clock;
-  /** How long after its first sending a caller may send a key again. */
+  /** How long a caller may resend a key after first sending it. */
   keyLifetimeMilliseconds: number;
   /**
-   * How long a slot stays blind after its owner was lost: the lifetime of a key, and as long again as an entry may go on
-   * sending to the lost owner because it has not heard of the loss.
+   * How long a slot stays blind after its owner was lost: the lifetime of a key, plus the time for which an entry that
+   * has not learnt of the loss may go on sending to the lost owner.
    */
   blindMilliseconds: number;
   maximumKeys: number;
@@ -58,11 +58,11 @@
 }
 
 interface SlotState extends LedgerSlot {
-  /** Until when keys without a ticket are uncertain. */
+  /** Until this time, requests without a ticket are answered `uncertain`. */
   blindUntil: number;
 }
 
-/** Decides whether a request may run; a key that was let through once is never let through again. */
+/** Decides whether a request may run. A key that has been allowed to run is not allowed again during its lifetime. */
 export class Ledger {
   private readonly _options: LedgerOptions;
   private readonly _keys = new Map<string, KeyState>();
@@ -76,12 +76,12 @@
     return this._keys.size;
   }
 
-  /** Hash of the slots that `service` was given, to compare with the table. */
+  /** Hash of the slots assigned for `service`, to compare with the table. */
   hashOf(service: string): number {
     return ledgerHash([...(this._slots.get(service)?.values() ?? [])]);
   }
 
-  /** Takes the slots of `service` that this incarnation owns now; all others are no longer its own. */
+  /** Replaces the slots of `service` that this incarnation owns. */
   assign(service: string, slots: readonly LedgerSlot[]): void {
     const before = this._slots.get(service);
     const now = this._options.clock.now();
@@ -94,25 +94,28 @@
     this._slots.set(service, new Map(states));
   }
 
-  /** Whether any slot of any service is this incarnation's. */
+  /** Whether this incarnation owns any slot of any service. */
   get ownsSlots(): boolean {
     return [...this._slots.values()].some((slots) => slots.size > 0);
   }
 
-  /** Gives up all slots of a service and returns the keys it remembers, so that another owner can take over. */
+  /** Gives up all slots of a service and returns its recorded keys, to be imported by the next owners. */
   exportKeys(service: string): string[] {
     this._slots.delete(service);
     return [...this._keys.keys()].filter((key) => key.startsWith(`${service}.`));
   }
 
-  /** Remembers keys that an earlier owner let run. */
+  /** Records keys that an earlier owner has allowed to run. */
   importKeys(keys: readonly string[]): void {
     for (const key of keys) {
       if (!this._keys.has(key)) this.finish(key, undefined);
     }
   }
 
-  /** Decides; `run` books the key, and the caller of this method must run it now or call {@link Ledger.cancel}. */
+  /**
+   * Decides whether a request may run. `run` records the key: the caller of this method must then run the request and
+   * call {@link Ledger.finish}, or call {@link Ledger.cancel}.
+   */
   check(service: string, request: LedgerRequest): LedgerDecision {
     const known = this._keys.get(request.key);
     if (known) return known.answer ? { kind: 'answered', answer: known.answer } : { kind: 'started' };
@@ -125,18 +128,21 @@
     return { kind: 'run' };
   }
 
-  /** Undoes a booking whose request was certainly never sent to the backend server. */
+  /** Removes the key of a request that was certainly not sent to the backend server. */
   cancel(key: string): void {
     this._keys.delete(key);
   }
 
-  /** Ends the run of a booked request; `answer` is undefined when it was lost or is too long to keep. */
+  /** Records the end of a run. `answer` is undefined when the answer was lost or is too long to store. */
   finish(key: string, answer: StoredAnswer | undefined): void {
     this._keys.delete(key);
     this._keys.set(key, { running: false, answer, expiresAt: this._expiry() });
   }
 
-  /** A ticket of an earlier epoch may have been used with the earlier owner; a newer epoch has not reached us. */
+  /**
+   * Decides on a request for another epoch of an owned slot. A ticket of an earlier epoch may have been used with an
+   * earlier owner. A later epoch means that this agent has not yet received its newest assignment.
+   */
   private _decideOtherEpoch(owned: SlotState, request: LedgerRequest): LedgerDecision {
     const older = request.slotEpoch < owned.slotEpoch;
     return request.ticketed && older ? { kind: 'uncertain' } : { kind: 'not-owner' };
@@ -146,7 +152,7 @@
     return this._options.clock.now() + this._options.keyLifetimeMilliseconds;
   }
 
-  /** Drops expired keys, oldest first; never drops one that a caller may still send again. */
+  /** Drops expired keys, oldest first, and returns whether another key fits. Unexpired and running keys are kept. */
   private _evictExpired(): boolean {
     const now = this._options.clock.now();
     for (const [key, state] of this._keys) {
--- a/src/requests/ledgerSlots.ts
+++ b/src/requests/ledgerSlots.ts
@@ -1,13 +1,13 @@
-/** The table that says which agent incarnation remembers which part of a service's idempotency keys. Pure. */
+/** The table that assigns each slot of a service's idempotency key space to an agent incarnation. Pure. */
 import { z } from 'zod';
 import type { LedgerSlot } from '../protocol/rolloutMessages.js';
 import { countSchema, nameSchema } from '../protocol/index.js';
 import { placementHash } from '../utils/hash.js';
 
-/** Parts of a service's key space. */
+/** Number of slots into which the key space of a service is split. */
 export const LEDGER_SLOT_COUNT = 32;
 
-/** One slot's owner. `epoch` grows at each change of owner; `blind` when the owner before was lost. */
+/** Owner of a slot. `epoch` grows with each change of owner; `blind` is set when an earlier owner's keys were lost. */
 export const slotOwnerSchema = z.object({
   box: nameSchema,
   incarnation: z.string(),
@@ -16,7 +16,7 @@
 });
 export type SlotOwner = z.infer<typeof slotOwnerSchema>;
 
-/** The ledger object of a configuration. */
+/** The stored ledger object of a configuration. */
 export const ledgerRecordSchema = z.object({
   slots: z.array(slotOwnerSchema).length(LEDGER_SLOT_COUNT),
   changeId: z.string(),
@@ -34,12 +34,15 @@
   return placementHash('ledger', key) % LEDGER_SLOT_COUNT;
 }
 
-/** `lost`: proven gone, with its memory. `handed-over`: it has given up its slots and its keys have been imported. */
+/**
+ * `lost`: the agent process has certainly ended, and its keys with it. `handed-over`: it has given up its slots and its
+ * keys have been imported by others.
+ */
 export type OwnerStatus = 'owns' | 'lost' | 'handed-over';
 
 /**
- * Gives every slot without an owner, or whose owner is lost or has handed over, to the candidate with the fewest.
- * A silent owner keeps its slots: it may still be running requests.
+ * Assigns every slot without an owner, or whose owner is lost or has handed over, to the candidate with the fewest
+ * slots. An owner that is merely silent keeps its slots, since it may still be running requests.
  */
 export function assignSlots(
   current: readonly SlotOwner[],
@@ -59,7 +62,7 @@
   });
 }
 
-/** The slots of one incarnation, in the form of an order. */
+/** Returns the slots owned by one incarnation, in the form in which they are sent to the agent. */
 export function slotsOf(slots: readonly SlotOwner[], candidate: LedgerCandidate): LedgerSlot[] {
   const own: LedgerSlot[] = [];
   slots.forEach((owner, slot) => {
@@ -69,7 +72,7 @@
   return own;
 }
 
-/** Hash of slots and their epochs, in any order; 0 for none. */
+/** Order-independent hash of slots and their epochs; 0 for no slots. */
 export function ledgerHash(slots: readonly LedgerSlot[]): number {
   return (
     slots.reduce((hash, { slot, slotEpoch }) => hash ^ placementHash(String(slot), String(slotEpoch)), 0) >>>
@@ -77,12 +80,12 @@
   );
 }
 
-/** A slot stays blind when it is handed over by an owner that was blind itself. */
+/** Whether the next owner of a slot is blind: the previous owner was lost, or was blind itself when it handed over. */
 function isBlind(before: SlotOwner | undefined, fateOf: (owner: SlotOwner) => OwnerStatus): boolean {
   return before !== undefined && (fateOf(before) === 'lost' || before.blind);
 }
 
-/** `box/incarnation`: names one life of an agent. */
+/** Returns `box/incarnation`, which identifies one agent process. */
 export function identityOf(candidate: LedgerCandidate): string {
   return `${candidate.box}/${candidate.incarnation}`;
 }
--- a/src/requests/refusals.ts
+++ b/src/requests/refusals.ts
@@ -1,7 +1,7 @@
-/** Why an agent or an entry did not run a request, and how callers are told. */
+/** Reasons for which an agent or an entry refuses a request, and the answers that callers get for them. */
 import type { Outcome } from '../protocol/headers.js';
 
-/** Reasons as they travel in the `larklatch-reason` header. */
+/** Reasons, as sent in the `larklatch-reason` header. */
 export type RefusalReason =
   | 'leaving'
   | 'not-serving'
@@ -18,7 +18,7 @@
   | 'isolated'
   | 'cancelled';
 
-/** A final refusal of a request. */
+/** The answer to a refused request. */
 export interface Refusal {
   reason: RefusalReason;
   status: number;
@@ -52,7 +52,7 @@
   'cancelled',
 ]);
 
-/** Builds the refusal for a reason; `outcome` is `unknown` where the work may have started. */
+/** Builds the refusal for a reason. `outcome` is `unknown` for reasons after which the request may have started. */
 export function refusalFor(
   reason: RefusalReason,
   retryAfterMilliseconds = DEFAULT_RETRY_AFTER_MILLISECONDS,
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -1,4 +1,4 @@
-/** Brings a caller's request to a box that runs it, or to a final refusal, at once. */
+/** Routes a caller's request to a box, with retries, or refuses it. */
 import { randomUUID } from 'node:crypto';
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
 import type { ParsedRecords } from '../configuration/parsedRecords.js';
@@ -19,7 +19,7 @@
 import type { RetryBudget } from './retryBudget.js';
 import { readTicket } from './ticket.js';
 
-/** What a router works with. */
+/** Options of a router. */
 export interface RequestRouterOptions {
   routes: RouteTable;
   client: AgentClient;
@@ -30,11 +30,11 @@
   random: Random;
   logger: Logger;
   metrics: Metrics;
-  /** Whether this entry is cut off from the rest and must not send what may run once only. */
+  /** Whether this entry is isolated from the other processes and must not send non-repeatable requests. */
   isIsolated: () => boolean;
 }
 
-/** An answer being delivered; `done` must be called when its body has ended, however it ended. */
+/** An answer being delivered. `done` must be called when its body has ended, whether complete or not. */
 export interface RoutedAnswer {
   answer: AgentAnswer;
   backend: Backend;
@@ -43,21 +43,21 @@
 
 export type RouteResult = { kind: 'routed'; routed: RoutedAnswer } | { kind: 'refused'; refusal: Refusal };
 
-/** Attempts at different boxes, the first included. */
+/** Maximum number of boxes that a repeatable request is sent to. */
 const MAX_ATTEMPTS = 4;
-/** Refusals after which another box may be asked without a price: nothing ran, and the box does not take part. */
+/** Refusals after which a retry does not use the retry budget: the request has not run, and the box is not serving. */
 const UNBUDGETED_RETRY_REASONS: ReadonlySet<RefusalReason> = new Set([
   'leaving',
   'not-serving',
   'backend-unreachable',
 ]);
-/** Statuses of a backend server after which a repeatable request is tried elsewhere. */
+/** Statuses of a backend server after which a repeatable request is retried on another box. */
 const OVERLOADED_STATUSES: ReadonlySet<number> = new Set([429, 502, 503]);
-/** How often, and how far apart, a ledger slot whose owner takes no work is looked up again: it may be moving. */
+/** A ledger slot whose owner takes no requests is looked up repeatedly, since it may be moving to another owner. */
 const MAX_OWNER_LOOKUPS = 12;
 const OWNER_LOOKUP_INTERVAL_MILLISECONDS = 60;
 
-/** One per entry. */
+/** Routes all requests of an entry. */
 export class RequestRouter {
   private readonly _options: RequestRouterOptions;
 
@@ -65,7 +65,7 @@
     this._options = options;
   }
 
-  /** Runs a request. `left` is aborted when the caller has gone. */
+  /** Routes a request. `callerSignal` is aborted when the caller disconnects. */
   async route(request: CallerRequest, callerSignal: AbortSignal): Promise<RouteResult> {
     this._options.retries.onRequest();
     return request.repeatable
@@ -94,12 +94,15 @@
     return this._refuse(request, mayHaveRun ? { ...refusal, outcome: 'unknown' } : refusal);
   }
 
-  /** Sent to the one incarnation that owns the key's slot; whatever is not certain is `unknown`. */
+  /**
+   * Sends a non-repeatable request to the agent incarnation that owns the slot of its key. The outcome of a refusal is
+   * `unknown` unless it is certain that the request has not run.
+   */
   private async _routeOnce(request: CallerRequest, callerSignal: AbortSignal): Promise<RouteResult> {
     const callerKeyed = request.idempotencyKey !== '';
     const refuseUnsent = (reason: RefusalReason): RouteResult => {
       const refusal = refusalFor(reason);
-      // an earlier sending of the same key may have run: only the owner of its slot can say that it did not
+      // a request sent earlier with the same key may have run; only the owner of the slot can rule that out
       return this._refuse(request, callerKeyed ? { ...refusal, outcome: 'unknown' } : refusal);
     };
     if (this._options.isIsolated()) return refuseUnsent('isolated');
@@ -122,7 +125,10 @@
     return refuseUnsent(reason);
   }
 
-  /** The owner of the request's slot; for a request without a key, a new key whose owner takes work. */
+  /**
+   * Returns the owner of the request's slot. A request without a key gets a new key, and any slot whose owner takes
+   * requests.
+   */
   private _ownerFor(
     request: CallerRequest,
   ): { request: CallerRequest; backend: Backend; ledger: LedgerTarget } | 'lost-epoch' | undefined {
@@ -203,7 +209,7 @@
     return result;
   }
 
-  /** A box that cannot be reached, or whose backend server cannot, is left alone for a while. */
+  /** Counts a failure when the box or its backend server was unreachable, unless the caller has disconnected. */
   private _updateCircuitBreaker(backend: Backend, result: AttemptResult, callerSignal: AbortSignal): void {
     const circuit = this._options.routes.circuitBreaker(backend.box);
     const failed = result.kind === 'refused' && (!result.reached || result.reason === 'backend-unreachable');
@@ -248,7 +254,7 @@
   return { reason, status, outcome, retryAfterMilliseconds };
 }
 
-/** A backend server's own refusal does not prove that nothing ran. */
+/** Refusal for an overload status of a backend server; the status does not prove that the request has not run. */
 function overloadRefusal(answer: AgentAnswer): Refusal {
   answer.body.destroy();
   return { ...refusalFor('backend-lost'), status: answer.status };
--- a/src/requests/retryBudget.ts
+++ b/src/requests/retryBudget.ts
@@ -1,11 +1,11 @@
-/** Bounds retries to a part of the requests, so that they cannot multiply load. */
+/** Limits retries to a fraction of the requests, so that retries cannot multiply the load during an outage. */
 import type { Clock } from '../utils/clock.js';
 
 const TOKENS_PER_REQUEST = 0.1;
 const MAX_TOKENS = 20;
 const TOKENS_PER_SECOND = 1;
 
-/** A bucket that requests fill and retries empty. */
+/** Token bucket: each request adds a fraction of a token, each retry takes one, and tokens are also added over time. */
 export class RetryBudget {
   private readonly _clock: Clock;
   private _tokens = MAX_TOKENS;
@@ -16,12 +16,12 @@
     this._refilledAt = clock.now();
   }
 
-  /** Counts a first attempt. */
+  /** Counts a request. */
   onRequest(): void {
     this._add(TOKENS_PER_REQUEST);
   }
 
-  /** Takes the price of one retry; false when there is not enough left. */
+  /** Takes the token for a retry; false when none is left. */
   takeRetry(): boolean {
     const now = this._clock.now();
     this._add(((now - this._refilledAt) / 1000) * TOKENS_PER_SECOND);
--- a/src/requests/ticket.ts
+++ b/src/requests/ticket.ts
@@ -1,8 +1,8 @@
-/** Idempotency keys that the system itself hands out: they name the ledger slot and its epoch, and are signed. */
+/** Tickets: signed idempotency keys issued by the system, which contain a ledger slot and its epoch. */
 import { randomUUID } from 'node:crypto';
 import { macOf, sameMac } from '../protocol/authentication.js';
 
-/** What a ticket proves: that its key was first usable under this epoch of the slot. */
+/** Contents of a ticket. They prove that the key was not used before this epoch of the slot. */
 export interface Ticket {
   slot: number;
   slotEpoch: number;
@@ -11,13 +11,13 @@
 const PREFIX = 'lk1';
 const MAC_LENGTH = 32;
 
-/** Makes a key for requests to `service` (`customer.configuration`). */
+/** Issues a key for requests to `service` (`customer.configuration`). */
 export function issueTicket(sharedKey: string, service: string, ticket: Ticket): string {
   const body = [PREFIX, ticket.slot, ticket.slotEpoch, randomUUID()].join('.');
   return `${body}.${signature(sharedKey, service, body)}`;
 }
 
-/** Returns what a key made by {@link issueTicket} proves, undefined for any other key. */
+/** Returns the contents of a key made by {@link issueTicket}, undefined for any other key. */
 export function readTicket(sharedKey: string, service: string, key: string): Ticket | undefined {
   const parts = key.split('.');
   if (parts.length !== 5 || parts[0] !== PREFIX) return undefined;
--- a/src/routing/agentSubset.ts
+++ b/src/routing/agentSubset.ts
@@ -1,11 +1,11 @@
-/** Which agents an entry keeps connected, when there are too many for all. Pure. */
+/** Selects the agents that an entry connects to when there are too many to connect to all of them. Pure. */
 import { SeededRandom, shuffled } from '../utils/random.js';
 import { compareText } from '../utils/rendezvous.js';
 
 /**
- * Deterministic subsets: entries are dealt rounds; in each round the agents stand in another fixed order and every
- * entry of the round gets the next `size` of them. Every agent is in as many subsets as any other, give or take one
- * per round, and a round covers all agents when it holds enough entries.
+ * Deterministic subsetting. Sorted entries are grouped into rounds; each round shuffles the agents with its own fixed
+ * seed, and every entry of the round gets the next `size` of them. Within a round each agent is in at most one subset
+ * more than any other agent, and a full round covers all agents.
  */
 export function agentSubset(
   entry: string,
--- a/src/routing/backendChoice.ts
+++ b/src/routing/backendChoice.ts
@@ -1,24 +1,24 @@
-/** Chooses the box for a request. Pure but for randomness. */
+/** Chooses the box for a request. Has no state; randomness is passed in. */
 import type { Random } from '../utils/random.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 import type { Backend } from './backend.js';
 
-/** The boxes of one configuration, by distance from this entry. */
+/** The boxes that serve one configuration, split by whether they are in this entry's data centre. */
 export interface BackendPool {
   sameDataCentre: readonly Backend[];
   otherDataCentres: readonly Backend[];
 }
 
-/** What a choice depends on. */
+/** Inputs of a choice. */
 export interface ChoiceRequest {
-  /** Hash key of customer and prompt prefix, '' for none: requests that share it like the same box. */
+  /** Hash key of customer and prompt prefix, '' for none. Requests with the same key prefer the same box. */
   affinity: string;
-  /** Whether a box may be chosen: not tried before, circuit closed. */
+  /** Whether a box may be chosen: it has not been tried yet and its circuit breaker lets requests through. */
   allows: (box: string) => boolean;
   now: number;
 }
 
-/** Why a box was chosen; goes into the decision log. */
+/** Why a box was chosen; written to the decision log. */
 export type ChoiceReason = 'affinity' | 'less-loaded' | 'only-one';
 
 export interface Choice {
@@ -26,16 +26,19 @@
   reason: ChoiceReason;
 }
 
-/** Requests over capacity, in parts of it, at which the own data centre counts as full and others are looked at. */
+/** Utilization (requests / capacity) at which the own data centre counts as full and others are considered. */
 const FULL_LOAD = 1.5;
-/** How much busier the affine box may be, in parts of capacity, before the request goes elsewhere. */
+/** How much higher the utilization of the affine box may be before the request goes to a less loaded box. */
 const AFFINITY_TOLERANCE = 0.5;
 
-/** Up to this many boxes all are looked at; of more, a sample, since the look would cost more than it is worth. */
+/** Above this number of boxes only a sample is examined, to bound the cost of a choice. */
 const MAX_RANKED_BOXES = 64;
 const SAMPLED_BOXES = 16;
 
-/** The own data centre first; there, the affine box unless it is much busier than another, else the less loaded of two. */
+/**
+ * Prefers this entry's data centre. Within a data centre, picks the affine box unless it is much busier, otherwise the
+ * less loaded of two random boxes.
+ */
 export function chooseBackend(pool: BackendPool, request: ChoiceRequest, random: Random): Choice | undefined {
   const choice = chooseCandidate(candidatesOf(pool.sameDataCentre, request, random), request, random);
   if (choice && utilizationOf(choice.backend, request.now) < FULL_LOAD) return choice;
@@ -46,7 +49,7 @@
     : choice;
 }
 
-/** The boxes that may be chosen; of very many, a sample. */
+/** Returns the boxes that may be chosen, or a sample of them when there are many. */
 function candidatesOf(backends: readonly Backend[], request: ChoiceRequest, random: Random): Backend[] {
   if (backends.length <= MAX_RANKED_BOXES) return backends.filter((backend) => request.allows(backend.box));
   const first = random.integer(backends.length);
--- a/src/routing/circuitBreaker.ts
+++ b/src/routing/circuitBreaker.ts
@@ -1,11 +1,11 @@
-/** Keeps work from a box that fails: closed, open for a while, then one request to try. */
+/** Circuit breaker of a box: closed, open for a while after repeated failures, then half-open. */
 import type { Clock } from '../utils/clock.js';
 
 const FAILURE_THRESHOLD = 3;
 const MIN_OPEN_MILLISECONDS = 500;
 const MAX_OPEN_MILLISECONDS = 10_000;
 
-/** One per box. */
+/** Opens after consecutive failures and stays open longer each time. One instance per box. */
 export class CircuitBreaker {
   private readonly _clock: Clock;
   private _failures = 0;
@@ -16,7 +16,7 @@
     this._clock = clock;
   }
 
-  /** Whether a request may be sent. */
+  /** Whether a request may be sent to the box. */
   get allowsRequests(): boolean {
     return this._clock.now() >= this._openUntil;
   }
@@ -26,7 +26,10 @@
     this._openMilliseconds = MIN_OPEN_MILLISECONDS;
   }
 
-  /** Counts a failure; after a few, and at once when the trial fails, the circuit opens for longer each time. */
+  /**
+   * Counts a failure. Opens the circuit at the threshold, and again at each further failure after that; the open time
+   * doubles up to a maximum.
+   */
   recordFailure(): void {
     this._failures++;
     if (this._failures < FAILURE_THRESHOLD) return;
--- a/src/routing/entryOrder.ts
+++ b/src/routing/entryOrder.ts
@@ -1,14 +1,17 @@
-/** The addresses that callers are told to use. Pure. */
+/** Orders the entries whose addresses are returned to callers. Pure. */
 import type { Box } from '../external/boxList.js';
 import { compareText, rendezvousOrder } from '../utils/rendezvous.js';
 
-/** An entry as callers see it. */
+/** Address of an entry as returned to callers. */
 export interface EntryAddress {
   dataCentre: string;
   url: string;
 }
 
-/** The caller's data centre first; within a data centre each asker gets an order of its own, so that callers spread. */
+/**
+ * Orders entries with the caller's data centre first. Within a data centre the order depends on `callerKey`, so that
+ * callers spread over the entries.
+ */
 export function orderEntries(entries: readonly Box[], dataCentre: string, callerKey: string): EntryAddress[] {
   const dataCentres = [...new Set(entries.map((entry) => entry.dataCentre))].sort(compareText);
   const otherDataCentres = rendezvousOrder(
--- a/src/routing/routeTable.ts
+++ b/src/routing/routeTable.ts
@@ -1,4 +1,4 @@
-/** Which boxes serve which configuration, from the agents' own reports. */
+/** Maps each configuration to the boxes that serve it, according to the agents' reports. */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { shortName } from '../configuration/recordKeys.js';
 import type { AgentLink } from '../membership/agentLink.js';
@@ -11,25 +11,25 @@
 import { CircuitBreaker } from './circuitBreaker.js';
 import { preferVersion } from './versionPreference.js';
 
-/** What an entry keeps of a box across reports. */
+/** State of a box that an entry keeps across reports. */
 interface BoxState {
   load: BoxLoad;
   circuitBreaker: CircuitBreaker;
   reportedAt: number;
 }
 
-/** A pool and the rollout that it was made for. */
+/** A pool and the activated rollout for which it was built. */
 interface CachedPool {
   activatedRollout: string | undefined;
   pool: BackendPool;
 }
 
-/** Rebuilt when a report or a link has changed, at the next question. */
+/** Rebuilt lazily, at the first lookup after a report or a link has changed. */
 export class RouteTable {
   private readonly _links: AgentLinks;
   private readonly _dataCentre: string;
   private readonly _clock: Clock;
-  /** The rollout that callers should be served by, once it has been activated. */
+  /** Returns the activated rollout of a configuration, undefined when none is activated. */
   private readonly _activatedRollout: (name: ConfigurationName) => string | undefined;
   private readonly _boxes = new Map<string, BoxState>();
   private _backends = new Map<string, Backend[]>();
@@ -50,7 +50,7 @@
     links.on('load', (link) => this._updateLoad(link));
   }
 
-  /** Boxes that take work for a configuration now. */
+  /** Boxes that currently accept requests for a configuration. */
   pool(name: ConfigurationName): BackendPool {
     if (this._stale) this._rebuild();
     const activated = this._activatedRollout(name);
@@ -65,7 +65,7 @@
     return pool;
   }
 
-  /** The box that runs an incarnation, if it takes work. */
+  /** The box that runs the given agent incarnation, if it accepts requests for the configuration. */
   owner(name: ConfigurationName, box: string, incarnation: string): Backend | undefined {
     if (this._stale) this._rebuild();
     return this._backends
--- a/src/routing/versionPreference.ts
+++ b/src/routing/versionPreference.ts
@@ -1,10 +1,10 @@
-/** Which of the boxes may serve while a configuration moves from one version to the next. Pure. */
+/** Selects the boxes that may serve a configuration while a rollout is in progress. Pure. */
 import type { Backend } from './backend.js';
 
-/** Part of the boxes that must have confirmed the new version before the others get no more work. */
+/** Share of the boxes that must have confirmed the activated rollout before the others get no more requests. */
 const CONFIRMED_QUORUM = 0.5;
 
-/** Returns the boxes on the activated rollout once enough have confirmed it, all serving boxes before. */
+/** Returns the boxes on the activated rollout once enough of them have confirmed it, otherwise all serving boxes. */
 export function preferVersion(
   backends: readonly Backend[],
   activatedRollout: string | undefined,
