--- a/src/serving/admittedRequest.ts
+++ b/src/serving/admittedRequest.ts
@@ -1,27 +1,27 @@
-/** A caller's request that may be sent to a backend server. */
+/** A caller's request after admission, ready to be forwarded to a backend server. */
 import type { CallerExchange } from './callerExchange.js';
 import type { RetryAllowance } from './retryAllowance.js';
 import type { Route } from './servingConfiguration.js';
 
-/** A request that has been admitted. */
+/** An admitted request. */
 export interface AdmittedRequest {
   exchange: CallerExchange;
   route: Route;
   service: string;
-  /** The model that the caller names, '' for none. */
+  /** The model named by the caller, '' for none. */
   model: string;
-  /** By what the same request is known when it comes again; worked out when it is first asked for. */
+  /** Identifies equal requests, including those sent again under another id. Computed on first use. */
   fingerprint: () => string;
   method: string;
   path: string;
-  /** Headers to pass on, without those that change from attempt to attempt. */
+  /** Headers to forward, as names and values in turn, without those that differ between attempts. */
   headers: string[];
   body: Buffer | undefined;
-  /** Size of the prompt, in usual prompts of the service; 1 when the caller does not tell it. */
+  /** Size of the prompt relative to the service's mean prompt; 1 when the caller does not give it. */
   promptSize: number;
-  /** The last event that the caller has seen, '' for none. */
+  /** Id of the last stream event that the caller has received, '' for none. */
   lastEventId: string;
   retries: RetryAllowance;
-  /** Monotonic milliseconds at which the caller or the operator no longer waits. */
+  /** Monotonic milliseconds of the request's deadline: the caller's or the route's, whichever comes first. */
   endsAt: number;
 }
--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -1,9 +1,9 @@
-/** What an answer of a backend server means, and when a missing one is given up. Pure. */
+/** Classifies answers of backend servers, and decides when to stop waiting for one. Pure. */
 import { MISDIRECTED_REQUEST } from './answerHead.js';
 import type { AnswerHeaders } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
 
-/** An answer that is not passed on before it is whole, as far as it has come. */
+/** The part of an answer received so far; it is forwarded only once it is complete. */
 export interface PartialAnswer {
   status: number;
   headers: AnswerHeaders;
@@ -12,17 +12,22 @@
 }
 
 /**
- * `not-run`: the server says so. `failed`: it ran and failed, and the caller may be told so. `unclear`: the caller
- * must not be told what the server said, since it would conclude what is not known.
+ * - `not-run`: the server says that it has not run the request.
+ * - `answered`: the answer is forwarded to the caller.
+ * - `failed`: the server ran the request and failed; the answer may be forwarded.
+ * - `unclear`: the answer must not be forwarded, since the caller could wrongly conclude from it that the request has
+ *   run, or that it has not.
  */
 export type AnswerClass = 'not-run' | 'answered' | 'failed' | 'unclear';
 
-/** Statuses that promise that a request has not run, which without a proof may not be passed on. */
+/**
+ * Statuses that imply that the request has not run; without the server's explicit statement they are not forwarded.
+ */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const SERVER_ERROR = 500;
 const REDIRECTION = 300;
 
-/** Judges a whole answer. */
+/** Classifies a complete answer. */
 export function classifyAnswer(status: number, headers: AnswerHeaders, names: HeaderNames): AnswerClass {
   if (headers[names.notRun] !== undefined || status === MISDIRECTED_REQUEST) return 'not-run';
   if (NOT_RUN_STATUSES.has(status)) return 'unclear';
@@ -31,49 +36,59 @@
   return isSuccess && headers[names.seal] === undefined ? 'unclear' : 'answered';
 }
 
-/** Whether the server has run the request to a success: it did not end by it. */
+/** Whether the server ran the request successfully, which shows that the request does not crash servers. */
 export function isSuccessfulRun(verdict: AnswerClass, status: number): boolean {
   return verdict === 'answered' && status < REDIRECTION;
 }
 
-/** First answer of a repeatable request, in parts of its objective, after which another server is tried. */
+/**
+ * A repeatable request without an answer is sent to another server after this multiple of its latency objective,
+ * but not before the minimum below.
+ */
 const TIMEOUT_OBJECTIVES = 2.5;
 const MIN_TIMEOUT_MILLISECONDS = 350;
-/** The same for the first event of a stream. */
+/** A stream that has not begun is sent to another server after this time. */
 const FIRST_EVENT_TIMEOUT_MILLISECONDS = 1_000;
-/** The same at a server that sends events to others: the prompt waits its turn, and would be read a second time elsewhere. */
+/**
+ * The same while the server is sending other streams: the prompt is queued there, and another server would have to
+ * read it from the start.
+ */
 const QUEUED_FIRST_EVENT_TIMEOUT_MILLISECONDS = 1_800;
-/** A server that was heard so lately is at work: a pass of its engine takes some 100 ms. */
+/** A server that has sent something within this time is active: one pass of its engine takes about 100 ms. */
 const ACTIVE_SERVER_MILLISECONDS = 300;
-/** Pause of a begun stream, or of a server that has streams to send, after which streams are resumed elsewhere. */
+/** Silence of a begun stream, or of all streams of a server, after which a stream is resumed on another server. */
 const MAX_STREAM_SILENCE_MILLISECONDS = 900;
 
 /**
- * Streams at a server that is about to take another version are handed over to others after a time from this range, so
- * that they do not all meet on the others at once. Most end by themselves before: their prompts need not be read again.
+ * Streams of a server that is about to switch versions are handed over after a random delay from this range, so
+ * that they do not all reach the other servers at once. Most streams end during the delay, and their prompts are
+ * not read again.
  */
 const MIN_HANDOVER_DELAY_MILLISECONDS = 500;
 const MAX_HANDOVER_DELAY_MILLISECONDS = 1_000;
 
-/** When a stream is handed over after its server has begun to switch; `fraction` is a random number from 0 up to 1. */
+/**
+ * Delay between the start of a server's switch and the handover of a stream. `fraction` is a random number in [0,
+ * 1).
+ */
 export function handoverDelay(fraction: number): number {
   const range = MAX_HANDOVER_DELAY_MILLISECONDS - MIN_HANDOVER_DELAY_MILLISECONDS;
   return MIN_HANDOVER_DELAY_MILLISECONDS + range * fraction;
 }
 
-/** How an attempt stands; times in milliseconds. */
+/** Progress of an attempt; times in milliseconds. */
 export interface AttemptProgress {
   /** Since the attempt began. */
   waited: number;
   objective: number;
-  /** Since the server sent anything for any stream. */
+  /** Since the server last sent bytes of any stream. */
   serverSilentFor: number;
   stream: boolean;
-  /** Since this stream's last bytes; undefined before its head. */
+  /** Since the last bytes of this stream; undefined before its head. */
   streamSilentFor: number | undefined;
 }
 
-/** Whether the attempt should be given up for another server. */
+/** Whether the attempt should be abandoned in favour of another server. */
 export function isStalled(attempt: AttemptProgress): boolean {
   if (!attempt.stream) {
     return attempt.waited > Math.max(MIN_TIMEOUT_MILLISECONDS, attempt.objective * TIMEOUT_OBJECTIVES);
--- a/src/serving/answerHead.ts
+++ b/src/serving/answerHead.ts
@@ -1,13 +1,15 @@
-/** Hands what the head of an answer says of its server on to what is known of that server. */
+/** Updates the state kept of a backend server from the status and headers of its answers. */
 import { readSignals } from '../backpressure/answerSignals.js';
 import type { AnswerHeaders } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Another server has the address, or the server holds another version. */
+/**
+ * Status by which a server says that the request is meant for another server, or for another version of the model.
+ */
 export const MISDIRECTED_REQUEST = 421;
 
-/** Notes the head of an answer of `server`; `model` is '' for requests without one. */
+/** Records status and headers of an answer of `server`. `model` is '' for requests without one. */
 export function recordAnswerHead(
   server: TrackedServer,
   status: number,
@@ -17,6 +19,6 @@
 ): void {
   const version = Number(headers[names.version]);
   if (model !== '' && version > 0) server.noteVersion(model, version);
-  // a misdirected request may have been answered by another server
+  // the answer to a misdirected request may come from another server
   if (status !== MISDIRECTED_REQUEST) server.backpressure.note(readSignals(status, headers, names));
 }
--- a/src/serving/answerReceiver.ts
+++ b/src/serving/answerReceiver.ts
@@ -1,10 +1,10 @@
-/** Takes the answer of an attempt as it comes: events of a stream are passed on, all else is kept until it is whole. */
+/** Receives the answer of an attempt: forwards events of a stream as they arrive, and buffers any other answer. */
 import type { PartialAnswer } from './answerClassification.js';
 import type { AnswerHeaders, BackendCall } from './backendCall.js';
 import type { CallerExchange } from './callerExchange.js';
 import type { StreamRelay } from './streamRelay.js';
 
-/** Largest answer of a request that is no stream, in bytes. */
+/** Size limit for buffered answers. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 const SUCCESS = 200;
 
@@ -14,35 +14,38 @@
   private _answer: PartialAnswer | undefined;
   private _isSealed = false;
 
-  /** `relay` passes the events on of a request that is a stream. */
+  /** `relay` forwards the events when the request is a stream. */
   constructor(exchange: CallerExchange, relay: StreamRelay | undefined) {
     this._exchange = exchange;
     this._relay = relay;
   }
 
-  /** The answer of the attempt under way as far as it has come; undefined before its head. */
+  /** The part of the current attempt's answer received so far; undefined before its head. */
   get answer(): PartialAnswer | undefined {
     return this._answer;
   }
 
-  /** Whether the events of the attempt under way are passed on as they come: never those without the proof of a server. */
+  /** Whether events of the current attempt are forwarded as they arrive; this requires the server's seal. */
   get isForwarding(): boolean {
     return this._relay?.begun === true && this._answer?.status === SUCCESS && this._isSealed;
   }
 
-  /** Another attempt begins. */
+  /** Discards the answer, before another attempt. */
   reset(): void {
     this._answer = undefined;
   }
 
-  /** Takes the head; `sealed` when it carries the proof of a server. */
+  /**
+   * Receives the head. `sealed` tells whether it carries a server's seal, the proof that the server ran the
+   * request.
+   */
   onHead(status: number, headers: AnswerHeaders, sealed: boolean): void {
     this._answer = { status, headers, body: [], length: 0 };
     this._isSealed = sealed;
     if (status === SUCCESS && sealed) this._relay?.begin(status, headers);
   }
 
-  /** Takes a part of the body; false when the answer is larger than any may be. */
+  /** Receives a part of the body. Returns false when a buffered answer exceeds the size limit. */
   onData(bytes: Buffer, call: BackendCall | undefined): boolean {
     const answer = this._answer;
     if (!answer) return true;
--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -1,43 +1,44 @@
-/** One attempt: a request sent to one backend server over one connection, and its answer as it comes. */
+/** One attempt: sends a request to a backend server over one connection and receives its answer. */
 import type { Dispatcher } from 'undici';
 import { errorCode, errorText } from '../utils/stepError.js';
 import type { BackendConnection } from './backendConnections.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** The request as the backend server gets it. */
+/** The request as sent to a backend server. */
 export interface BackendRequest {
   method: string;
   path: string;
-  /** Names and values in turn. */
+  /** Names and values, alternating. */
   headers: string[];
   body: Buffer | undefined;
-  /** Size of the prompt, in usual prompts of the service. */
+  /** Size of the prompt relative to the service's mean prompt. */
   promptSize: number;
 }
 
 /** Header values by lower-case name. */
 export type AnswerHeaders = Record<string, string | string[] | undefined>;
 
-/** Hears what comes of an attempt; after `onEnd` or `onFailed` nothing follows. */
+/** Receives the events of an attempt. `onEnd` or `onFailed` is the last one. */
 export interface BackendCallListener {
   onHead(status: number, headers: AnswerHeaders): void;
   onData(bytes: Buffer): void;
   onEnd(): void;
-  /** `sent` is false when it is certain that nothing reached the server. */
+  /** The attempt failed, before or within its answer. */
   onFailed(failure: CallFailure): void;
 }
 
-/** How an attempt failed. */
+/** Details of a failed attempt; they are written to the log under these names. */
 export interface CallFailure {
+  /** False when it is certain that nothing reached the server. */
   sent: boolean;
   reason: string;
-  /** Whether the connection broke off with the request at the server, and not by this process. */
+  /** Whether the connection was lost after the request had been sent, and was not closed by this process. */
   brokeOff?: boolean;
-  /** The status by which the server said that it has not run the request. */
+  /** Status of an answer by which the server said that it has not run the request. */
   rejectedWith?: number;
 }
 
-/** Why an attempt was given up by this process. */
+/** Why this process aborted an attempt. */
 export type AbortReason =
   'caller-gone' | 'time-over' | 'silent' | 'foreign-answer' | 'not-needed' | 'server-closed';
 
@@ -69,7 +70,7 @@
     this._listener = listener;
   }
 
-  /** Sends a request; undefined when the server's connections are all in use. */
+  /** Sends a request. Returns undefined when all connections to the server are in use. */
   static send(
     server: TrackedServer,
     request: BackendRequest,
@@ -91,7 +92,7 @@
     return this._sent;
   }
 
-  /** Stops reading until {@link BackendCall.resume}. */
+  /** Stops reading the answer until {@link BackendCall.resume} is called. */
   pause(): void {
     this._controller?.pause();
   }
@@ -100,7 +101,9 @@
     if (!this._ended) this._controller?.resume();
   }
 
-  /** Ends the attempt and resets its connection, so that the server stops working. The listener hears nothing more. */
+  /**
+   * Aborts the attempt and resets its connection, so that the server stops processing. The listener is not called.
+   */
   abort(reason: AbortReason): void {
     if (this._ended) return;
     this._aborted = reason;
@@ -115,7 +118,7 @@
     this._connection.client.dispatch(options, {
       onRequestStart: (controller) => {
         this._controller = controller;
-        // a connection takes a while to come up, and the server may have asked for a pause meanwhile
+        // while the connection was being established the server may have announced a pause or that it is leaving
         if (this.server.backpressure.isClosed) this._aborted ??= 'server-closed';
         if (this._aborted) controller.abort(new CallAborted(this._aborted));
         else this._sent = true;
--- a/src/serving/backendConnections.ts
+++ b/src/serving/backendConnections.ts
@@ -1,11 +1,11 @@
-/** The connections of this entry to one backend server: kept, few, and never more than its share. */
+/** Connection pool of this entry for one backend server, limited to the entry's share of the server's connections. */
 import type { Socket } from 'node:net';
 import { Client, buildConnector } from 'undici';
 import type { Clock } from '../utils/clock.js';
 
-/** How long an unused connection is kept when the server does not say. */
+/** How long an idle connection is kept when the server sends no keep-alive timeout. */
 const IDLE_MILLISECONDS = 3_500;
-/** How much earlier than the server says an unused connection is closed. */
+/** An idle connection is closed this much before the keep-alive timeout of the server. */
 const IDLE_MARGIN_MILLISECONDS = 1_200;
 const MAX_IDLE_MILLISECONDS = 60_000;
 
@@ -29,7 +29,8 @@
       keepAliveTimeoutThreshold: IDLE_MARGIN_MILLISECONDS,
       connect: (options, callback) =>
         connect(options, (...result) => {
-          // heard before the client hears it, which takes an answer without length as whole after a reset
+          // registered before the client's own listener, because the client reports an answer without a declared
+          // length as complete after a reset
           result[1]?.once('error', () => (this._broken = true));
           this._socket = result[1] ?? undefined;
           callback(...result);
@@ -38,30 +39,31 @@
   }
 
   /**
-   * Ends the connection with a reset. An ordinary close stands behind the request in the stream: a server that was cut
-   * off would still get the request once it can be reached again. What has reached a frozen box is not taken back by it.
+   * Resets the connection. A regular close would be queued behind the request, so that a server behind a network
+   * partition would still receive the request once the partition ends. Data that has already reached the box of a
+   * frozen server is still delivered to it.
    */
   reset(): void {
     this._socket?.resetAndDestroy();
   }
 
-  /** Whether the connection ended with an error, so that an answer that ended with it is not whole. */
+  /** Whether the connection ended with an error, in which case an answer that ended with it is incomplete. */
   get broken(): boolean {
     return this._broken;
   }
 }
 
-/** How connections are opened and kept. */
+/** Options of a connection pool. */
 export interface ConnectionOptions {
   /** host:port. */
   address: string;
   connectMilliseconds: number;
   clock: Clock;
-  /** Most connections now; the share changes with the number of entries. */
+  /** Returns the current maximum of connections; it changes with the number of entries. */
   limit: () => number;
 }
 
-/** Lends connections, the most recently used one first. Each carries one request at a time. */
+/** Pool of connections; the most recently used idle connection is reused first. */
 export class BackendConnections {
   private readonly _options: ConnectionOptions;
   private readonly _idle: BackendConnection[] = [];
@@ -72,12 +74,12 @@
     this._options = options;
   }
 
-  /** Whether a request could be sent now. */
+  /** Whether a connection is idle or may be opened. */
   get available(): boolean {
     return this._idle.length > 0 || this._all.size < this._options.limit();
   }
 
-  /** An unused connection, or a new one within the limit. */
+  /** Returns an idle connection, or opens one within the limit. */
   acquire(): BackendConnection | undefined {
     const idle = this._idle.pop();
     if (idle) return idle;
@@ -87,22 +89,22 @@
     return connection;
   }
 
-  /** Takes a connection back; one that must not be used again is closed. */
+  /** Returns a connection to the pool, or closes it when it is not reusable. */
   release(connection: BackendConnection, reusable: boolean): void {
     const isUsable = reusable && !connection.broken && !this._closed;
     if (isUsable && this._all.has(connection)) this._idle.push(connection);
     else this._discard(connection);
   }
 
-  /** Closes unused connections now and the others as they come back. */
+  /** Closes idle connections now and the others once they are released. */
   close(): void {
     this._closed = true;
     for (const connection of [...this._idle]) this._discard(connection);
   }
 
   /**
-   * Closes unused connections, and ends the requests on those that were opened before `time`, in monotonic milliseconds: who
-   * answered there has ended.
+   * Closes idle connections, and resets those opened before `time`, in monotonic milliseconds: the server process
+   * at their other end no longer exists.
    */
   resetOpenedBefore(time: number): void {
     this.close();
--- a/src/serving/callerDrain.ts
+++ b/src/serving/callerDrain.ts
@@ -1,31 +1,34 @@
-/** How a leaving entry lets go of its callers. */
+/** Drains the callers of an entry that is shutting down. */
 import type { Clock } from '../utils/clock.js';
 import { pause } from '../utils/timers.js';
 
-/** What a leaving entry is to its drain. */
+/** The parts of an entry that a drain needs. */
 export interface DrainingEntry {
   clock: Clock;
-  /** Time for all of it, in milliseconds. */
+  /** Total time for the drain. */
   drainMilliseconds: number;
-  /** Requests that have been admitted and have not ended. */
+  /** Number of admitted requests that have not ended. */
   running: () => number;
   stopListening: () => Promise<void>;
 }
 
-/** How long a leaving entry takes new connections: callers may keep its address for three times as long as told. */
+/**
+ * Share of the drain time for which new connections are accepted, since callers may use the address of the entry
+ * for up to three times the advertised time.
+ */
 const LISTEN_SHARE = 0.72;
-/** Part of the time after which all connections are closed. */
+/** Share of the drain time after which all connections are closed. */
 const CLOSE_SHARE = 0.95;
 const POLL_MILLISECONDS = 50;
-/** Within this time after a connection is opened its first request comes, also where either side is slow to run. */
+/** Allowance for the first request on a connection that was accepted last, also when either process is slow. */
 const FIRST_REQUEST_MILLISECONDS = 200;
 
-/** When a drain that begins now ends at the latest, in monotonic milliseconds. */
+/** Latest end of a drain that begins now, in monotonic milliseconds. */
 export function drainDeadline({ clock, drainMilliseconds }: DrainingEntry): number {
   return clock.now() + drainMilliseconds * CLOSE_SHARE;
 }
 
-/** Takes connections for most of the time, then lets requests in flight end. */
+/** Accepts connections for most of the drain time, then waits for the running requests to end. */
 export async function drainCallers(entry: DrainingEntry): Promise<void> {
   const { clock, drainMilliseconds, running, stopListening } = entry;
   const endsAt = drainDeadline(entry);
--- a/src/serving/callerExchange.ts
+++ b/src/serving/callerExchange.ts
@@ -1,7 +1,7 @@
-/** One caller's request as it came, and the answer to it: whatever happens, exactly one. */
+/** A caller's request and its answer. Ensures that exactly one answer is sent. */
 import type http from 'node:http';
 
-/** Statuses by which this process answers for itself. */
+/** Statuses of answers that this process gives itself instead of forwarding a server's answer. */
 export const OWN_STATUS = {
   badRequest: 400,
   unauthorized: 401,
@@ -12,7 +12,7 @@
   timeOut: 504,
 } as const;
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which are not forwarded. */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -25,7 +25,7 @@
   'content-length',
 ]);
 
-/** Writes the answer of a request. */
+/** Writes the answer to a caller's request. */
 export class CallerExchange {
   readonly request: http.IncomingMessage;
   readonly requestId: string;
@@ -46,7 +46,7 @@
     this._isLeaving = isLeaving;
   }
 
-  /** Whether the caller has been sent a status already. */
+  /** Whether the status and headers have been sent to the caller. */
   get headersSent(): boolean {
     return this._response.headersSent;
   }
@@ -55,14 +55,14 @@
     return this._response.writableEnded || this._response.destroyed;
   }
 
-  /** Calls `listener` when the caller leaves before the answer has ended. */
+  /** Calls `listener` when the caller disconnects before the answer is complete. */
   onCallerDisconnect(listener: () => void): void {
     this._response.once('close', () => {
       if (!this._response.writableFinished) listener();
     });
   }
 
-  /** Answers for this process itself. `retryAfterMilliseconds` says when to come back. */
+  /** Sends an error answer of this process. `retryAfterMilliseconds` becomes the `Retry-After` header. */
   refuse(status: number, reason: string, retryAfterMilliseconds?: number): void {
     if (this.headersSent || this.ended) return this.abort();
     const text = JSON.stringify({ error: reason });
@@ -74,7 +74,7 @@
     this._response.end(text);
   }
 
-  /** Passes a whole answer of a backend server on. */
+  /** Forwards a complete answer of a backend server. */
   answer(status: number, headers: http.IncomingHttpHeaders, body: Buffer): void {
     if (this.headersSent || this.ended) return this.abort();
     this._copyHeaders(headers);
@@ -84,7 +84,7 @@
     this._response.end(hasBody ? body : undefined);
   }
 
-  /** Begins an answer whose length is not known yet. */
+  /** Sends the head of an answer whose length is not known yet. */
   begin(status: number, headers: http.IncomingHttpHeaders): void {
     if (this.headersSent || this.ended) return;
     this._copyHeaders(headers);
@@ -93,7 +93,7 @@
     this._response.flushHeaders();
   }
 
-  /** Sends a part of an answer that was begun; false when the caller reads too slowly. */
+  /** Sends a part of the body. Returns false when the caller reads too slowly and the part was buffered. */
   write(bytes: Buffer): boolean {
     return this.ended || this._response.write(bytes);
   }
@@ -102,19 +102,20 @@
     this._response.once('drain', listener);
   }
 
-  /** Ends an answer that was begun, as whole. */
+  /** Completes an answer. */
   end(): void {
     if (!this.ended) this._response.end();
   }
 
-  /** Closes the caller's connection, so that the answer cannot look whole. */
+  /** Closes the caller's connection, so that an incomplete answer cannot be taken for a complete one. */
   abort(): void {
     this._response.destroy();
   }
 
   /**
-   * An answer that says nothing of its length ends with its connection, and nobody can tell whether it is whole: it must
-   * not be passed on as one of known length. Returns whether the length is known.
+   * Keeps the framing of the server's answer. An answer with neither a length nor chunked encoding ends when its
+   * connection closes, so that a truncated one cannot be detected; it must not be forwarded with a known length.
+   * Returns whether the answer had a length or chunked encoding.
    */
   private _copyFraming(headers: http.IncomingHttpHeaders): boolean {
     const framed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
@@ -138,7 +139,10 @@
   }
 }
 
-/** The headers of a request that are passed on: names and values in turn, without those that `drop` names. */
+/**
+ * Returns the headers of a request to forward, names and values in turn, without hop-by-hop ones and those in
+ * `drop`.
+ */
 export function forwardedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
   const connectionNamed = new Set(
     String(request.headers.connection ?? '')
--- a/src/serving/callerServer.ts
+++ b/src/serving/callerServer.ts
@@ -9,7 +9,7 @@
 export type RequestListener = (request: http.IncomingMessage, response: http.ServerResponse) => void;
 
 const MAX_HEADER_BYTES = 64 * 1024;
-/** How much longer than the limit says an unused connection is kept, so that a request never meets its end. */
+/** Idle connections are kept this much longer than announced, so that a request does not race with their closing. */
 const IDLE_MARGIN_MILLISECONDS = 2_000;
 const DEFAULT_IDLE_MILLISECONDS = 60_000;
 const BAD_REQUEST_ANSWER = 'HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n';
@@ -30,7 +30,7 @@
     });
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   get connections(): number {
     return this._sockets.size;
   }
@@ -39,19 +39,19 @@
     return await listenHttp(this._server, address, port);
   }
 
-  /** Follows the operator's limits. */
+  /** Applies the operator's limits. */
   applyLimits(limits: CallerLimits): void {
     this._server.keepAliveTimeout = limits.idleMilliseconds + IDLE_MARGIN_MILLISECONDS;
   }
 
-  /** Takes no new connections and closes kept ones that carry no request; one just opened can still bring its first. */
+  /** Stops accepting connections and closes idle ones; a connection just opened may still send its first request. */
   async stopListening(): Promise<void> {
-    // the loop accepts all that has come just before this, so that the system resets no connection that waits for it
+    // lets the event loop accept pending connections first; the system would reset them when the socket is closed
     await afterPoll();
     this._server.close();
   }
 
-  /** Closes everything. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this._server.close();
     this._server.closeAllConnections();
--- a/src/serving/currentAttempt.ts
+++ b/src/serving/currentAttempt.ts
@@ -1,4 +1,4 @@
-/** The attempt under way of a request: its call, and how long it has waited. */
+/** The current attempt of a request: its call and its start time. */
 import type { Clock } from '../utils/clock.js';
 import type { AbortReason, BackendCallListener, BackendRequest } from './backendCall.js';
 import { BackendCall } from './backendCall.js';
@@ -11,13 +11,13 @@
   private _call: BackendCall | undefined;
   private _startedAt = 0;
 
-  /** `relay` passes the events on of a request that is a stream. */
+  /** `relay` forwards the events when the request is a stream. */
   constructor(clock: Clock, relay: StreamRelay | undefined) {
     this._clock = clock;
     this._relay = relay;
   }
 
-  /** Undefined while the request is at no server. */
+  /** The call of the current attempt; undefined when there is none. */
   get call(): BackendCall | undefined {
     return this._call;
   }
@@ -27,7 +27,7 @@
     return this._clock.now() - this._startedAt;
   }
 
-  /** Sends the request; false when the server's connections are all in use. */
+  /** Sends the request. Returns false when all connections to the server are in use. */
   send(server: TrackedServer, request: BackendRequest, listener: BackendCallListener): boolean {
     this._startedAt = this._clock.now();
     const call = BackendCall.send(server, request, listener);
@@ -37,13 +37,13 @@
     return true;
   }
 
-  /** Goes on with a call that began at `startedAt` beside the one before. */
+  /** Makes a call that a handover began at `startedAt` the current attempt. */
   adopt(call: BackendCall, startedAt: number): void {
     this._call = call;
     this._startedAt = startedAt;
   }
 
-  /** The call at `server` has ended; an event that it broke off is dropped. */
+  /** Clears the attempt after its call to `server` has ended, and drops an event that was received only in part. */
   clear(server: TrackedServer): void {
     if (!this._call) return;
     this._call = undefined;
@@ -51,7 +51,7 @@
     this._relay?.dropPartialEvent();
   }
 
-  /** Ends the attempt, if there is one. */
+  /** Aborts the attempt, if there is one. */
   abort(reason: AbortReason): void {
     const call = this._call;
     if (call) this.clear(call.server);
--- a/src/serving/eventSplitter.ts
+++ b/src/serving/eventSplitter.ts
@@ -1,20 +1,20 @@
-/** Cuts a `text/event-stream` body into whole events. */
+/** Splits a `text/event-stream` body into complete events. */
 
-/** One event with its terminating blank line. */
+/** An event, including its terminating blank line. */
 export interface StreamEvent {
   bytes: Buffer;
-  /** Its `id` field; undefined when it has none. */
+  /** The `id` field of the event, undefined for none. */
   id: string | undefined;
 }
 
 const NEWLINE = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Keeps the bytes of an event that has not ended. */
+/** Buffers the bytes of an incomplete event. */
 export class EventSplitter {
   private _rest: Buffer = Buffer.alloc(0);
 
-  /** Takes bytes and returns the events that they complete. */
+  /** Adds bytes and returns the events that they complete. */
   push(bytes: Buffer): StreamEvent[] {
     this._rest = this._rest.length === 0 ? bytes : Buffer.concat([this._rest, bytes]);
     const events: StreamEvent[] = [];
@@ -28,13 +28,13 @@
     return events;
   }
 
-  /** Bytes of an event that has not ended. */
+  /** Bytes of the incomplete event. */
   get rest(): Buffer {
     return this._rest;
   }
 }
 
-/** Length of the first event with its blank line, or 0. */
+/** Length of the first complete event with its blank line, or 0. */
 function endOfEvent(bytes: Buffer): number {
   let lineStart = 0;
   for (let newline = bytes.indexOf(NEWLINE); newline >= 0; newline = bytes.indexOf(NEWLINE, newline + 1)) {
