--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -68,8 +68,8 @@
 const MAX_HANDOVER_DELAY_MILLISECONDS = 1_000;
 
 /**
- * Delay between the start of a server's switch and the handover of a stream. `fraction` is a random number in [0,
- * 1).
+ * Delay between the start of a server's switch and the handover of a stream. `fraction` is a random number from 0 up
+ * to 1.
  */
 export function handoverDelay(fraction: number): number {
   const range = MAX_HANDOVER_DELAY_MILLISECONDS - MIN_HANDOVER_DELAY_MILLISECONDS;
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -1,4 +1,4 @@
-/** Carries one admitted request to backend servers until it has an answer. */
+/** Forwards an admitted request to backend servers until it has an answer. */
 import type { AnswerHeaders, BackendCallListener, CallFailure } from './backendCall.js';
 import { RequestTurn } from '../crashes/requestTurn.js';
 import { SharedInterval } from '../utils/sharedInterval.js';
@@ -21,7 +21,7 @@
 import { StreamRelay } from './streamRelay.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** How often a request looks at its server, or for one that it waits for: several times within the shortest patience. */
+/** Interval at which a request checks its server, or looks for one; a fraction of the shortest attempt timeout. */
 const WATCH_INTERVAL_MILLISECONDS = 50;
 const watchInterval = new SharedInterval(WATCH_INTERVAL_MILLISECONDS);
 
@@ -38,11 +38,11 @@
   private readonly _handoverDelay: number;
   private readonly _final: FinalAnswer;
   private readonly _done: () => void;
-  /** Why there was no next attempt when one was last wanted; undefined while there is one. */
+  /** Why no further attempt could be made when one was last needed; undefined during an attempt. */
   private _noAttempt: NoAttemptReason | undefined;
-  /** Whether a stream that has begun waits until it can go on elsewhere. */
+  /** Whether a stream that has begun is waiting to be resumed on another server. */
   private _isWaiting = false;
-  /** Whether the request may have run somewhere. */
+  /** Whether the request may have run on any server. */
   private _mayHaveRun = false;
   private _timeout: NodeJS.Timeout | undefined;
   private _stopWatching: () => void = () => undefined;
@@ -74,12 +74,13 @@
     if (exchange.ended) return this._onCallerDisconnect();
     exchange.onCallerDisconnect(() => this._onCallerDisconnect());
     this._timeout = setTimeout(() => this._onTimeout(), Math.max(0, this._attempts.remainingMilliseconds));
-    // a stream shows by its head that it has begun; other requests that may run once are left to end where they are
+    // the head of a stream shows that it has begun; any other non-repeatable request stays at its server until it
+    // ends
     if (this._attempts.repeatable || this._relay) this._stopWatching = watchInterval.add(() => this._watch());
     this._attempt();
   }
 
-  /** Sends the request to the best server there is. */
+  /** Sends the request to the best available server. */
   private _attempt(): void {
     if (this._final.isFinal) return;
     if (!this._turn.isFree) return void this._awaitTurn();
@@ -92,7 +93,7 @@
     else this._giveUp('all busy');
   }
 
-  /** The same request is suspected of ending its servers: it runs once at a time, if at all. */
+  /** Waits for permission to run: copies of a request suspected of crashing servers run one at a time, if at all. */
   private async _awaitTurn(): Promise<void> {
     if (this._turn.isAwaited) return;
     const outcome = await this._turn.take();
@@ -128,7 +129,7 @@
     if (!this._received.onData(bytes, this._current.call)) this._onForeignAnswer(this._current.call!.server);
   }
 
-  /** The answer is for another request: nothing of this connection can be trusted. */
+  /** Handles an answer that belongs to another request: nothing received over this connection can be trusted. */
   private _onForeignAnswer(server: TrackedServer): void {
     this._current.abort('foreign-answer');
     this._afterFailure(server, { sent: true, reason: 'foreign-answer' });
@@ -145,7 +146,7 @@
     this._onWholeAnswer(server, answer);
   }
 
-  /** Acts on what a whole answer means. */
+  /** Classifies a complete answer, and forwards it or retries. */
   private _onWholeAnswer(server: TrackedServer, answer: PartialAnswer): void {
     const { status, headers } = answer;
     const kind = classifyAnswer(status, headers, this._context.names);
@@ -159,7 +160,7 @@
     this._final.forward(server, status, headers, Buffer.concat(answer.body));
   }
 
-  /** The server says that the request has not run. */
+  /** Handles an answer by which the server says that the request has not run. */
   private _onRejected(server: TrackedServer, status: number): void {
     this._noteRejected(server, status);
     if (!this._continueElsewhere()) this._giveUp(this._noAttempt!);
@@ -182,7 +183,7 @@
     else this._continueAfter(failure);
   }
 
-  /** The connection broke off: if with the server, whoever sends the request next has to know. */
+  /** Handles a lost connection. If the server has crashed, this is recorded before the request is sent anywhere else. */
   private async _afterDisconnect(server: TrackedServer, failure: CallFailure): Promise<void> {
     if (await this._turn.afterBreak(server.record)) server.health.noteUnreachable();
     const hasContinued = this._current.call !== undefined || this._handover.isUnderWay;
@@ -194,7 +195,7 @@
     this._final.fail(this._relay?.begun === true, failure.reason);
   }
 
-  /** Nothing reached the server, so that the attempt does not count. */
+  /** Handles an attempt of which nothing reached the server; such an attempt is not counted. */
   private _afterUnreachable(server: TrackedServer): void {
     server.health.noteUnreachable();
     const refused = this._attempts.noteUnreachable(server);
@@ -202,7 +203,7 @@
     else this._attempt();
   }
 
-  /** Goes on with the handover under way, with another attempt or by waiting for one; false when there can be none. */
+  /** Continues with the handover in progress, a new attempt or a wait. Returns false if none of these is possible. */
   private _continueElsewhere(): boolean {
     if (this._handover.isUnderWay || this._final.isFinal) return true;
     this._noAttempt = this._takeRetry();
@@ -211,7 +212,7 @@
     return true;
   }
 
-  /** Lets a stream that has begun wait for what is missing, and holds nothing meanwhile; false when it is not to wait. */
+  /** Makes a begun stream wait, without a connection, if the reason is transient. Returns whether it waits. */
   private _waitIfTransient(reason: NoAttemptReason): boolean {
     this._isWaiting = this._relay?.begun === true && this._attempts.repeatable && isTransient(reason);
     if (this._isWaiting) this._trace.waiting(reason);
@@ -223,14 +224,14 @@
     if (!this._continueElsewhere()) this._giveUp(this._noAttempt!);
   }
 
-  /** Takes permission for one more attempt; returns why there is none. */
+  /** Requests permission for another attempt. Returns the reason when it is denied. */
   private _takeRetry(): NoAttemptReason | undefined {
     const refused = this._attempts.takeRetry();
     if (!refused) this._trace.retried();
     return refused;
   }
 
-  /** Looks whether the server is silent for too long, or is about to take another version. */
+  /** Checks whether the server has stalled, is about to switch versions, or may begin the request too late. */
   private _watch(): void {
     if (this._isWaiting) return this._tryAgain();
     const { call } = this._current;
@@ -243,7 +244,7 @@
       this._handover.begin(call.server, this._relay.lastEventId);
   }
 
-  /** No request may begin on an older version after the bound, whatever else is known of it. */
+  /** Takes the request back from its server, since no request may begin on an older version after the bound. */
   private _takeBack({ server, sent }: BackendCall): void {
     this._trace.takenBack(server);
     this._current.abort('not-needed');
@@ -267,7 +268,7 @@
     this._attempt();
   }
 
-  /** The other server has sent an event: lets the first one go and follows the other. */
+  /** Completes a handover: the other server has sent an event, so the call to the first server is aborted. */
   private _onHandoverReady(call: BackendCall, startedAt: number): void {
     const { call: former, elapsedMilliseconds: waited } = this._current;
     if (former) this._trace.attemptFailed(former.server, { sent: true, reason: 'switching' }, waited);
--- a/src/serving/forwardingContext.ts
+++ b/src/serving/forwardingContext.ts
@@ -1,4 +1,4 @@
-/** What all requests of a gateway share. */
+/** Dependencies shared by all requests of a gateway. */
 import type { Suspicions } from '../crashes/suspicions.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { ServingMetrics } from '../telemetry/servingMetrics.js';
--- a/src/serving/headerNames.ts
+++ b/src/serving/headerNames.ts
@@ -1,27 +1,27 @@
 import type { SignalNames } from '../backpressure/answerSignals.js';
 
-/** The names that request and answer headers have towards callers and backend servers. All in lower case. */
+/** Names of the request and answer headers exchanged with callers and backend servers. All in lower case. */
 export interface HeaderNames extends SignalNames {
   requestId: string;
   deadline: string;
   lastEventId: string;
-  /** Which life of a backend server a request is meant for. */
+  /** On a request: id of the backend server process it is meant for. */
   expectedServer: string;
-  /** The customer, as told to backend servers. */
+  /** On a request to a backend server: name of the customer. */
   customer: string;
-  /** On an answer: the request has not run. */
+  /** On an answer: states that the request has not run. */
   notRun: string;
-  /** On an answer: proof of the backend server that ran the request. */
+  /** On an answer: proof that a backend server ran the request. */
   seal: string;
   priority: string;
   expectedVersion: string;
   version: string;
   model: string;
-  /** Tokens of the prompt, and the most that may come out, separated by a comma. */
+  /** On a request: number of prompt tokens and maximum number of output tokens, separated by a comma. */
   tokens: string;
 }
 
-/** Names of the product's own interface. */
+/** Header names of the product's own API. */
 export const OWN_HEADER_NAMES: HeaderNames = {
   requestId: 'larklatch-request-id',
   deadline: 'larklatch-deadline-milliseconds',
--- a/src/serving/noAttemptReason.ts
+++ b/src/serving/noAttemptReason.ts
@@ -1,16 +1,16 @@
-/** Why a request is not sent to another server now. */
+/** Reasons for which a request is not sent to another server at the moment. */
 import type { ServerFound } from './serverPool.js';
 
 /**
- * - `attempts used`: as many servers as its route allows may have run it.
- * - `retry budget`: the share of retries is used up.
- * - `asked just now`: one has just said that it has not run it.
- * - `no server`: none is left to ask.
- * - `all busy`: none has room.
- * - `old version`: none is of a version on which it may begin.
- * - `servers at limit`: none takes one more from this entry now.
- * - `time`: too little is left for another attempt.
- * - `ends servers`: the same request has ended several servers, and runs no more.
+ * - `attempts used`: the maximum number of attempts of its route has been made.
+ * - `retry budget`: this entry's share of the retries is used up.
+ * - `asked just now`: a server has just said that it has not run the request.
+ * - `no server`: no server is left to try.
+ * - `all busy`: no server has capacity.
+ * - `old version`: no server has a version on which the request may still begin.
+ * - `servers at limit`: all servers are at the request rate that they accept from this entry.
+ * - `time`: too little time is left for another attempt.
+ * - `ends servers`: the same request has crashed several servers and is no longer run.
  */
 export type NoAttemptReason =
   | 'attempts used'
@@ -23,7 +23,7 @@
   | 'time'
   | 'ends servers';
 
-/** What may change while a caller waits. */
+/** Reasons that may cease to apply while the caller waits. */
 const TRANSIENT_REASONS: ReadonlySet<NoAttemptReason> = new Set([
   'retry budget',
   'asked just now',
@@ -39,12 +39,12 @@
   'at-limit': 'servers at limit',
 } as const;
 
-/** The same for a choice that found no server; undefined when it found one. */
+/** Returns the reason for which no server was found, undefined when one was found. */
 export function noAttemptReasonOf(found: ServerFound): NoAttemptReason | undefined {
   return found.kind === 'none' ? REASON_BY_CHOICE[found.reason] : undefined;
 }
 
-/** Whether it is worth waiting for another attempt. */
+/** Whether another attempt may become possible by waiting. */
 export function isTransient(reason: NoAttemptReason): boolean {
   return TRANSIENT_REASONS.has(reason);
 }
--- a/src/serving/outgoingRequest.ts
+++ b/src/serving/outgoingRequest.ts
@@ -1,21 +1,21 @@
-/** Builds the request that one backend server gets from a caller's request. */
+/** Builds the request sent to a backend server from a caller's request. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendRequest } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** What changes from attempt to attempt. */
+/** The parameters that differ between attempts. */
 export interface AttemptParameters {
   server: TrackedServer;
-  /** Milliseconds that are left for the attempt. */
+  /** Milliseconds until the request's deadline. */
   remainingMilliseconds: number;
-  /** The last event that the caller has been sent, '' for none. */
+  /** Id of the last event sent to the caller, '' for none. */
   lastEventId: string;
-  /** The newest version of the request's model, 0 when none is known. */
+  /** The newest known version of the request's model, 0 for none. */
   newestVersion: number;
 }
 
-/** The caller's request with the headers of this attempt. */
+/** Adds the headers of the attempt to the caller's request. */
 export function outgoingRequest(
   request: AdmittedRequest,
   names: HeaderNames,
@@ -27,7 +27,8 @@
   own.push(names.expectedServer, server.record.id);
   if (lastEventId !== '') own.push(names.lastEventId, lastEventId);
   const version = server.version(model);
-  // a server that has taken a newer version meanwhile rejects the request, so that its load is known to be another
+  // a server that has switched to a newer version meanwhile rejects the request, which tells this entry that its view
+  // of the server is out of date
   if (model !== '' && newestVersion > version) own.push(names.expectedVersion, String(version));
   return { method, path, headers: [...headers, ...own], body, promptSize: prompts };
 }
--- a/src/serving/promptSize.ts
+++ b/src/serving/promptSize.ts
@@ -1,9 +1,12 @@
-/** How large a prompt is, as far as the time to read it is concerned. Pure. */
+/** Estimates the size of a prompt, which determines how long a server takes to read it. Pure. */
 
-/** The size where nothing is told, in usual prompts. */
+/** Size of a prompt whose number of tokens is unknown. */
 const DEFAULT_SIZE = 1;
 
-/** Size in usual prompts, of `usualTokens` each; `told` holds the tokens of the prompt before a comma. */
+/**
+ * Returns the size relative to `usualTokens`. The value of the tokens header begins with the number of prompt
+ * tokens.
+ */
 export function promptSize(tokensHeader: string | string[] | undefined, usualTokens: number): number {
   const tokens = Number.parseInt(String(tokensHeader ?? ''), 10);
   if (!(tokens > 0) || usualTokens <= 0) return DEFAULT_SIZE;
--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -1,4 +1,4 @@
-/** Looks a caller's request up in the configuration and admits it or answers it. */
+/** Checks a caller's request against the configuration, and either admits it or answers it. */
 import type http from 'node:http';
 import { requestFingerprint } from '../crashes/requestFingerprint.js';
 import type { EventLog } from '../telemetry/eventLog.js';
@@ -16,7 +16,7 @@
 import type { RouteIndex } from './routeIndex.js';
 import type { CustomerKeys, Route } from './servingConfiguration.js';
 
-/** What admission works with. */
+/** Options of the admission. */
 export interface AdmissionOptions {
   names: HeaderNames;
   configuration: ConfigurationHolder;
@@ -24,17 +24,17 @@
   random: Random;
   log: EventLog;
   retryBound: RetryBound;
-  /** Whether no process before this one can have used this entry's share of the retries. */
+  /** Whether no earlier process of this entry can have used its share of the retries. */
   isFirstStart: boolean;
   entries: () => number;
   isLeaving: () => boolean;
-  /** Milliseconds until a leaving entry closes all connections; infinite while it stays. */
+  /** Milliseconds until a draining entry closes all connections; infinite while it is not draining. */
   closesIn: () => number;
-  /** Whether the configuration can be trusted to be the newest. */
+  /** Whether the configuration is known to be the newest. */
   isCurrent: () => boolean;
 }
 
-/** A refusal that comes from the configuration. */
+/** A refusal because of the configuration: an unknown route or API key. */
 interface Denial {
   status: number;
   reason: string;
@@ -42,9 +42,9 @@
 
 const RETRY_AFTER_STALE_MILLISECONDS = 400;
 const MAX_REQUEST_MILLISECONDS = 3_600_000;
-/** Longest time that a request usually takes. A leaving entry takes only what ends before it does. */
+/** Upper bound of a typical request's duration; a draining entry admits only requests that will end in time. */
 const TYPICAL_MILLISECONDS = 3_200;
-/** Another entry takes the request at once. */
+/** Retry delay when this entry is draining: another entry can take the request immediately. */
 const RETRY_AFTER_LEAVING_MILLISECONDS = 10;
 
 export class RequestAdmission {
@@ -68,7 +68,7 @@
     ]);
   }
 
-  /** Returns the admitted request, or undefined when it has been answered. */
+  /** Returns the admitted request, or undefined when the request has been answered here. */
   async admit(
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -156,12 +156,12 @@
     };
   }
 
-  /** Mean tokens of a prompt to a service, 0 where it has none. */
+  /** Mean number of tokens of a prompt to a service, 0 when unknown. */
   private _usualPromptTokens(service: string): number {
     return this._options.configuration.index?.service(service)?.engine?.usualPromptTokens ?? 0;
   }
 
-  /** The longest time that a request may take, in milliseconds. */
+  /** Maximum duration of a request: the caller's deadline, limited by the route's timeout. */
   private _timeout(request: http.IncomingMessage, route: Route): number {
     const requested = Number(request.headers[this._options.names.deadline] ?? MAX_REQUEST_MILLISECONDS);
     return Math.min(requested || MAX_REQUEST_MILLISECONDS, route.timeoutMilliseconds);
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -1,4 +1,4 @@
-/** Where a request has been sent, and whether and where it may be sent next. */
+/** Tracks the servers that a request has been sent to, and decides whether and where to send it next. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendRequest } from './backendCall.js';
 import type { ForwardingContext } from './forwardingContext.js';
@@ -10,15 +10,15 @@
 import { HANDOVER_TIMEOUT_MILLISECONDS } from './streamHandover.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Least time that is worth another attempt. */
+/** An attempt is not worth starting with less time than this left. */
 const MIN_ATTEMPT_MILLISECONDS = 40;
-/** Connections that cannot be opened cost no attempt, but there is an end to them. */
+/** Limit on servers that could not be reached, since these do not count as attempts. */
 const MAX_UNREACHABLE = 4;
-/** Time after which a server that has not run a begun stream is asked again: until then choices avoid it (serverHealth). */
+/** A server that has not run a begun stream is tried again after this time; serverHealth avoids it until then. */
 const SAME_SERVER_RETRY_MILLISECONDS = 150;
 /**
- * Least time between the sends of a begun stream beyond those that its route allows at once: places come free every few
- * milliseconds, but each send takes a retry from all others.
+ * Minimum interval between sends of a begun stream beyond the attempts of its route. Servers get free slots every few
+ * milliseconds, but each send uses a retry that other requests could have had.
  */
 const MIN_RESEND_INTERVAL_MILLISECONDS = 100;
 
@@ -27,24 +27,24 @@
   private readonly _request: AdmittedRequest;
   private readonly _hasBegun: () => boolean;
   private readonly _tried = new Set<string>();
-  /** When servers were last tried that have not run the request. */
+  /** By id of servers that have not run the request: when they last said so, or could not be reached. */
   private readonly _notRunAt = new Map<string, number>();
   private _lastNotRunAt = Number.NEGATIVE_INFINITY;
   private _count = 0;
-  /** Those of the sends that a server says it has not run. */
+  /** Number of sends after which the server said that it has not run the request. */
   private _notRunCount = 0;
   private _unreachableCount = 0;
-  /** For how long no server took the request when one was last sought. */
+  /** Milliseconds until a server is expected to take the request, as of the last search. */
   private _waitMilliseconds = 0;
 
-  /** `hasBegun` tells whether the caller has a part of the answer. */
+  /** `hasBegun` tells whether a part of the answer has been sent to the caller. */
   constructor(context: ForwardingContext, request: AdmittedRequest, hasBegun: () => boolean = () => false) {
     this._hasBegun = hasBegun;
     this._context = context;
     this._request = request;
   }
 
-  /** Servers that the request has been sent to. */
+  /** Number of sends, without those that did not reach a server. */
   get count(): number {
     return this._count;
   }
@@ -55,20 +55,21 @@
     return kind === 'repeatable' || (kind === 'stream' && resumable);
   }
 
-  /** Milliseconds until the caller or the operator no longer waits. */
+  /** Milliseconds until the request's deadline. */
   get remainingMilliseconds(): number {
     return this._request.endsAt - this._context.clock.now();
   }
 
   /**
-   * The best server that has not been tried; `isHandover` while the request runs on another one. An answer that has begun is
-   * asked for no first answer in time any more, and may be sent again to a server that has not run it.
+   * Finds the best server that has not been tried. `isHandover` tells that the request is still running on another
+   * server. Once its answer has begun, a request no longer needs its first answer within the latency objective, and
+   * may be sent again to a server that has not run it.
    */
   find(isHandover = false): ServerFound {
     const { service, model } = this._request;
     const { gate, pool } = this._context;
     const preferredVersion = gate.preferred(model);
-    // what is handed over late to a server of an older version would have to move again, and may begin there too late
+    // a stream handed over to an older version close to the bound would have to move again, and might begin too late
     const lowestForHandover = isHandover ? preferredVersion : 0;
     const found = pool.find({
       service,
@@ -85,7 +86,7 @@
     return found;
   }
 
-  /** The request as `server` gets it, from the event after `lastEventId` on. */
+  /** Returns the request to send to `server`, which asks for the events after `lastEventId`. */
   outgoing(server: TrackedServer, lastEventId: string): BackendRequest {
     const { names, gate } = this._context;
     return outgoingRequest(this._request, names, {
@@ -96,14 +97,14 @@
     });
   }
 
-  /** Whether the bound is so near that the request should no longer begin on the version of `server`. */
+  /** Whether the request might begin on the version of `server` only after the bound for that version. */
   mayBeginTooLate(server: TrackedServer): boolean {
     const { model } = this._request;
     const mayBeDelayed = server.slowLink || server.agentSilent;
     return model !== '' && server.version(model) < this._context.gate.lowestToBegin(model, mayBeDelayed);
   }
 
-  /** Counts an attempt. */
+  /** Counts an attempt at `server`. */
   noteSent(server: TrackedServer): void {
     this._count++;
     this._tried.add(server.record.id);
@@ -111,15 +112,16 @@
   }
 
   /**
-   * The server says that it has not run the request. Attempts bound the runs of a stream that has begun: it loses none by
-   * this when it is broken off, and may ask the server again. A new request is sent to no more servers than its route allows.
+   * Records that the server has not run the request. The attempts of a stream that has begun limit how often it
+   * runs, so this send does not count when the stream is resumed later, and the same server may be tried again. For
+   * a request that has not begun, attempts limit the number of sends.
    */
   noteNotRun(server: TrackedServer): void {
     this._notRunCount++;
     this._noteNotRunAt(server);
   }
 
-  /** Nothing reached the server, so that the attempt does not count; returns why not to go on to another one. */
+  /** Uncounts an attempt that did not reach the server. Returns a reason when no other server should be tried. */
   noteUnreachable(server: TrackedServer): NoAttemptReason | undefined {
     this._noteNotRunAt(server);
     this._count--;
@@ -129,12 +131,12 @@
   }
 
   /**
-   * Takes permission for one more attempt: the route, the time left, a server and the retry budget must allow it. Returns
-   * what does not.
+   * Takes permission for another attempt, which depends on the route's attempts, the time left, an available server
+   * and the retry budget. Returns the reason when it is denied.
    */
   takeRetry(isHandover = false): NoAttemptReason | undefined {
     const { route, retries } = this._request;
-    // a stream that is handed over still has its first server, and needs no more sends than a new request
+    // a stream that is being handed over still runs on its first server, so that the limit for new requests suffices
     const isResumption = this._hasBegun() && !isHandover;
     const used = isResumption ? this._count - this._notRunCount : this._count;
     if (used >= route.attempts) return 'attempts used';
@@ -145,7 +147,7 @@
     return retries.takeRetry(this._hasBegun()) ? undefined : 'retry budget';
   }
 
-  /** Milliseconds after which its caller should come back, where there is no attempt for `reason`. */
+  /** Milliseconds after which the caller should retry a request that was refused for `reason`. */
   retryAfter(reason: NoAttemptReason): number {
     const fraction = this._context.random.fraction();
     return computeRetryAfter(reason, this.remainingMilliseconds, fraction, this._waitMilliseconds);
@@ -156,7 +158,7 @@
     this._notRunAt.set(server.record.id, this._lastNotRunAt);
   }
 
-  /** Servers that may have run the request, and those that have not but were asked only just now. */
+  /** Returns the servers that may have run the request, and those that were tried too recently to try them again. */
   private _excludedServers(): Set<string> {
     const now = this._context.clock.now();
     const mayRetry = (id: string): boolean =>
@@ -169,7 +171,7 @@
     return isBeyond && this._context.clock.now() - this._lastNotRunAt < MIN_RESEND_INTERVAL_MILLISECONDS;
   }
 
-  /** Time that a server may take for its first answer. */
+  /** Time within which a server should send its first answer. */
   private _objectiveMilliseconds(isHandover: boolean): number {
     if (!this._hasBegun()) return this._request.route.objectiveMilliseconds;
     return isHandover ? HANDOVER_TIMEOUT_MILLISECONDS : Number.POSITIVE_INFINITY;
--- a/src/serving/requestHandover.ts
+++ b/src/serving/requestHandover.ts
@@ -1,4 +1,4 @@
-/** The handover of one request: another server is asked for the rest of its stream, while the first one goes on. */
+/** Hands the stream of a request over: another server is asked for the rest while the first one goes on sending. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendCall, BackendCallListener, CallFailure } from './backendCall.js';
 import type { ForwardingContext } from './forwardingContext.js';
@@ -8,13 +8,13 @@
 import { StreamHandover } from './streamHandover.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Hears what comes of a handover. */
+/** Receives the events of a handover. */
 export interface HandoverListener {
-  /** Hears the call from when it is followed. */
+  /** Returns the listener for the call to the other server once the handover is complete. */
   callListener(server: TrackedServer): BackendCallListener;
-  /** The other server has been asked. */
+  /** The request has been sent to the other server. */
   onSent(server: TrackedServer): void;
-  /** It has sent an event of the call that began at `startedAt`. */
+  /** The other server has sent its first event; `call` began at `startedAt`. */
   onReady(call: BackendCall, startedAt: number): void;
   onFailed(server: TrackedServer, failure: CallFailure, startedAt: number): void;
 }
@@ -45,7 +45,7 @@
     return this._handover !== undefined;
   }
 
-  /** Asks a server other than `from` for what follows `lastEventId`, if there is one and the bounds allow it. */
+  /** Asks another server for the events after `lastEventId`, if one is available and a retry is permitted. */
   begin(from: TrackedServer, lastEventId: string): void {
     const found = this._attempts.find(true);
     if (found.kind === 'none') return this._trace.notHandedOver(from, noAttemptReasonOf(found)!);
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -1,4 +1,4 @@
-/** Log lines and counters of one request, from its first attempt to its end. */
+/** Writes the log lines and counts the metrics of one request. */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import type { AdmittedRequest } from './admittedRequest.js';
@@ -11,7 +11,7 @@
 /** How a request ended. */
 export type RequestOutcome = 'answered' | 'refused' | 'failed' | 'cut' | 'caller-gone';
 
-/** What else is logged of an end. */
+/** Additional log fields for the end of a request. */
 export type EndFields = Record<string, string | number | boolean | undefined>;
 
 export class RequestTrace {
@@ -63,7 +63,7 @@
     });
   }
 
-  /** The request has not begun, and may not begin on the version of `server` any more. */
+  /** Logs that the request has not begun and may no longer begin on the version of `server`. */
   takenBack(server: TrackedServer): void {
     this._log.decision('request.taken-back', {
       request: this._id,
@@ -74,7 +74,7 @@
     });
   }
 
-  /** A stream stays at a server that is about to change its version; logged once. */
+  /** Logs, once, that a stream stays at a server that is about to switch versions. */
   notHandedOver(server: TrackedServer, reason: string): void {
     if (this._hasLoggedNotHandedOver) return;
     this._hasLoggedNotHandedOver = true;
@@ -82,7 +82,10 @@
     this._log.decision('request.not-handed-over', { request: this._id, server: server.record.id, reason });
   }
 
-  /** A stream that has begun waits until it can go on elsewhere; logged once for each reason. */
+  /**
+   * Logs that a stream that has begun waits to be resumed on another server. Repeats of the same reason are
+   * skipped.
+   */
   waiting(reason: NoAttemptReason): void {
     if (this._waitReason === reason) return;
     this._waitReason = reason;
--- a/src/serving/retryAfter.ts
+++ b/src/serving/retryAfter.ts
@@ -1,16 +1,23 @@
-/** When a caller that was refused should come back. Pure. */
+/** Computes when a refused caller should retry. Pure. */
 import { SHUT_OUT_MILLISECONDS } from '../crashes/standing.js';
 import type { NoAttemptReason } from './noAttemptReason.js';
 
-/** Callers wait no longer than a third of the time that they have left, which is a little less at their end. */
+/**
+ * Maximum wait as a share of the remaining time: a third, less a margin because the caller has a little less time
+ * left.
+ */
 const MAX_SHARE = 0.32;
-/** The shortest advice, in parts of the longest: callers that were refused together come back apart. */
+/**
+ * Minimum wait as a share of the maximum wait; the spread keeps callers that were refused together from retrying
+ * together.
+ */
 const MIN_SPREAD = 0.5;
 
 /**
- * Milliseconds to wait, for a request that was refused for `reason` and has `leftMilliseconds` left; `fraction` is a random number from 0 up to 1. A
- * server without room has none a moment later either: bursts, switches and losses last for seconds, and an answer to
- * the new attempt is worth as much late as soon. No server takes it before `waitMilliseconds`.
+ * Returns the milliseconds to wait before retrying a request that was refused for `reason` and has `leftMilliseconds`
+ * left. `fraction` is a random number from 0 up to 1; no server accepts the request before `waitMilliseconds`. A
+ * short wait would not help: load bursts, version switches and lost servers last for seconds, and a later answer is
+ * worth as much as an early one.
  */
 export function computeRetryAfter(
   reason: NoAttemptReason,
--- a/src/serving/retryAllowance.ts
+++ b/src/serving/retryAllowance.ts
@@ -1,32 +1,33 @@
-/** This entry's share of the retries that a service may get from all entries in a sliding window. */
+/** Limits this entry's retries for a service to its share of the limit for all entries, in a sliding window. */
 import type { Clock } from '../utils/clock.js';
 
-/** The bound over all entries. */
+/** Limit on the retries of all entries. */
 export interface RetryBound {
-  /** Retries allowed per request. */
+  /** Number of retries allowed per request. */
   ratio: number;
   windowMilliseconds: number;
-  /** Retries allowed in a window whatever the number of requests. */
+  /** Number of retries allowed in a window independently of the number of requests. */
   slack: number;
 }
 
-/** Parts of the bound that are used, to leave room for what other entries count otherwise. */
+/** Share of the limit that is used; the rest is a margin for differences in how entries count. */
 const SAFETY_FACTOR = 0.85;
 /**
- * Part of this entry's share that is kept for answers that have begun: their callers lose all that they have, while a new
- * request that is refused at once may come again. No day has measured it; a fifth leaves new requests most of the share.
+ * Part of this entry's share that is reserved for answers that have begun: without a retry their callers lose a
+ * partial answer, while a refused new request may simply be sent again. A fifth leaves most of the share to new
+ * requests.
  */
 const RESERVED_FOR_BEGUN = 0.2;
 const SLICES_PER_WINDOW = 20;
 
 interface Slice {
-  /** Counted from 0 at the clock's zero, in lengths of a slice. */
+  /** Clock time divided by the length of a slice, rounded down. */
   index: number;
   requests: number;
   retries: number;
 }
 
-/** Counts by slices of the window. One per service. */
+/** Counts requests and retries in slices of the window. One instance per service. */
 export class RetryAllowance {
   private readonly _bound: RetryBound;
   private readonly _clock: Clock;
@@ -35,8 +36,8 @@
   private _slices: Slice[] = [];
 
   /**
-   * `entries` tells how many entries share the bound now; until `forgottenUntil`, in monotonic milliseconds, a process before this
-   * one may have used its share.
+   * `entries` returns the number of entries that currently share the limit. Until `usageUnknownUntil`, in monotonic
+   * milliseconds, an earlier process of this entry may have used its share.
    */
   constructor(
     bound: RetryBound,
@@ -55,10 +56,10 @@
     this._current().requests++;
   }
 
-  /** Takes permission for one more arrival of a request, whose answer `hasBegun` or not; false when there is none. */
+  /** Takes permission for a retry; false when it is denied. `hasBegun` tells whether the answer has begun. */
   takeRetry(hasBegun: boolean): boolean {
     const current = this._current();
-    // the oldest slice lies only in part within the window: its retries count whole, its requests not at all
+    // the oldest slice is only partly within the window: all of its retries count, and none of its requests
     const whole = this._slices.filter(({ index }) => index > current.index - SLICES_PER_WINDOW);
     const requests = whole.reduce((sum, slice) => sum + slice.requests, 0);
     const retries = this._slices.reduce((sum, slice) => sum + slice.retries, 0);
@@ -70,8 +71,9 @@
   }
 
   /**
-   * This entry's share of the retries that are allowed whatever the requests. None for a window after a start: six entries that
-   * took all they might, and were started again three times within a window, came to 1.28 of the bound (tests/retryBound.spec.ts).
+   * This entry's share of the slack. There is none during the first window after a restart, since the previous
+   * process may have used it: without this rule six entries that use all permitted retries, and restart three times
+   * within a window, reach 1.28 of the limit (tests/retryBound.spec.ts).
    */
   private _slackShare(): number {
     if (this._clock.now() < this._usageUnknownUntil) return 0;
--- a/src/serving/retryAllowances.ts
+++ b/src/serving/retryAllowances.ts
@@ -1,12 +1,13 @@
-/** This entry's shares of the retries of all services, for as long as its process lives. */
+/** Holds the retry allowance of each service, for the lifetime of the process. */
 import type { Clock } from '../utils/clock.js';
 import type { RetryBound } from './retryAllowance.js';
 import { RetryAllowance } from './retryAllowance.js';
 
 /**
- * Windows for which an entry counts that is heard of no more. What it used is in the window for one, and behind a split it goes on
- * using its share: two halves of six entries that took the fixed part whole each came to 1.06 of the bound, with the safety that
- * is left otherwise (tests/retryBound.spec.ts).
+ * Number of windows for which an entry still counts after it is no longer heard of. Its retries remain in the
+ * window for one, and behind a network partition it goes on using its share: without this rule two halves of six
+ * entries, each of which takes the whole slack, reach 1.06 of the limit in spite of the safety factor
+ * (tests/retryBound.spec.ts).
  */
 const ENTRY_COUNT_WINDOWS = 3;
 
@@ -16,10 +17,13 @@
   private readonly _entries: () => number;
   private readonly _usageUnknownUntil: number;
   private readonly _byService = new Map<string, RetryAllowance>();
-  /** Numbers of entries with the monotonic milliseconds until which they count, larger ones first. */
+  /** Recent numbers of entries, largest first, with the monotonic milliseconds until which they count. */
   private _entryCounts: { entries: number; until: number }[] = [];
 
-  /** `entries` tells how many entries share the bound now; at a first start no process before this one has used anything. */
+  /**
+   * `entries` returns the number of entries that currently share the limit. `isFirstStart` tells that no earlier
+   * process of this entry has used any retries.
+   */
   constructor(bound: RetryBound, clock: Clock, entries: () => number, isFirstStart = false) {
     this._bound = bound;
     this._clock = clock;
@@ -39,7 +43,7 @@
     return allowance;
   }
 
-  /** The largest number of entries that has been known lately. */
+  /** Returns the largest recent number of entries. */
   private _maxRecentEntries(): number {
     const now = this._clock.now();
     const entries = this._entries();
--- a/src/serving/routeIndex.ts
+++ b/src/serving/routeIndex.ts
@@ -1,4 +1,4 @@
-/** Finds the route and the customer of a request in one version of the configuration. */
+/** Index for finding the route and the customer of a request in one version of the configuration. */
 import type {
   CustomerKeys,
   Route,
@@ -6,7 +6,7 @@
   ServingConfiguration,
 } from './servingConfiguration.js';
 
-/** Immutable; a new configuration gets a new index. */
+/** Immutable; each new version of the configuration gets a new index. */
 export class RouteIndex {
   readonly configuration: ServingConfiguration;
   private readonly _routesByHost = new Map<string, Route[]>();
@@ -30,19 +30,19 @@
     for (const service of configuration.services) this._services.set(service.name, service);
   }
 
-  /** The route with the longest prefix of the request's path; the port of `host` and a query do not count. */
+  /** Returns the route with the longest matching path prefix. The port of `host` and the query string are ignored. */
   route(host: string, target: string): Route | undefined {
     const routes = this._routesByHost.get(host.replace(/:\d+$/, '').toLowerCase());
     const path = target.split('?', 1)[0];
     return routes?.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** The customer that holds an API key. */
+  /** Returns the customer to which an API key belongs. */
   customer(key: string): CustomerKeys | undefined {
     return this._customersByKey.get(key);
   }
 
-  /** Whether requests have to carry an API key. */
+  /** Whether any customers are configured; if so, requests need an API key unless their route is anonymous. */
   get hasCustomers(): boolean {
     return this.configuration.customers.length > 0;
   }
@@ -56,7 +56,7 @@
   }
 }
 
-/** Chooses a target of a split route; `fraction` is a random number from 0 up to 1. */
+/** Chooses the target service of a route by weight. `fraction` is a random number from 0 up to 1. */
 export function chooseTarget(route: Route, fraction: number): string {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
   let left = fraction * total;
--- a/src/serving/streamHandover.ts
+++ b/src/serving/streamHandover.ts
@@ -1,4 +1,7 @@
-/** Moves a stream to another server without a pause: the first server goes on until the second has sent an event. */
+/**
+ * Moves a stream to another server without a pause: the first server goes on sending until the second has sent an
+ * event.
+ */
 import { recordAnswerHead } from './answerHead.js';
 import { classifyAnswer } from './answerClassification.js';
 import type { AnswerHeaders, BackendCallListener, BackendRequest, CallFailure } from './backendCall.js';
@@ -6,28 +9,34 @@
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** What a handover works with. */
+/** Options of a handover. */
 export interface StreamHandoverOptions {
   server: TrackedServer;
-  /** Asks for the stream from the event after the last one that the caller has been sent. */
+  /** Request for the events after the last one sent to the caller. */
   request: BackendRequest;
   names: HeaderNames;
   requestId: string;
-  /** '' for requests without one. */
+  /** Name of the model, '' for requests without one. */
   model: string;
-  /** Hears all of the second server's answer, from its head on, once that server has sent its first event. */
+  /** Receives the whole answer of the second server, from its head on, once that server has sent its first event. */
   listener: BackendCallListener;
-  /** The second server has sent its first event: the first one can be let go, and the request goes on with `call`. */
+  /**
+   * The second server has sent its first event: the call to the first server can be aborted, and `call` replaces
+   * it.
+   */
   onReady: (call: BackendCall) => void;
-  /** The second server failed before its first event, or was silent for too long. */
+  /** The second server failed, or timed out, before its first event. */
   onFailed: (failure: CallFailure) => void;
 }
 
-/** Time for the first event of the second server: less than entries keep clear of the bound of an older version. */
+/**
+ * Timeout for the first event of the second server. It is shorter than the margin that entries keep before the
+ * bound of an older version.
+ */
 export const HANDOVER_TIMEOUT_MILLISECONDS = 600;
 const SUCCESS = 200;
 
-/** Ends by exactly one of `onReady`, `onFailed` and {@link StreamHandover.cancel}. */
+/** A handover in progress. It ends with exactly one of `onReady`, `onFailed` and {@link StreamHandover.cancel}. */
 export class StreamHandover {
   private readonly _options: StreamHandoverOptions;
   private readonly _timer: NodeJS.Timeout;
@@ -43,7 +52,9 @@
     );
   }
 
-  /** Sends the request; undefined when the server's connections are all in use, or when it has failed at once. */
+  /**
+   * Sends the request. Returns undefined when all connections to the server are in use, or when it failed at once.
+   */
   static begin(options: StreamHandoverOptions): StreamHandover | undefined {
     const handover = new StreamHandover(options);
     options.server.streamBegan();
@@ -58,7 +69,7 @@
     return undefined;
   }
 
-  /** Gives the second server up. */
+  /** Aborts the handover. */
   cancel(): void {
     if (this._state === 'waiting') this._end('ended');
   }
@@ -104,7 +115,7 @@
     this._options.onFailed(failure);
   }
 
-  /** `ended` lets the second server go. */
+  /** Ends the handover; `ended` also aborts the call to the second server. */
   private _end(state: 'ready' | 'ended'): void {
     this._state = state;
     clearTimeout(this._timer);
--- a/src/serving/streamRelay.ts
+++ b/src/serving/streamRelay.ts
@@ -1,10 +1,13 @@
-/** Passes the events of a stream on, in order and once each, over as many backend servers as it takes. */
+/**
+ * Forwards the events of a stream in order and exactly once, even when they come from several backend servers in
+ * turn.
+ */
 import type { Clock } from '../utils/clock.js';
 import type { AnswerHeaders } from './backendCall.js';
 import type { CallerExchange } from './callerExchange.js';
 import { EventSplitter } from './eventSplitter.js';
 
-/** Only whole events are passed on, so that a stream can go on elsewhere after any event. */
+/** Forwards complete events only, so that a stream can be resumed on another server after any event. */
 export class StreamRelay {
   private readonly _exchange: CallerExchange;
   private readonly _clock: Clock;
@@ -12,19 +15,19 @@
   private _lastEventId: string;
   private _begun = false;
   private _heardAt = 0;
-  /** When the server that sends the events now was last heard. */
+  /** When the current server last sent bytes. */
   private _serverHeardAt = 0;
   private _firstEventAt = 0;
   private _longestPause = 0;
 
-  /** `lastEventId` is the last event that the caller has seen, '' for none. */
+  /** `lastEventId` is the id of the last event that the caller has received, '' for none. */
   constructor(exchange: CallerExchange, lastEventId: string, clock: Clock) {
     this._exchange = exchange;
     this._clock = clock;
     this._lastEventId = lastEventId;
   }
 
-  /** Whether the caller has the head of the answer. */
+  /** Whether the head of the answer has been sent to the caller. */
   get begun(): boolean {
     return this._begun;
   }
@@ -33,22 +36,22 @@
     return this._lastEventId;
   }
 
-  /** Monotonic milliseconds at which the first event came, 0 before. */
+  /** Monotonic milliseconds of the first bytes of the body, 0 before them. */
   get firstEventAt(): number {
     return this._firstEventAt;
   }
 
-  /** Longest time between bytes after the first event, in milliseconds. */
+  /** Longest time between two parts of the body, in milliseconds. */
   get longestPause(): number {
     return this._longestPause;
   }
 
-  /** Milliseconds since the server that sends the events now was last heard. */
+  /** Milliseconds since the current server last sent bytes. */
   silentFor(): number {
     return this._clock.now() - this._serverHeardAt;
   }
 
-  /** Sends the head, unless that of an earlier server has been sent. */
+  /** Sends the head to the caller, unless the head of an earlier server's answer has been sent. */
   begin(status: number, headers: AnswerHeaders): void {
     this._serverHeardAt = this._clock.now();
     if (this._begun) return;
@@ -57,7 +60,7 @@
     this._exchange.begin(status, headers);
   }
 
-  /** Passes whole events on; false when the caller reads too slowly. */
+  /** Forwards the events that `bytes` complete. Returns false when the caller reads too slowly. */
   push(bytes: Buffer): boolean {
     const now = this._clock.now();
     if (this._firstEventAt > 0) this._longestPause = Math.max(this._longestPause, now - this._heardAt);
@@ -75,13 +78,13 @@
     return canTakeMore;
   }
 
-  /** Drops an event that was broken off. */
+  /** Drops an event that was received only in part. */
   dropPartialEvent(): void {
     this._splitter = new EventSplitter();
   }
 }
 
-/** Whether an event has been passed on before. Ids are numbers that rise. */
+/** Whether an event has been forwarded before. Ids are ascending numbers. */
 function isRepeated(id: string, last: string): boolean {
   if (last === '') return false;
   const number = Number(id);
