--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -74,8 +74,7 @@
     if (exchange.ended) return this._onCallerDisconnect();
     exchange.onCallerDisconnect(() => this._onCallerDisconnect());
     this._timeout = setTimeout(() => this._onTimeout(), Math.max(0, this._attempts.remainingMilliseconds));
-    // the head of a stream shows that it has begun; any other non-repeatable request stays at its server until it
-    // ends
+    // the head of a stream shows that it has begun; other non-repeatable requests stay at their server until they end
     if (this._attempts.repeatable || this._relay) this._stopWatching = watchInterval.add(() => this._watch());
     this._attempt();
   }
--- a/tests/backendCall.spec.ts
+++ b/tests/backendCall.spec.ts
@@ -1,4 +1,4 @@
-/** One attempt at a backend server. */
+/** Calls to a backend server whose signals change while the connection is being opened. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { CallFailure } from '../src/serving/backendCall.js';
@@ -11,7 +11,7 @@
 
 const REQUEST = { method: 'GET', path: '/', headers: [], body: undefined, promptSize: 0 };
 
-/** Sends a request, and lets the server ask for something before its connection is up. */
+/** Sends a request, and applies signals of the server before the connection is established. */
 async function sendDuringSignal(signals: { leaving: boolean; retryAfterMilliseconds: number }) {
   const backend = new ScriptedBackend(answers());
   const address = await backend.listen();
@@ -32,17 +32,17 @@
   return { failure, arrivals };
 }
 
-test('should send nothing over a connection that comes up after the server has asked for a pause', async () => {
+test('should send nothing over a connection established after the server has asked for a pause', async () => {
   const { failure, arrivals } = await sendDuringSignal({ leaving: false, retryAfterMilliseconds: 5_000 });
   expect([failure?.sent, arrivals]).toEqual([false, 0]);
 });
 
-test('should send nothing over a connection that comes up after the server has said it leaves', async () => {
+test('should send nothing over a connection established after the server has announced that it leaves', async () => {
   const { failure, arrivals } = await sendDuringSignal({ leaving: true, retryAfterMilliseconds: 0 });
   expect([failure?.sent, arrivals]).toEqual([false, 0]);
 });
 
-test('should send over a connection that comes up while the server asks for nothing', async () => {
+test('should send over a connection when the server has sent no signal', async () => {
   const { failure, arrivals } = await sendDuringSignal({ leaving: false, retryAfterMilliseconds: 0 });
   expect([failure, arrivals]).toEqual([undefined, 1]);
 });
--- a/tests/crashingRequest.spec.ts
+++ b/tests/crashingRequest.spec.ts
@@ -1,14 +1,8 @@
 /**
- * A request ended each server that began to run it, and went round the fleet: 119 servers ended within 92 seconds, and in the ten of
- * them that are on record 391 of 937 tries of all callers were refused, cut or failed. Each try of its caller had another id, entries
- * knew requests by that id alone, and so each try was sent to two more servers, by any entry. The lines that settled it are those of
- * one try:
- *
- *   41.931 request.attempt-failed request 9bd7.. server i-2b41.. sent true reason UND_ERR_SOCKET
- *   41.931 request.sent           request 9bd7.. server i-b148.. attempt 2
- *   42.469 request.cut            request 9bd7.. attempts 2 noAttempt "attempts used"
- *
- * Both servers ended within 0.11 s of beginning to run it; none of the 17 others that they took with them was at both.
+ * Guards against a request that crashes every server that runs it. Its caller sent it again under a new id each
+ * time, and since entries recognised requests by id alone, each try was sent to two more servers, by any entry. 119
+ * servers crashed within 92 seconds, each at most 0.11 s after it began to run the request; in the ten seconds on
+ * record 391 of 937 tries of all callers were refused, cut or failed.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
@@ -20,12 +14,12 @@
 
 const SERVERS = 12;
 const ATTEMPTS = 6;
-/** As many ends as it takes to tell such a request from one whose servers ended by chance. */
+/** Number of crashes after which a request is rejected; fewer may be a coincidence. */
 const CRASHES_TO_REJECT = 3;
 
 let first: GatewayFixture;
 let second: GatewayFixture;
-/** Servers that have ended, by their index. */
+/** Indices of the servers that have crashed. */
 let crashed: Set<number>;
 
 beforeEach(() => {
@@ -39,7 +33,7 @@
   first.stop();
 });
 
-/** Answers all requests but the one whose body is `crash`, which ends it. */
+/** Answers every request, except that the body `crash` crashes the server. */
 function crashesOnRequest(index: number): Script {
   return (request) => (request.body === 'crash' ? crash(index) : answers()(request));
 }
@@ -49,7 +43,7 @@
   first.backends[index].close();
 }
 
-/** Service discovery drops the servers that have ended, and both entries hear of it. */
+/** Removes crashed servers from service discovery and waits until both entries have noticed. */
 async function dropCrashed(): Promise<void> {
   for (const index of crashed) first.setServer(index, undefined);
   for (const { lines } of [first, second])
@@ -61,14 +55,14 @@
   await second.startBeside(first);
 }
 
-/** A try of its own id at one of the two entries, in turn. */
+/** Sends a request under a new id, to the two entries in turn. */
 async function send(body: string, attempt: number, more: CallerRequest = {}): Promise<CallerAnswer> {
   const entry = attempt % 2 === 0 ? first : second;
   const headers = { 'larklatch-request-id': `${body}-${attempt}` };
   return await entry.ask({ method: 'POST', body, headers, ...more });
 }
 
-test('should end no more than three servers by a request that ends each server which runs it', async () => {
+test('should limit a request that crashes every server to three servers', async () => {
   await startBoth();
   for (let attempt = 0; attempt < ATTEMPTS; attempt++) await send('crash', attempt);
   expect(crashed.size).toEqual(CRASHES_TO_REJECT);
@@ -76,7 +70,7 @@
   expect([rejected.status, crashed.size]).toEqual([503, CRASHES_TO_REJECT]);
 });
 
-test('should remember such a request after a restart of all entries', async () => {
+test('should still reject such a request after a restart of all entries', async () => {
   await startBoth();
   for (let attempt = 0; attempt < ATTEMPTS; attempt++) await send('crash', attempt);
   first.gateway.close();
@@ -91,7 +85,7 @@
   expect(crashed.size).toEqual(CRASHES_TO_REJECT);
 });
 
-test('should go on serving the same path and caller with another body', async () => {
+test('should keep serving the same path and caller with another body', async () => {
   await startBoth();
   for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
     await send('crash', attempt);
@@ -100,7 +94,7 @@
   expect(crashed.size).toEqual(CRASHES_TO_REJECT);
 });
 
-test('should not shut out a common request whose servers end for reasons of their own', async () => {
+test('should not reject a common request whose servers crash for other reasons', async () => {
   let crashesNext = false;
   await startBoth((index) => (request) => {
     if (!crashesNext) return answers()(request);
--- a/tests/fairQueue.spec.ts
+++ b/tests/fairQueue.spec.ts
@@ -1,4 +1,4 @@
-/** Shares among customers, refusals at once, deadlines. */
+/** Fair shares among customers, immediate refusals and deadlines. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Priority } from '../src/protocol/headers.js';
@@ -23,7 +23,7 @@
   return queue.admit({ customer, weight, priority, deadlineMilliseconds })._unsafeUnwrap();
 }
 
-/** Admits requests, then serves them one after the other and returns the order of their names. */
+/** Admits requests, serves them one after the other and returns their names in the order served. */
 async function servedOrder(
   queue: FairQueue,
   requests: (RequestOptions & { name: string })[],
@@ -42,7 +42,7 @@
   return order;
 }
 
-test('should alternate between a burst and a small customer', async () => {
+test('should alternate between a customer with a burst and one with few requests', async () => {
   const { queue } = queueWith(1);
   const burst = Array.from({ length: 10 }, (_none, index) => ({ customer: 'large', name: `large-${index}` }));
   const small = [0, 1, 2].map((index) => ({ customer: 'small', name: `small-${index}` }));
@@ -52,7 +52,7 @@
   expect(order.length).toEqual(13);
 });
 
-test('should serve equal customers equally within five in a hundred', async () => {
+test('should give customers of equal weight equal shares within five percent', async () => {
   const { queue } = queueWith(1);
   const asks = ['a', 'b', 'c', 'd'].flatMap((customer) =>
     Array.from({ length: 50 }, () => ({ customer, name: customer })),
@@ -64,7 +64,7 @@
   }
 });
 
-test('should give a customer of twice the weight twice the share', async () => {
+test('should give a customer with twice the weight twice the share', async () => {
   const { queue } = queueWith(1);
   const asks = [
     ...Array.from({ length: 60 }, () => ({ customer: 'heavy', weight: 2, name: 'heavy' })),
@@ -75,7 +75,7 @@
   expect(heavy >= 38 && heavy <= 42).toEqual(true);
 });
 
-test('should run high priority first, within a customer only', async () => {
+test('should order by priority only within a customer', async () => {
   const { queue } = queueWith(1);
   const order = await servedOrder(queue, [
     { customer: 'a', priority: 'low', name: 'a-low' },
@@ -86,7 +86,7 @@
   expect(order.indexOf('b-low') < 2).toEqual(true);
 });
 
-test('should refuse at once when the queue of the customer is full, and say when to come back', () => {
+test('should refuse when the queue of the customer is full, and say when to retry', () => {
   const { queue } = queueWith(1, 2);
   for (let index = 0; index < 3; index++) admit(queue, { customer: 'a' });
   const refused = queue.admit({
@@ -102,14 +102,14 @@
   ).toEqual(true);
 });
 
-test('should refuse at once what cannot end before its deadline', () => {
+test('should refuse a request that cannot end before its deadline', () => {
   const { queue } = queueWith(1);
   for (let index = 0; index < 20; index++) admit(queue, { customer: 'a' });
   const refused = queue.admit({ customer: 'a', weight: 1, priority: 'normal', deadlineMilliseconds: 100 });
   expect(refused._unsafeUnwrapErr().reason).toEqual('deadline-too-close');
 });
 
-test('should not run a request whose deadline passed while it waited', async () => {
+test('should not run a request whose deadline passed in the queue', async () => {
   const { queue, clock } = queueWith(1);
   const running = admit(queue, { customer: 'a' });
   const waiting = admit(queue, { customer: 'b', deadlineMilliseconds: 200 });
@@ -119,7 +119,7 @@
   expect(queue.running).toEqual(0);
 });
 
-test('should free the place of a caller that leaves the queue', async () => {
+test('should free the place of a request that is released in the queue', async () => {
   const { queue } = queueWith(1);
   const running = admit(queue, { customer: 'a' });
   const waiting = admit(queue, { customer: 'a' });
--- a/tests/gatewayRequests.spec.ts
+++ b/tests/gatewayRequests.spec.ts
@@ -1,4 +1,4 @@
-/** Requests through a gateway to backend servers that misbehave in every way: a table of faults. */
+/** Requests through a gateway to backend servers with various faults. */
 import { once } from 'node:events';
 import net from 'node:net';
 import { afterEach, beforeEach, test } from 'node:test';
@@ -28,7 +28,7 @@
 };
 const silence: Script = () => undefined;
 
-test('should pass a request on unaltered, with the customer in place of the key', async () => {
+test('should forward a request unaltered, with the customer in place of the API key', async () => {
   await fixture.start([answers()]);
   const headers = {
     'x-own': 'Kept',
@@ -71,7 +71,7 @@
   ['says that it has not run', rejects, 503],
   ['comes from another server', answers({ status: 421, seal: null }), 503],
 ] as const) {
-  test(`should answer ${status} and never run twice what may run once, when the answer ${what}`, async () => {
+  test(`should answer ${status} and send a non-repeatable request once, when the answer ${what}`, async () => {
     await fixture.start([script, script], ONCE);
     const answer = await fixture.ask({ method: 'POST', body: 'x' });
     expect(answer.status).toEqual(status);
@@ -88,7 +88,7 @@
   ['is a failure', answers({ status: 500 })],
   ['says that it has not run', rejects],
 ] as const) {
-  test(`should try another server with what may be repeated, when the answer ${what}`, async () => {
+  test(`should retry a repeatable request on another server, when the answer ${what}`, async () => {
     let first = true;
     const failsOnce: Script = (request) => {
       if (!first) return answers()(request);
@@ -102,7 +102,7 @@
   });
 }
 
-test('should not say that a key is unknown when it may have been added unseen', async () => {
+test('should not report an API key as unknown while the configuration may be stale', async () => {
   await fixture.start([answers()]);
   fixture.store.lost = true;
   await until(() => fixture.lines.some((line) => line.includes('store.lost')));
@@ -118,20 +118,20 @@
   expect(fixture.arrivals).toEqual(2);
 });
 
-test('should answer 504 at the timeout of the route, and let the server go', async () => {
+test('should answer 504 at the timeout of the route, and close the connection to the server', async () => {
   await fixture.start([silence], { routes: [routeFixture({ kind: 'once', timeoutMilliseconds: 150 })] });
   expect((await fixture.ask({ method: 'POST' })).status).toEqual(504);
   await until(() => fixture.backends[0].closed === 1);
 });
 
-test('should reset the connection to a server that it gives up, so that nothing still on its way begins there', async () => {
+test('should reset the connection of an aborted attempt, so that a request in transit does not begin', async () => {
   await fixture.start([silence], { routes: [routeFixture({ kind: 'once', timeoutMilliseconds: 150 })] });
   expect((await fixture.ask({ method: 'POST' })).status).toEqual(504);
   await until(() => fixture.backends[0].closed === 1);
   expect(fixture.backends[0].resets).toEqual(1);
 });
 
-/** An answer without length, which ends with its connection. */
+/** Sends an answer without length or chunked encoding, which ends when its connection closes. */
 function unframed(end: (request: ArrivedRequest) => void): Script {
   return (request) => {
     request.socket.write(answerBytes(request, { headers: { connection: 'close' }, body: 'part' }));
@@ -139,22 +139,22 @@
   };
 }
 
-test('should take an answer without length as whole when its connection ends', async () => {
+test('should treat an answer without length as complete when its connection is closed', async () => {
   await fixture.start([unframed(({ socket }) => void socket.end())], ONCE);
   const answer = await fixture.ask({ method: 'POST' });
   expect([answer.status, answer.body]).toEqual([200, 'part']);
-  // nobody can tell whether it is whole, so that it may not be passed on as one of known length
+  // a truncated answer could not be detected, so that it must not be forwarded with a known length
   expect(answer.headers['content-length']).toEqual(undefined);
   expect(answer.headers['transfer-encoding']).toEqual(undefined);
   expect(answer.headers.connection).toEqual('close');
 });
 
-test('should not take an answer without length as whole when its connection is reset', async () => {
+test('should not treat an answer without length as complete when its connection is reset', async () => {
   await fixture.start([unframed(({ socket }) => void socket.resetAndDestroy())], ONCE);
   expect((await fixture.ask({ method: 'POST' })).status).toEqual(502);
 });
 
-test('should let the server go when the caller leaves', async () => {
+test('should close the connection to the server when the caller disconnects', async () => {
   await fixture.start([silence]);
   const leave = new AbortController();
   const asked = fixture.ask({ signal: leave.signal });
@@ -164,7 +164,7 @@
   await until(() => fixture.backends[0].closed === 1);
 });
 
-test('should use a connection again, but not one that sent more than was asked for', async () => {
+test('should reuse a connection, but not one that sent surplus data', async () => {
   await fixture.start([answers()]);
   await fixture.ask();
   await fixture.ask();
@@ -189,7 +189,7 @@
   expect([refused.status, refused.headers['retry-after'] !== undefined]).toEqual([503, true]);
 });
 
-test('should follow a newer configuration and never go back to an older one', async () => {
+test('should apply a newer configuration and ignore an older one', async () => {
   await fixture.start([answers()]);
   fixture.store.set('configuration', { main: servingConfiguration({ version: 5, customers: [] }) });
   await until(() => fixture.lines.some((line) => line.includes('"version":5')));
@@ -197,7 +197,7 @@
   expect((await fixture.ask({ headers: { authorization: '' } })).status).toEqual(200);
 });
 
-test('should leave in order: not ready, connections told to close, requests in flight answered', async () => {
+test('should drain: report not ready, close kept connections, answer requests in flight', async () => {
   await fixture.start([(request) => void setTimeout(() => answers()(request), 200)]);
   const inFlight = fixture.ask();
   await until(() => fixture.arrivals === 1);
@@ -209,7 +209,7 @@
   await stopped;
 });
 
-test('should answer the first request of a connection that opens just before it stops listening', async () => {
+test('should answer the first request of a connection opened just before the gateway stops listening', async () => {
   await fixture.start([answers()]);
   const stopped = fixture.gateway.stop();
   const [host, port] = fixture.address.split(':');
@@ -224,7 +224,7 @@
   await stopped;
 });
 
-/** An open connection; undefined when nobody listens. */
+/** Opens a connection; returns undefined when it is refused. */
 async function opened(port: number, host: string): Promise<net.Socket | undefined> {
   return await new Promise((resolve) => {
     const socket = net.connect(port, host, () => resolve(socket));
@@ -232,7 +232,7 @@
   });
 }
 
-test('should take only what ends in time while it leaves, and send the rest elsewhere at once', async () => {
+test('should admit only requests that end in time while draining, and refuse others with a short retry delay', async () => {
   await fixture.start([answers()]);
   const stopped = fixture.gateway.stop();
   const short = { 'larklatch-deadline-milliseconds': '400' };
@@ -247,7 +247,7 @@
   await stopped;
 });
 
-test('should take the word of an agent that other entries have heard of a version', async () => {
+test('should learn from an agent of a version that other entries know', async () => {
   await fixture.startEngines([answers({ status: 200 })]);
   fixture.tellStatus(0, {});
   fixture.tellHeard(0, 2, 100);
@@ -260,8 +260,8 @@
   ['a stream that may run once', { kind: 'stream', resumable: false }],
   ['a repeatable request', { kind: 'repeatable' }],
 ] as const) {
-  test(`should take back at the bound of an older version what has not begun: ${what}`, async () => {
-    // held to bounds from its start on, so that the word of the agent ends version 1 at once
+  test(`should take back a request that has not begun at the bound of an older version: ${what}`, async () => {
+    // bounds apply from the start of the gateway, so that the agent's message ends version 1 immediately
     const changes = { contactMilliseconds: 100 };
     const silent = (): void => undefined;
     await fixture.startEngines([silent], { routes: [routeFixture({ ...route, attempts: 1 })] }, changes);
--- a/tests/gatewayStreams.spec.ts
+++ b/tests/gatewayStreams.spec.ts
@@ -1,4 +1,4 @@
-/** Streams through a gateway: passed on event by event, resumed after a failure, handed over before a switch. */
+/** Streams through a gateway: forwarded by event, resumed after a failure, handed over before a switch. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import { answers, chunkOf, events, streamHead } from '../standins/scriptedBackend.js';
@@ -24,7 +24,7 @@
   };
 }
 
-test('should pass a stream on event by event', async () => {
+test('should forward a stream event by event', async () => {
   await fixture.start(
     [
       (request) => {
@@ -42,7 +42,7 @@
   ['is reset', (request: ArrivedRequest) => request.socket.resetAndDestroy()],
   ['is closed', (request: ArrivedRequest) => request.socket.end()],
 ] as const) {
-  test(`should go on elsewhere, without gap or repeat, when a stream ${what} within an event`, async () => {
+  test(`should resume on another server, without gap or repeat, when a stream ${what} within an event`, async () => {
     const script: Script = (request) => {
       const last = request.headers.get('last-event-id');
       if (last === undefined) {
@@ -63,12 +63,12 @@
   });
 }
 
-/** Tells the gateway, as the agents beside the servers would, which versions they serve and whether they change them. */
+/** Sends the gateway the status messages by which the servers' agents report whether they are switching versions. */
 function tellState(states: readonly ('serving' | 'switching')[]): void {
   states.forEach((state, index) => fixture.tellStatus(index, { state }));
 }
 
-/** Streams event after event until its connection closes, from the one after the last that the caller has seen. */
+/** Sends events at an interval, starting after the last event id of the request, up to `last`. */
 function streamsOn(intervalMilliseconds: number, last: number): Script {
   return (request) => {
     request.socket.write(streamHead(request));
@@ -84,7 +84,7 @@
   };
 }
 
-test('should hand a stream over before its server changes its version, without gap, repeat or pause', async () => {
+test('should hand a stream over before its server switches versions, without gap, repeat or pause', async () => {
   await fixture.startEngines([streamsOn(20, 150), streamsOn(20, 150)], STREAM);
   const asked = fixture.ask();
   await until(() => fixture.arrivals === 1);
@@ -98,7 +98,7 @@
   expect(fixture.backends[1 - first].arrived[0].headers.has('last-event-id')).toEqual(true);
 });
 
-test('should go on at the first server when the one that a stream is handed over to fails', async () => {
+test('should stay at the first server when the second server of a handover fails', async () => {
   let arrived = 0;
   const script: Script = (request) => (arrived++ === 0 ? streamsOn(20, 150) : rejects)(request);
   await fixture.startEngines([script, script], STREAM);
@@ -111,7 +111,7 @@
   expect(answer.body).toEqual(events(...Array.from({ length: 150 }, (_unused, index) => index + 1)));
 });
 
-test('should wait for the handover when the first server breaks off meanwhile', async () => {
+test('should wait for the handover when the first server disconnects during it', async () => {
   let arrived = 0;
   const script: Script = (request) => {
     if (arrived++ > 0) return void setTimeout(() => streamsOn(5, 20)(request), 150);
@@ -133,7 +133,7 @@
     if (first) rejects(first);
     first ??= request;
   };
-  // over while the handover, which begins after a second at the latest and lasts for 600 ms, is under way
+  // ends during the handover, which begins within a second and times out after 600 ms
   const routes = [routeFixture({ kind: 'stream', resumable: true, timeoutMilliseconds: 1_500 })];
   await fixture.startEngines([rejectsOnceHandedOver, rejectsOnceHandedOver], { routes });
   const asked = fixture.ask();
@@ -144,7 +144,7 @@
   expect([502, 504].includes(status)).toEqual(true);
 });
 
-test('should not let a stream that cannot go on look whole', async () => {
+test('should not complete a stream that cannot be resumed', async () => {
   const script: Script = (request) => {
     streams(events(1))(request);
     setTimeout(() => request.socket.destroy(), 30);
@@ -154,19 +154,19 @@
   expect([answer.status, answer.whole]).toEqual([200, false]);
 });
 
-test('should go on where the caller says', async () => {
+test('should resume after the last event id of the caller', async () => {
   await fixture.start([answers()], STREAM);
   await fixture.ask({ headers: { 'last-event-id': '7' } });
   expect(fixture.backends[0].arrived[0].headers.get('last-event-id')).toEqual('7');
 });
 
 /**
- * Symptom: a stream that had not begun stayed at a server of an older version until after the bound.
- * Sequence: the server switches, the stream is being handed over to one of the newest version, and its time to be taken back comes.
- * Cause: nothing was taken back while a handover was under way, which may take 600 ms, more than the 500 ms kept for taking back.
- * What settled it: the first connection was closed 599 to 602 ms after the news where 50 ms were due, when the handover had failed.
+ * Guards against a stream that begins on an older version after the bound. A stream that had not begun was not
+ * taken back from its server while a handover was in progress. A handover may take 600 ms, but only 500 ms are
+ * reserved for taking back: the first connection was closed 599 to 602 ms after the message about the version, when
+ * 50 ms were due.
  */
-test('should take back what has not begun while it is handed over', async () => {
+test('should take back a stream that has not begun during its handover', async () => {
   const sent: ArrivedRequest[] = [];
   const holds = (request: ArrivedRequest): void => void sent.push(request);
   const changes = { contactMilliseconds: 100, retrySlack: 10_000 };
@@ -186,7 +186,7 @@
   expect(closed).toEqual([0]);
 });
 
-test('should not pass on the events of a resuming server that gives no proof', async () => {
+test('should not forward the events of a resuming server whose answer has no seal', async () => {
   const script: Script = (request) => {
     const last = request.headers.get('last-event-id');
     if (last === undefined) {
--- a/tests/ledger.spec.ts
+++ b/tests/ledger.spec.ts
@@ -1,4 +1,4 @@
-/** At most once: what an agent's ledger lets run, step by step and fault by fault. */
+/** At-most-once execution: which requests the ledger of an agent allows to run. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import fc from 'fast-check';
@@ -68,7 +68,7 @@
   });
 }
 
-test('should let a key run once, also while it runs', () => {
+test('should let a key run once, even while it is running', () => {
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
   expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('run');
@@ -77,7 +77,7 @@
   expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('started');
 });
 
-test('should give a kept answer again', () => {
+test('should return a stored answer again', () => {
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
   ledger.check(SERVICE, ledgerRequest());
@@ -86,7 +86,7 @@
   expect(decision.kind === 'answered' && decision.answer.body.toString()).toEqual('done');
 });
 
-test('should let a key run that was certainly never sent', () => {
+test('should let a key run again after it was cancelled', () => {
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
   ledger.check(SERVICE, ledgerRequest());
@@ -94,7 +94,7 @@
   expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('run');
 });
 
-test('should refuse new keys rather than forget one that may still be sent again', () => {
+test('should refuse new keys rather than drop one that may still be resent', () => {
   const { ledger, clock } = ledgerWith(1);
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
   ledger.check(SERVICE, ledgerRequest({ key: 'first' }));
@@ -104,7 +104,7 @@
   expect(ledger.check(SERVICE, ledgerRequest({ key: 'second' })).kind).toEqual('run');
 });
 
-test('should never forget a key that still runs', () => {
+test('should never drop a key that is still running', () => {
   const { ledger, clock } = ledgerWith(1);
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
   ledger.check(SERVICE, ledgerRequest({ key: 'long' }));
@@ -113,7 +113,7 @@
   expect(ledger.check(SERVICE, ledgerRequest({ key: 'long' })).kind).toEqual('started');
 });
 
-test('should see clearly again once every key of the lost owner has expired', () => {
+test('should stop being blind once every key of the lost owner has expired', () => {
   const { ledger, clock } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: true }]);
   clock.advance(BLIND - 1);
@@ -122,7 +122,7 @@
   expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('run');
 });
 
-test('should keep its sight when the same slots are assigned again', () => {
+test('should not restart the blind time when the same slots are assigned again', () => {
   const { ledger, clock } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: true }]);
   clock.advance(BLIND - 1);
@@ -133,7 +133,7 @@
 
 const BOXES: LedgerCandidate[] = ['a', 'b', 'c'].map((box) => ({ box, incarnation: `${box}1` }));
 
-test('should deal all slots evenly at first', () => {
+test('should distribute all slots evenly at first', () => {
   const slots = assignSlots([], BOXES, () => 'owns');
   const counts = BOXES.map(({ box }) => slots.filter((owner) => owner.box === box).length);
   expect(slots.length).toEqual(LEDGER_SLOT_COUNT);
@@ -141,7 +141,7 @@
   expect(slots.every((owner) => owner.epoch === 1 && !owner.blind)).toEqual(true);
 });
 
-test('should move only the slots of an owner that is proven gone, blind and under a new epoch', () => {
+test('should move only the slots of a lost owner, as blind slots with a new epoch', () => {
   const before = assignSlots([], BOXES, () => 'owns');
   const after = assignSlots(before, BOXES.slice(1), (owner) => (owner.box === 'a' ? 'lost' : 'owns'));
   after.forEach((owner, slot) => {
@@ -150,12 +150,12 @@
   });
 });
 
-test('should leave the slots of a silent owner where they are', () => {
+test('should keep the slots of a silent owner', () => {
   const before = assignSlots([], BOXES, () => 'owns');
   expect(assignSlots(before, BOXES.slice(1), () => 'owns')).toEqual(before);
 });
 
-test('should hash what the owner was told to the same value as the table', () => {
+test('should hash the assigned slots to the same value as the table', () => {
   const slots: SlotOwner[] = assignSlots([], BOXES, () => 'owns');
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, slotsOf(slots, BOXES[1]));
@@ -163,7 +163,7 @@
   expect(ledger.hashOf(SERVICE) === ledgerHash(slotsOf(slots, BOXES[0]))).toEqual(false);
 });
 
-test('should read its own tickets and no others', () => {
+test('should read only tickets signed with its own key for the same service', () => {
   const ticket = issueTicket('a-shared-key', SERVICE, { slot: 7, slotEpoch: 4 });
   expect(readTicket('a-shared-key', SERVICE, ticket)).toEqual({ slot: 7, slotEpoch: 4 });
   expect(readTicket('another-key', SERVICE, ticket)).toEqual(undefined);
@@ -171,14 +171,14 @@
   expect(readTicket('a-shared-key', SERVICE, ticket.replace('.4.', '.5.'))).toEqual(undefined);
 });
 
-test('should take no text for a ticket', () => {
+test('should not accept arbitrary text as a ticket', () => {
   fc.assert(
     fc.property(fc.string(), (text) => readTicket('a-shared-key', SERVICE, text) === undefined),
     { seed: 5 },
   );
 });
 
-test('should hand a slot over with sight when the old owner gave its keys', () => {
+test('should not make a slot blind when the old owner has handed over its keys', () => {
   const before = assignSlots([], BOXES, () => 'owns');
   const after = assignSlots(before, BOXES.slice(1), (owner) => (owner.box === 'a' ? 'handed-over' : 'owns'));
   after.forEach((owner, slot) => {
@@ -186,13 +186,13 @@
   });
 });
 
-test('should stay blind when the one that hands over was blind itself', () => {
+test('should keep a slot blind when its old owner was blind at the handover', () => {
   const lost = assignSlots([], BOXES, () => 'owns').map((owner) => ({ ...owner, blind: true }));
   const after = assignSlots(lost, BOXES.slice(1), (owner) => (owner.box === 'a' ? 'handed-over' : 'owns'));
   expect(after.every((owner) => owner.blind)).toEqual(true);
 });
 
-test('should let nothing run that the earlier owner let run', () => {
+test('should not run a request that the earlier owner has allowed to run', () => {
   const { ledger: leaving } = ledgerWith();
   leaving.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
   leaving.check(SERVICE, ledgerRequest({ key: `${SERVICE}.k` }));
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -1,4 +1,4 @@
-/** Where a request may be sent next. */
+/** Whether and where a request may be sent next. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { AdmittedRequest } from '../src/serving/admittedRequest.js';
@@ -13,7 +13,7 @@
 import { ManualClock } from '../src/utils/clock.js';
 import { routeFixture } from './fixtures/servingFixture.js';
 
-test('should hand a stream over to no server of an older version late before the bound', () => {
+test('should not hand a stream over to a server of an older version close to the bound', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.note('m', 2, 0);
@@ -36,7 +36,7 @@
   expect(needs.map(({ lowestVersionSlow }) => lowestVersionSlow)).toEqual([0, 2, 0]);
 });
 
-test('should take a request back sooner from a server on whose link it may lie', () => {
+test('should take a request back earlier from a server with a slow link', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.note('m', 2, 0);
@@ -62,7 +62,7 @@
   begun?: boolean;
 }
 
-/** Attempts of a request to which its route allows two, and how things stand for it. */
+/** Creates the attempts of a request whose route allows two, in the given situation. */
 function attemptsIn(situation: Situation): RequestAttempts {
   const { found = FOUND, slack = 100, sent = 1, left = 1_000, begun = false } = situation;
   const clock = new ManualClock();
@@ -91,7 +91,7 @@
   });
 }
 
-/** Attempts of a stream that has begun, the needs that they told the pool, and their clock. */
+/** Creates the attempts of a stream that has begun, with their clock and the needs that they passed to the pool. */
 function begunStream(found: ServerFound): {
   attempts: RequestAttempts;
   needs: ServerNeed[];
@@ -110,7 +110,7 @@
   return { attempts, needs, clock };
 }
 
-test('should ask no first answer in time for a stream that has begun, and hold it to the bound of its version', () => {
+test('should not require a timely first answer for a stream that has begun, but keep to the bound of its version', () => {
   const { attempts, needs, clock } = begunStream(FOUND);
   attempts.find();
   attempts.find(true);
@@ -121,7 +121,7 @@
   expect(needs.map((need) => need.lowestVersion)).toEqual([0, 0, 2]);
 });
 
-test('should ask a server again, after a while, that has not run a stream that has begun', () => {
+test('should try a server that has not run a begun stream again after a while', () => {
   const { attempts, needs, clock } = begunStream(FOUND);
   const ran = { record: { id: 'server-2' } } as TrackedServer;
   attempts.noteSent(ran);
@@ -137,8 +137,8 @@
   expect(attempts.takeRetry()).toEqual('attempts used');
 });
 
-test('should let a stream that has begun have the retries that are kept from new requests', () => {
-  // one retry is within the whole share of the entry, and beyond the part that new requests may use
+test('should allow a stream that has begun the retries that are reserved from new requests', () => {
+  // one retry is within the entry's share, but beyond the part that new requests may use
   const slack = 1.3;
   const [fresh, begun] = [false, true].map((hasBegun) => attemptsIn({ slack, begun: hasBegun }));
   expect([fresh.takeRetry(), begun.takeRetry()]).toEqual(['retry budget', undefined]);
--- a/tests/retryBound.spec.ts
+++ b/tests/retryBound.spec.ts
@@ -1,10 +1,10 @@
 /**
- * More repeats reached the servers of a service than its operator allows in ten seconds: 472 for 1,792 requests, where 458 are
- * allowed, while servers broke answers off and rejected new ones. Each entry counts in its own memory what it has used of its
- * share. All entries were killed three times within ten seconds, and each new process took the fixed part of the bound once more,
- * as if nothing had been used. Entries that hear of each other no more did the same. The count also forgot a repeat up to half a
- * second before its ten seconds were over. Six entries that take all they may came to 0.855 of the bound without faults, to 1.282
- * with three starts of all within ten seconds, and to 1.058 in two halves; now to 0.848 in all three.
+ * Guards against more retries than the limit of all entries allows: 472 for 1,792 requests, where 458 were allowed.
+ * Each entry counts its retries in its own memory. After a restart an entry used the whole slack again, and entries
+ * on both sides of a network partition each used it; the count also dropped a retry up to half a second before the
+ * end of its window. With six entries that use all permitted retries, the share of the limit was 0.855 without
+ * faults, 1.282 with three restarts of all entries within ten seconds and 1.058 with a partition into halves; it is
+ * now 0.848 in all three.
  */
 import { test } from 'node:test';
 import { expect } from 'earl';
@@ -17,23 +17,23 @@
 const STEPS = 400;
 const REQUESTS_PER_STEP = 15;
 const SERVICE = 'service';
-/** After a split, the other half is no longer heard of for this long before it no longer counts. */
+/** Time until an entry notices that the other half of a partition is silent. */
 const DETECTION_STEPS = 15;
 
-/** What all entries together took in a step. */
+/** Requests and retries of all entries in one step. */
 interface Step {
   requests: number;
   retries: number;
 }
 
 interface Scenario {
-  /** Steps at which every entry is killed and starts again. */
+  /** Steps at which all entries restart. */
   restartSteps?: readonly number[];
-  /** Step from which on half of the entries hear nothing of the other half. */
+  /** Step at which a network partition separates the entries into halves. */
   partitionStep?: number;
 }
 
-/** Plays entries that take every repeat that they may. */
+/** Simulates entries that use all permitted retries. */
 function simulate({ restartSteps = [], partitionStep = Number.POSITIVE_INFINITY }: Scenario): Step[] {
   const clock = new ManualClock();
   let step = 0;
@@ -60,7 +60,7 @@
   return steps;
 }
 
-/** The most repeats beyond the bound in any window, below 0 where it is kept everywhere. */
+/** Returns the largest excess of retries over the limit in any window; at most 0 when the limit is kept. */
 function maxExcess(steps: readonly Step[]): number {
   const length = BOUND.windowMilliseconds / STEP_MILLISECONDS;
   const windows = steps.slice(0, -length + 1).map((_step, from) => steps.slice(from, from + length));
@@ -72,19 +72,19 @@
   return Math.max(...excess);
 }
 
-test('should keep the bound on retries while entries take all that they may', () => {
+test('should keep the retry limit while entries use all permitted retries', () => {
   expect(maxExcess(simulate({})) <= 0).toEqual(true);
 });
 
-test('should keep the bound on retries though all entries start again within a window', () => {
+test('should keep the retry limit when all entries restart within a window', () => {
   expect(maxExcess(simulate({ restartSteps: [150, 185, 220] })) <= 0).toEqual(true);
 });
 
-test('should keep the bound on retries though entries no longer hear of each other', () => {
+test('should keep the retry limit during a network partition', () => {
   expect(maxExcess(simulate({ partitionStep: 150 })) <= 0).toEqual(true);
 });
 
-test('should allow repeats at once at the first start of the system, and after any other start by requests alone', () => {
+test('should grant the slack at the first start of the system, but not for a window after a restart', () => {
   const [first, later] = [true, false].map(
     (isFirstStart) => new RetryAllowances(BOUND, new ManualClock(), () => ENTRIES, isFirstStart),
   );
--- a/tests/routing.spec.ts
+++ b/tests/routing.spec.ts
@@ -1,4 +1,4 @@
-/** Which box a request goes to, with load that lags and boxes that fail. */
+/** Choice of boxes and entries, with delayed load reports and failing boxes. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Backend } from '../src/routing/backend.js';
@@ -20,13 +20,13 @@
 const random = new SeededRandom(1);
 const anyBox = { affinity: '', allows: () => true, now: 0 };
 
-test('should stay in the own data centre while it has room', () => {
+test('should choose a box of the own data centre while it has capacity', () => {
   const pool = { sameDataCentre: [backend('a'), backend('b')], otherDataCentres: [backend('far', 'far')] };
   for (let turn = 0; turn < 50; turn++)
     expect(chooseBackend(pool, anyBox, random)?.backend.dataCentre).toEqual('near');
 });
 
-test('should go to another data centre when the own one is full', () => {
+test('should choose another data centre when the own one is full', () => {
   const full = backend('a');
   full.load.outstanding = 16;
   const choice = chooseBackend(
@@ -37,13 +37,13 @@
   expect(choice?.backend.box).toEqual('far');
 });
 
-test('should go to another data centre when no box of the own one may be chosen', () => {
+test('should choose another data centre when no box of the own one may be chosen', () => {
   const pool = { sameDataCentre: [backend('a')], otherDataCentres: [backend('far', 'far')] };
   const choice = chooseBackend(pool, { ...anyBox, allows: (box) => box !== 'a' }, random);
   expect(choice?.backend.box).toEqual('far');
 });
 
-test('should keep requests with one prefix on one box, and let go when it is much busier', () => {
+test('should keep requests with one prefix on one box until it is much busier than others', () => {
   const pool = { sameDataCentre: ['a', 'b', 'c', 'd'].map((box) => backend(box)), otherDataCentres: [] };
   const request = { ...anyBox, affinity: 'customer-and-prefix' };
   const first = chooseBackend(pool, request, random)!;
@@ -53,7 +53,7 @@
   expect(chooseBackend(pool, request, random)?.backend === first.backend).toEqual(false);
 });
 
-test('should balance on its own count while reports lag', () => {
+test('should balance by its own count of outstanding requests while reports lag', () => {
   const boxes = ['a', 'b', 'c', 'd'].map((box) => backend(box));
   for (let request = 0; request < 400; request++) {
     chooseBackend({ sameDataCentre: boxes, otherDataCentres: [] }, anyBox, random)!.backend.load
@@ -63,7 +63,7 @@
   expect(Math.max(...counts) - Math.min(...counts) <= 10).toEqual(true);
 });
 
-test('should believe a report less as it ages', () => {
+test('should give a report less weight as it ages', () => {
   const load = new BoxLoad();
   load.report(8, 0);
   expect(load.estimate(0)).toEqual(8);
@@ -72,7 +72,7 @@
   expect(load.estimate(60_000) < 0.01).toEqual(true);
 });
 
-test('should open a circuit after failures and try again later', () => {
+test('should open a circuit after failures and let requests through again later', () => {
   const clock = new ManualClock();
   clock.advance(1);
   const circuit = new CircuitBreaker(clock);
@@ -87,7 +87,7 @@
   expect(circuit.allowsRequests).toEqual(true);
 });
 
-test('should not let retries grow beyond a part of the requests', () => {
+test('should limit retries to a fraction of the requests', () => {
   const clock = new ManualClock();
   const budget = new RetryBudget(clock);
   let retries = 0;
@@ -106,7 +106,7 @@
   expect(preferVersion(boxes, 'r2').map((box) => box.box)).toEqual(['a', 'b']);
 });
 
-test('should cover all agents evenly by the subsets of the entries', () => {
+test('should cover all agents evenly with the subsets of the entries', () => {
   const entries = Array.from({ length: 530 }, (_none, index) => `entry-${index}`);
   const agents = Array.from({ length: 2_900 }, (_none, index) => `agent-${index}`);
   const counts = new Map<string, number>(agents.map((agent) => [agent, 0]));
@@ -120,7 +120,7 @@
   expect(Math.max(...values) <= 16).toEqual(true);
 });
 
-test('should order entries by data centre and spread askers within it', () => {
+test('should order entries by data centre and spread callers within it', () => {
   const box = { role: 'entry' as const, address: '127.0.0.1', controlPort: 1, state: 'live' as const };
   const entries = ['a', 'b'].flatMap((dataCentre) =>
     [1, 2, 3].map((number) => ({ ...box, box: `${dataCentre}-${number}`, dataCentre, httpPort: number })),
--- a/tests/streamResumption.spec.ts
+++ b/tests/streamResumption.spec.ts
@@ -1,4 +1,4 @@
-/** What becomes of a stream that has begun when its server breaks off and no other one takes it at once. */
+/** Resumption of a stream that has begun, when its server disconnects and no other server takes it immediately. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import { answers, chunkOf, events, streamHead } from '../standins/scriptedBackend.js';
@@ -20,7 +20,7 @@
 
 const STREAM_ROUTE = routeFixture({ kind: 'stream', resumable: true });
 const STREAM = { routes: [STREAM_ROUTE] };
-/** So many retries that they bound nothing that a test does. */
+/** A retry limit that no test reaches. */
 const UNLIMITED_RETRIES = { retrySlack: 10_000 };
 const LAST_EVENT = 5;
 const ALL_EVENTS = events(1, 2, 3, 4, 5);
@@ -31,33 +31,35 @@
   request.socket.write(streamHead(request) + chunkOf(events(1, 2)));
 };
 
-/** Sends two events and breaks off. */
+/** Sends two events and closes the connection. */
 const disconnects: Script = (request) => {
   sendsTwoEvents(request);
   request.socket.end();
 };
 
-/** Sends all events after the last one that the caller has seen. */
+/** Sends all events after the last event id of the request. */
 const resumes: Script = (request) => {
   const ids: number[] = [];
   for (let id = Number(request.headers.get('last-event-id') ?? 0) + 1; id <= LAST_EVENT; id++) ids.push(id);
   request.socket.write(streamHead(request) + chunkOf(events(...ids)) + '0\r\n\r\n');
 };
 
-/** Answers the arrivals at all servers in turn; the last script answers all further ones. */
+/**
+ * Answers the requests that arrive at any server with the scripts in turn; the last one answers all further
+ * requests.
+ */
 function inTurn(...scripts: Script[]): Script {
   let arrived = 0;
   return (request) => scripts[Math.min(arrived++, scripts.length - 1)](request);
 }
 
 /**
- * Symptom: a caller's connection was closed in the middle of a stream, though the caller had two seconds left. Sequence: the
- * first server broke its answer off; 1 ms later the second one was asked for the rest; after 71 ms it rejected the request with
- * its word that it had not run; 4 ms later the caller was cut off, while places came free every few milliseconds. Cause: a
- * stream that has begun was given up as soon as there was no next attempt at that moment, as a new request is refused; here
- * because a send that the server says it has not run used up one of the route's two attempts.
+ * Guards against cutting off a stream that has begun although it could be resumed. After its server disconnected, a
+ * second server rejected the stream as not run, and the stream was given up 4 ms later, with two seconds left and
+ * servers getting free slots every few milliseconds. The rejected send had used up one of the two attempts of the
+ * route, and a stream without a next attempt was ended like a new request.
  */
-test('should go on with a begun stream once a server has room that rejected it as not run', async () => {
+test('should resume a begun stream on a server that rejected it before', async () => {
   const script = inTurn(disconnects, rejects, rejects, resumes);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
   const answer = await fixture.ask();
@@ -65,7 +67,7 @@
   expect(fixture.arrivals).toEqual(4);
 });
 
-test('should go on with a begun stream when new requests have taken all the retries they may', async () => {
+test('should resume a begun stream when new requests have used all the retries available to them', async () => {
   const surge = routeFixture({ name: 'surge', pathPrefix: '/b/' });
   const begun = inTurn(disconnects, resumes);
   const script: Script = (request) => (request.path.startsWith('/b/') ? rejects : begun)(request);
@@ -76,11 +78,11 @@
   expect([answer.body, answer.whole]).toEqual([ALL_EVENTS, true]);
 });
 
-test('should go on with a begun stream at a server that is too late for the first answer of a new one', async () => {
+test('should resume a begun stream on a server that is too slow for the first answer of a new request', async () => {
   const first: ArrivedRequest[] = [];
   const holds: Script = () => undefined;
   const script = inTurn((request) => (first.push(request), sendsTwoEvents(request)), holds, holds, resumes);
-  // any prompt that waits to be read makes the first answer of a new request too late
+  // with this objective a single queued prompt makes the first answer of a new request too late
   const routes = [routeFixture({ kind: 'stream', resumable: true, objectiveMilliseconds: 1 })];
   await fixture.startEngines([script, script], { routes });
   const asked = fixture.ask();
@@ -99,25 +101,25 @@
   expect([answer.body, answer.whole]).toEqual([ALL_EVENTS, true]);
 });
 
-/** Whether a line of the log holds all of these. */
+/** Whether a log line contains all of the parts. */
 function logged(...parts: string[]): boolean {
   return fixture.lines.some((line) => parts.every((part) => line.includes(part)));
 }
 
-/** How often the servers were sent a request. */
+/** How often a request was sent to any server. */
 function arrivalsOf(id: string): number {
   const arrived = fixture.backends.flatMap((backend) => backend.arrived);
   return arrived.filter(({ headers }) => headers.get('larklatch-request-id') === id).length;
 }
 
-test('should go on with a begun stream at a server that had rejected it before it began', async () => {
+test('should resume a begun stream on a server that rejected it before it had begun', async () => {
   const script = inTurn(rejects, disconnects, resumes);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
   const answer = await fixture.ask();
   expect([answer.body, answer.whole, fixture.arrivals]).toEqual([ALL_EVENTS, true, 3]);
 });
 
-test('should cut a begun stream at once when as many servers have run it as its route allows', async () => {
+test('should cut a begun stream when its attempts are used up', async () => {
   const script = inTurn(disconnects, disconnects, resumes);
   await fixture.start([script, script, script], STREAM);
   const answer = await fixture.ask();
@@ -125,21 +127,21 @@
   expect([logged('request.cut', 'attempts used'), logged('request.waiting')]).toEqual([true, false]);
 });
 
-test('should refuse a stream that has not begun at once, as not run', async () => {
+test('should refuse a stream that has not begun without waiting, as not run', async () => {
   await fixture.start([rejects, rejects, rejects], STREAM);
   const { status, headers } = await fixture.ask();
   expect([status, headers['retry-after'] !== undefined, fixture.arrivals]).toEqual([503, true, 2]);
   expect(logged('request.waiting')).toEqual(false);
 });
 
-/** Breaks a first stream off, which is rejected from then on, and lets a second one go on after a wait as long. */
+/** Disconnects both streams; rejects the first one from then on, and resumes the second one after one rejection. */
 function onlySecondResumes(): Script {
   const first = inTurn(disconnects, rejects);
   const second = inTurn(disconnects, rejects, resumes);
   return (request) => (request.headers.get('larklatch-request-id') === 'request-1' ? first : second)(request);
 }
 
-test('should send nothing more for a stream that waits once its caller has left', async () => {
+test('should send nothing more for a waiting stream once its caller has disconnected', async () => {
   const script = onlySecondResumes();
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
   const caller = new AbortController();
@@ -152,7 +154,7 @@
   expect([other.whole, arrivalsOf('request-1')]).toEqual([true, sent]);
 });
 
-test('should cut a stream that waits when its time is over, and send nothing more for it', async () => {
+test('should cut a waiting stream at its timeout, and send nothing more for it', async () => {
   const script = onlySecondResumes();
   const routes = [routeFixture({ kind: 'stream', resumable: true, timeoutMilliseconds: 600 })];
   await fixture.start([script, script], { routes }, UNLIMITED_RETRIES);
@@ -164,7 +166,7 @@
   expect([other.whole, arrivalsOf('request-1')]).toEqual([true, sent]);
 });
 
-test('should end a stream that waits when the entry has stopped', async () => {
+test('should end a waiting stream when the entry stops', async () => {
   const script = inTurn(disconnects, rejects);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
   const asked = fixture.ask();
@@ -175,7 +177,7 @@
   await until(() => logged('request.caller-gone'));
 });
 
-test('should let a begun stream wait for a server that cannot be reached', async () => {
+test('should let a begun stream wait while no server can be reached', async () => {
   const breaksOffAlone: Script = (request) => {
     fixture.backends.find((backend) => backend.arrived.length === 0)!.close();
     disconnects(request);
@@ -194,14 +196,14 @@
   expect([answer.body, answer.whole]).toEqual([ALL_EVENTS, true]);
 });
 
-/** Lets the server switch that has the only request. */
+/** Reports the server that has the only request as switching, and the other one as serving. */
 function switchFirst(): void {
   const first = fixture.backends.findIndex((backend) => backend.arrived.length === 1);
   fixture.tellStatus(first, { state: 'switching' });
   fixture.tellStatus(1 - first, { state: 'serving' });
 }
 
-test('should go on with a stream that breaks off after the server it was to be handed over to rejected it', async () => {
+test('should resume a stream whose server disconnects after the second server rejected the handover', async () => {
   let first: ArrivedRequest | undefined;
   const script = inTurn((request) => sendsTwoEvents((first = request)), rejects, resumes);
   await fixture.startEngines([script, script], STREAM);
@@ -214,7 +216,7 @@
   expect([answer.body, answer.whole, fixture.arrivals]).toEqual([ALL_EVENTS, true, 3]);
 });
 
-test('should go on with a stream that breaks off before the server it is to be handed over to rejects it', async () => {
+test('should resume a stream whose server disconnects before the second server rejects the handover', async () => {
   let first: ArrivedRequest | undefined;
   const rejectsLater: Script = (request) => {
     first!.socket.end();
@@ -229,7 +231,7 @@
   expect([answer.body, answer.whole, fixture.arrivals]).toEqual([ALL_EVENTS, true, 3]);
 });
 
-test('should not say that a stream has not run when a handover that was silent may have run it', async () => {
+test('should not report a stream as not run when the server of a timed-out handover may have run it', async () => {
   let first: ArrivedRequest | undefined;
   const holds: Script = () => undefined;
   const script = inTurn((request) => void (first = request), holds);
@@ -242,7 +244,7 @@
   expect([(await asked).status, fixture.arrivals]).toEqual([502, 2]);
 });
 
-test('should say that a stream has not run which both its server and the one of its handover rejected', async () => {
+test('should report a stream as not run when both its server and the server of its handover rejected it', async () => {
   let first: ArrivedRequest | undefined;
   const bothReject: Script = (request) => {
     rejects(first!);
@@ -256,7 +258,7 @@
   expect([(await asked).status, fixture.arrivals]).toEqual([503, 2]);
 });
 
-test('should not take a server for silent that has just answered a stream that waited for it', () => {
+test('should restart the silence of a stream when another server begins to answer', () => {
   const clock = new ManualClock();
   const exchange = { begin: () => undefined, write: () => true } as unknown as CallerExchange;
   const relay = new StreamRelay(exchange, '', clock);
