--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -82,9 +82,9 @@
       if (!backend) break;
       tried.add(backend.box);
       const result = await this._attempt(request, backend, undefined, callerSignal);
-      const last = attempt === MAX_ATTEMPTS - 1;
-      if (result.kind === 'answer' && (last || !OVERLOADED_STATUSES.has(result.status)))
-        return this._routed(result, backend);
+      const isLast = attempt === MAX_ATTEMPTS - 1;
+      if (result.kind === 'answer' && (isLast || !OVERLOADED_STATUSES.has(result.status)))
+        return this._routedResult(result, backend);
       this._releaseLoad(backend);
       refusal = result.kind === 'answer' ? overloadRefusal(result) : refusalOf(result);
       mayHaveRun ||= refusal.outcome === 'unknown';
@@ -99,11 +99,11 @@
    * `unknown` unless it is certain that the request has not run.
    */
   private async _routeOnce(request: CallerRequest, callerSignal: AbortSignal): Promise<RouteResult> {
-    const callerKeyed = request.idempotencyKey !== '';
+    const hasCallerKey = request.idempotencyKey !== '';
     const refuseUnsent = (reason: RefusalReason): RouteResult => {
       const refusal = refusalFor(reason);
       // a request sent earlier with the same key may have run; only the owner of the slot can rule that out
-      return this._refuse(request, callerKeyed ? { ...refusal, outcome: 'unknown' } : refusal);
+      return this._refuse(request, hasCallerKey ? { ...refusal, outcome: 'unknown' } : refusal);
     };
     if (this._options.isIsolated()) return refuseUnsent('isolated');
     let reason: RefusalReason = 'no-backend';
@@ -114,11 +114,11 @@
       if (owned) {
         this._logRouted(request, owned.backend, 'owns-key');
         const result = await this._attempt(owned.request, owned.backend, owned.ledger, callerSignal);
-        if (result.kind === 'answer') return this._routed(result, owned.backend);
+        if (result.kind === 'answer') return this._routedResult(result, owned.backend);
         this._releaseLoad(owned.backend);
         reason = result.reason;
-        const movedOn = reason === 'not-owner' || reason === 'leaving' || !result.reached;
-        if (!movedOn || result.outcome === 'unknown') return this._refuse(request, refusalOf(result));
+        const mayHaveMoved = reason === 'not-owner' || reason === 'leaving' || !result.reached;
+        if (!mayHaveMoved || result.outcome === 'unknown') return this._refuse(request, refusalOf(result));
       }
       await pause(OWNER_LOOKUP_INTERVAL_MILLISECONDS);
     }
@@ -217,7 +217,7 @@
     else if (!callerSignal.aborted) circuit.recordFailure();
   }
 
-  private _routed(answer: AgentAnswer, backend: Backend): RouteResult {
+  private _routedResult(answer: AgentAnswer, backend: Backend): RouteResult {
     let ended = false;
     const done = (): void => {
       if (!ended) this._releaseLoad(backend);
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -30,7 +30,7 @@
   private readonly _request: AdmittedRequest;
   private readonly _trace: RequestTrace;
   private readonly _relay: StreamRelay | undefined;
-  private readonly _received: AnswerReceiver;
+  private readonly _receiver: AnswerReceiver;
   private readonly _current: CurrentAttempt;
   private readonly _attempts: RequestAttempts;
   private readonly _turn: RequestTurn;
@@ -65,7 +65,7 @@
     });
     if (request.route.kind === 'stream')
       this._relay = new StreamRelay(request.exchange, request.lastEventId, context.clock);
-    this._received = new AnswerReceiver(request.exchange, this._relay);
+    this._receiver = new AnswerReceiver(request.exchange, this._relay);
     this._current = new CurrentAttempt(context.clock, this._relay);
   }
 
@@ -86,7 +86,7 @@
     const found = this._attempts.find();
     if (found.kind === 'none') return this._giveUp(noAttemptReasonOf(found)!);
     const { server } = found;
-    this._received.reset();
+    this._receiver.reset();
     const outgoing = this._attempts.outgoing(server, this._relay?.lastEventId ?? '');
     if (this._current.send(server, outgoing, this._listenerFor(server))) this._noteAttempt(server);
     else this._giveUp('all busy');
@@ -121,11 +121,11 @@
     if (headers[names.requestId] !== exchange.requestId) return this._onForeignAnswer(server);
     server.health.noteFirstAnswer(this._current.elapsedMilliseconds);
     recordAnswerHead(server, status, headers, names, model);
-    this._received.onHead(status, headers, headers[names.seal] !== undefined);
+    this._receiver.onHead(status, headers, headers[names.seal] !== undefined);
   }
 
   private _onData(bytes: Buffer): void {
-    if (!this._received.onData(bytes, this._current.call)) this._onForeignAnswer(this._current.call!.server);
+    if (!this._receiver.onData(bytes, this._current.call)) this._onForeignAnswer(this._current.call!.server);
   }
 
   /** Handles an answer that belongs to another request: nothing received over this connection can be trusted. */
@@ -135,18 +135,18 @@
   }
 
   private _onEnd(server: TrackedServer): void {
-    const answer = this._received.answer!;
+    const answer = this._receiver.answer!;
     this._current.clear(server);
-    if (this._received.isForwarding) {
+    if (this._receiver.isForwarding) {
       server.health.note('succeeded');
       this._turn.noteGoodEnd();
       return this._final.endStream(server, answer.status);
     }
-    this._onWholeAnswer(server, answer);
+    this._onCompleteAnswer(server, answer);
   }
 
   /** Classifies a complete answer, and forwards it or retries. */
-  private _onWholeAnswer(server: TrackedServer, answer: PartialAnswer): void {
+  private _onCompleteAnswer(server: TrackedServer, answer: PartialAnswer): void {
     const { status, headers } = answer;
     const kind = classifyAnswer(status, headers, this._context.names);
     if (kind === 'not-run') return this._onRejected(server, status);
@@ -174,7 +174,7 @@
   private _afterFailure(server: TrackedServer, failure: CallFailure): void {
     this._current.clear(server);
     this._trace.attemptFailed(server, failure, this._current.elapsedMilliseconds);
-    if (!failure.sent && !this._handover.isUnderWay) return this._afterUnreachable(server);
+    if (!failure.sent && !this._handover.inProgress) return this._afterUnreachable(server);
     this._mayHaveRun = true;
     if (failure.reason === 'silent') server.health.note('silent');
     else server.health.note('failed');
@@ -185,7 +185,7 @@
   /** Handles a lost connection. If the server has crashed, this is recorded before the request is sent anywhere else. */
   private async _afterDisconnect(server: TrackedServer, failure: CallFailure): Promise<void> {
     if (await this._turn.afterBreak(server.record)) server.health.noteUnreachable();
-    const hasContinued = this._current.call !== undefined || this._handover.isUnderWay;
+    const hasContinued = this._current.call !== undefined || this._handover.inProgress;
     if (!hasContinued && !this._final.ended) this._continueAfter(failure);
   }
 
@@ -204,7 +204,7 @@
 
   /** Continues with the handover in progress, a new attempt or a wait. Returns false if none of these is possible. */
   private _continueElsewhere(): boolean {
-    if (this._handover.isUnderWay || this._final.ended) return true;
+    if (this._handover.inProgress || this._final.ended) return true;
     this._noAttempt = this._takeRetry();
     if (this._noAttempt) return this._waitIfTransient(this._noAttempt);
     this._attempt();
@@ -235,8 +235,8 @@
     if (this._isWaiting) return this._tryAgain();
     const { call } = this._current;
     if (!call) return;
-    if (!this._received.answer && this._attempts.mayBeginTooLate(call.server)) return this._takeBack(call);
-    if (this._handover.isUnderWay || !this._attempts.repeatable) return;
+    if (!this._receiver.answer && this._attempts.mayBeginTooLate(call.server)) return this._takeBack(call);
+    if (this._handover.inProgress || !this._attempts.repeatable) return;
     const { switchingFor } = call.server;
     if (switchingFor === 0) this._retryIfStalled(call);
     else if (this._relay && switchingFor > this._handoverDelay)
@@ -257,7 +257,7 @@
       objective: this._request.route.objectiveMilliseconds,
       serverSilentFor: server.silentFor,
       stream: this._relay !== undefined,
-      streamSilentFor: this._received.answer && this._relay?.begun ? this._relay.silentFor() : undefined,
+      streamSilentFor: this._receiver.answer && this._relay?.begun ? this._relay.silentFor() : undefined,
     });
     if (!stalled || this._takeRetry()) return;
     this._current.abort('silent');
@@ -269,8 +269,8 @@
 
   /** Completes a handover: the other server has sent an event, so the call to the first server is aborted. */
   private _onHandoverReady(call: BackendCall, startedAt: number): void {
-    const { call: former, elapsedMilliseconds: waited } = this._current;
-    if (former) this._trace.attemptFailed(former.server, { sent: true, reason: 'switching' }, waited);
+    const { call: previous, elapsedMilliseconds: elapsed } = this._current;
+    if (previous) this._trace.attemptFailed(previous.server, { sent: true, reason: 'switching' }, elapsed);
     this._current.abort('not-needed');
     this._mayHaveRun = true;
     this._current.adopt(call, startedAt);
@@ -296,7 +296,7 @@
   }
 
   private _onTimeout(): void {
-    const sent = this._mayHaveRun || this._handover.isUnderWay || this._current.call?.sent === true;
+    const sent = this._mayHaveRun || this._handover.inProgress || this._current.call?.sent === true;
     this._current.abort('time-over');
     this._final.timeOut(this._relay?.begun === true, sent);
   }
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -281,7 +281,7 @@
       clock: this._clock,
       random,
       log: this._log,
-      retryBound: {
+      retryLimit: {
         ratio: retryPercent / PERCENT,
         windowMilliseconds: retryWindowMilliseconds,
         slack: retrySlack,
--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -10,7 +10,7 @@
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { HeaderNames } from './headerNames.js';
 import { promptSize } from './promptSize.js';
-import type { RetryBound } from './retryAllowance.js';
+import type { RetryLimit } from './retryAllowance.js';
 import { RetryAllowances } from './retryAllowances.js';
 import { chooseTarget } from './routeIndex.js';
 import type { RouteIndex } from './routeIndex.js';
@@ -23,7 +23,7 @@
   clock: Clock;
   random: Random;
   log: EventLog;
-  retryBound: RetryBound;
+  retryLimit: RetryLimit;
   /** Whether no earlier process of this entry can have used its share of the retries. */
   isFirstStart: boolean;
   entries: () => number;
@@ -54,8 +54,8 @@
 
   constructor(options: AdmissionOptions) {
     this._options = options;
-    const { names, retryBound, clock, entries, isFirstStart } = options;
-    this._retries = new RetryAllowances(retryBound, clock, entries, isFirstStart);
+    const { names, retryLimit, clock, entries, isFirstStart } = options;
+    this._retries = new RetryAllowances(retryLimit, clock, entries, isFirstStart);
     this._droppedHeaders = new Set([
       'authorization',
       names.deadline,
--- a/src/serving/requestHandover.ts
+++ b/src/serving/requestHandover.ts
@@ -41,7 +41,7 @@
     this._listener = listener;
   }
 
-  get isUnderWay(): boolean {
+  get inProgress(): boolean {
     return this._handover !== undefined;
   }
 
--- a/src/serving/retryAfter.ts
+++ b/src/serving/retryAfter.ts
@@ -11,7 +11,7 @@
  * Minimum wait as a share of the maximum wait; the spread keeps callers that were refused together from retrying
  * together.
  */
-const MIN_SPREAD = 0.5;
+const MIN_SHARE = 0.5;
 
 /**
  * Returns the milliseconds to wait before retrying a request that was refused for `reason` and has `leftMilliseconds`
@@ -26,7 +26,7 @@
   waitMilliseconds = 0,
 ): number {
   if (reason === 'ends servers') return SHUT_OUT_MILLISECONDS;
-  const longest = Math.max(0, leftMilliseconds) * MAX_SHARE;
-  const spread = longest * (MIN_SPREAD + (1 - MIN_SPREAD) * fraction);
-  return Math.round(Math.max(spread, Math.min(longest, waitMilliseconds)));
+  const maxWait = Math.max(0, leftMilliseconds) * MAX_SHARE;
+  const randomWait = maxWait * (MIN_SHARE + (1 - MIN_SHARE) * fraction);
+  return Math.round(Math.max(randomWait, Math.min(maxWait, waitMilliseconds)));
 }
--- a/src/serving/retryAllowance.ts
+++ b/src/serving/retryAllowance.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../utils/clock.js';
 
 /** Limit on the retries of all entries. */
-export interface RetryBound {
+export interface RetryLimit {
   /** Number of retries allowed per request. */
   ratio: number;
   windowMilliseconds: number;
@@ -29,7 +29,7 @@
 
 /** Counts requests and retries in slices of the window. One instance per service. */
 export class RetryAllowance {
-  private readonly _bound: RetryBound;
+  private readonly _limit: RetryLimit;
   private readonly _clock: Clock;
   private readonly _entries: () => number;
   private readonly _usageUnknownUntil: number;
@@ -40,12 +40,12 @@
    * milliseconds, an earlier process of this entry may have used its share.
    */
   constructor(
-    bound: RetryBound,
+    limit: RetryLimit,
     clock: Clock,
     entries: () => number,
     usageUnknownUntil = Number.NEGATIVE_INFINITY,
   ) {
-    this._bound = bound;
+    this._limit = limit;
     this._clock = clock;
     this._entries = entries;
     this._usageUnknownUntil = usageUnknownUntil;
@@ -63,7 +63,7 @@
     const whole = this._slices.filter(({ index }) => index > current.index - SLICES_PER_WINDOW);
     const requests = whole.reduce((sum, slice) => sum + slice.requests, 0);
     const retries = this._slices.reduce((sum, slice) => sum + slice.retries, 0);
-    const allowed = SAFETY_FACTOR * (this._bound.ratio * requests + this._slackShare());
+    const allowed = SAFETY_FACTOR * (this._limit.ratio * requests + this._slackShare());
     const available = hasBegun ? allowed : allowed * (1 - RESERVED_FOR_BEGUN);
     if (retries + 1 > available) return false;
     current.retries++;
@@ -77,11 +77,11 @@
    */
   private _slackShare(): number {
     if (this._clock.now() < this._usageUnknownUntil) return 0;
-    return this._bound.slack / Math.max(1, this._entries());
+    return this._limit.slack / Math.max(1, this._entries());
   }
 
   private _current(): Slice {
-    const index = Math.floor(this._clock.now() / (this._bound.windowMilliseconds / SLICES_PER_WINDOW));
+    const index = Math.floor(this._clock.now() / (this._limit.windowMilliseconds / SLICES_PER_WINDOW));
     this._slices = this._slices.filter((slice) => slice.index >= index - SLICES_PER_WINDOW);
     let slice = this._slices.at(-1);
     if (slice?.index !== index) {
--- a/src/serving/retryAllowances.ts
+++ b/src/serving/retryAllowances.ts
@@ -1,6 +1,6 @@
 /** Holds the retry allowance of each service, for the lifetime of the process. */
 import type { Clock } from '../utils/clock.js';
-import type { RetryBound } from './retryAllowance.js';
+import type { RetryLimit } from './retryAllowance.js';
 import { RetryAllowance } from './retryAllowance.js';
 
 /**
@@ -12,7 +12,7 @@
 const ENTRY_COUNT_WINDOWS = 3;
 
 export class RetryAllowances {
-  private readonly _bound: RetryBound;
+  private readonly _limit: RetryLimit;
   private readonly _clock: Clock;
   private readonly _entries: () => number;
   private readonly _usageUnknownUntil: number;
@@ -24,20 +24,20 @@
    * `entries` returns the number of entries that currently share the limit. `isFirstStart` tells that no earlier
    * process of this entry has used any retries.
    */
-  constructor(bound: RetryBound, clock: Clock, entries: () => number, isFirstStart = false) {
-    this._bound = bound;
+  constructor(limit: RetryLimit, clock: Clock, entries: () => number, isFirstStart = false) {
+    this._limit = limit;
     this._clock = clock;
     this._entries = entries;
     this._usageUnknownUntil = isFirstStart
       ? Number.NEGATIVE_INFINITY
-      : clock.now() + bound.windowMilliseconds;
+      : clock.now() + limit.windowMilliseconds;
   }
 
   of(service: string): RetryAllowance {
     let allowance = this._byService.get(service);
     if (!allowance) {
       const entries = (): number => this._maxRecentEntries();
-      allowance = new RetryAllowance(this._bound, this._clock, entries, this._usageUnknownUntil);
+      allowance = new RetryAllowance(this._limit, this._clock, entries, this._usageUnknownUntil);
       this._byService.set(service, allowance);
     }
     return allowance;
@@ -47,8 +47,8 @@
   private _maxRecentEntries(): number {
     const now = this._clock.now();
     const entries = this._entries();
-    const until = now + ENTRY_COUNT_WINDOWS * this._bound.windowMilliseconds;
-    const larger = this._entryCounts.filter((number) => number.entries > entries && number.until > now);
+    const until = now + ENTRY_COUNT_WINDOWS * this._limit.windowMilliseconds;
+    const larger = this._entryCounts.filter((count) => count.entries > entries && count.until > now);
     this._entryCounts = [...larger, { entries, until }];
     return this._entryCounts[0].entries;
   }
