--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -45,7 +45,7 @@
 
 /** Maximum number of boxes that a repeatable request is sent to. */
 const MAX_ATTEMPTS = 4;
-/** Refusals after which a retry does not use the retry budget: the request has not run, and the box is not serving. */
+/** Refusals after which a retry is not charged to the retry budget: nothing has run, and the box is not serving. */
 const UNBUDGETED_RETRY_REASONS: ReadonlySet<RefusalReason> = new Set([
   'leaving',
   'not-serving',
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Sends a non-repeatable request to the agent incarnation that owns the slot of its key. The outcome of a refusal is
-   * `unknown` unless it is certain that the request has not run.
+   * Sends a non-repeatable request to the agent incarnation that owns the slot of its key. The outcome of a refusal
+   * is `unknown` unless it is certain that the request has not run.
    */
   private async _routeOnce(request: CallerRequest, callerSignal: AbortSignal): Promise<RouteResult> {
     const hasCallerKey = request.idempotencyKey !== '';
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Returns the owner of the request's slot. A request without a key gets a new key, and any slot whose owner takes
-   * requests.
+   * Returns the owner of the slot of the request's key. A request without a key gets a new one, in any slot whose
+   * owner takes requests.
    */
   private _ownerFor(
     request: CallerRequest,
--- a/src/routing/circuitBreaker.ts
+++ b/src/routing/circuitBreaker.ts
@@ -1,4 +1,4 @@
-/** Circuit breaker of a box: closed, open for a while after repeated failures, then half-open. */
+/** Circuit breaker of a box: opens for a while after repeated failures, then lets requests through again. */
 import type { Clock } from '../utils/clock.js';
 
 const FAILURE_THRESHOLD = 3;
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -74,7 +74,7 @@
     if (exchange.ended) return this._onCallerDisconnect();
     exchange.onCallerDisconnect(() => this._onCallerDisconnect());
     this._timeout = setTimeout(() => this._onTimeout(), Math.max(0, this._attempts.remainingMilliseconds));
-    // the head of a stream shows that it has begun; other non-repeatable requests stay at their server until they end
+    // of the non-repeatable requests only streams are watched: the head of a stream shows whether it has begun
     if (this._attempts.repeatable || this._relay) this._stopWatching = watchInterval.add(() => this._watch());
     this._attempt();
   }
@@ -128,7 +128,7 @@
     if (!this._receiver.onData(bytes, this._current.call)) this._onForeignAnswer(this._current.call!.server);
   }
 
-  /** Handles an answer that belongs to another request: nothing received over this connection can be trusted. */
+  /** Handles an answer to another request, or one that is too large: the connection can no longer be used. */
   private _onForeignAnswer(server: TrackedServer): void {
     this._current.abort('foreign-answer');
     this._afterFailure(server, { sent: true, reason: 'foreign-answer' });
@@ -145,7 +145,7 @@
     this._onCompleteAnswer(server, answer);
   }
 
-  /** Classifies a complete answer, and forwards it or retries. */
+  /** Forwards a complete answer to the caller, or retries on another server, depending on what the answer means. */
   private _onCompleteAnswer(server: TrackedServer, answer: PartialAnswer): void {
     const { status, headers } = answer;
     const kind = classifyAnswer(status, headers, this._context.names);
@@ -182,7 +182,7 @@
     else this._continueAfter(failure);
   }
 
-  /** Handles a lost connection. If the server has crashed, this is recorded before the request is sent anywhere else. */
+  /** Handles a lost connection. A crash of the server is recorded before the request is sent anywhere else. */
   private async _afterDisconnect(server: TrackedServer, failure: CallFailure): Promise<void> {
     if (await this._turn.afterBreak(server.record)) server.health.noteUnreachable();
     const hasContinued = this._current.call !== undefined || this._handover.inProgress;
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -62,14 +62,15 @@
 
   /**
    * Finds the best server that has not been tried. `isHandover` tells that the request is still running on another
-   * server. Once its answer has begun, a request no longer needs its first answer within the latency objective, and
-   * may be sent again to a server that has not run it.
+   * server. Once its answer has begun, a request is no longer subject to the latency objective, and may be sent again
+   * to a server that has not run it.
    */
   find(isHandover = false): ServerFound {
     const { service, model } = this._request;
     const { gate, pool } = this._context;
     const preferredVersion = gate.preferred(model);
-    // a stream handed over to an older version close to the bound would have to move again, and might begin too late
+    // a stream handed over to an older version shortly before that version's bound would have to move again, and
+    // might begin too late
     const lowestForHandover = isHandover ? preferredVersion : 0;
     const found = pool.find({
       service,
@@ -97,7 +98,7 @@
     });
   }
 
-  /** Whether the request might begin on the version of `server` only after the bound for that version. */
+  /** Whether the request might begin only after the bound, the time after which none may begin on that version. */
   mayBeginTooLate(server: TrackedServer): boolean {
     const { model } = this._request;
     const mayBeDelayed = server.slowLink || server.agentSilent;
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -82,10 +82,7 @@
     this._log.decision('request.not-handed-over', { request: this._id, server: server.record.id, reason });
   }
 
-  /**
-   * Logs that a stream that has begun waits to be resumed on another server. Repeats of the same reason are
-   * skipped.
-   */
+  /** Logs that a begun stream waits to be resumed on another server. Repeats of the same reason are skipped. */
   waiting(reason: NoAttemptReason): void {
     if (this._waitReason === reason) return;
     this._waitReason = reason;
--- a/src/serving/retryAfter.ts
+++ b/src/serving/retryAfter.ts
@@ -2,15 +2,9 @@
 import { SHUT_OUT_MILLISECONDS } from '../crashes/standing.js';
 import type { NoAttemptReason } from './noAttemptReason.js';
 
-/**
- * Maximum wait as a share of the remaining time: a third, less a margin because the caller has a little less time
- * left.
- */
+/** Maximum wait as a share of the remaining time: a third, less a margin for the time the answer takes to arrive. */
 const MAX_SHARE = 0.32;
-/**
- * Minimum wait as a share of the maximum wait; the spread keeps callers that were refused together from retrying
- * together.
- */
+/** Minimum wait as a share of the maximum wait; the range spreads out callers that were refused together. */
 const MIN_SHARE = 0.5;
 
 /**
--- a/tests/crashingRequest.spec.ts
+++ b/tests/crashingRequest.spec.ts
@@ -1,8 +1,8 @@
 /**
  * Guards against a request that crashes every server that runs it. Its caller sent it again under a new id each
  * time, and since entries recognised requests by id alone, each try was sent to two more servers, by any entry. 119
- * servers crashed within 92 seconds, each at most 0.11 s after it began to run the request; in the ten seconds on
- * record 391 of 937 tries of all callers were refused, cut or failed.
+ * servers crashed within 92 seconds; those of the try that settled the cause did so within 0.11 s of beginning to
+ * run it. In the ten seconds on record 391 of 937 tries of all callers were refused, cut or failed.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
