--- a/src/requests/ledgerSlots.ts
+++ b/src/requests/ledgerSlots.ts
@@ -81,8 +81,8 @@
 }
 
 /** Whether the next owner of a slot is blind: the previous owner was lost, or was blind itself when it handed over. */
-function isBlind(before: SlotOwner | undefined, fateOf: (owner: SlotOwner) => OwnerStatus): boolean {
-  return before !== undefined && (fateOf(before) === 'lost' || before.blind);
+function isBlind(before: SlotOwner | undefined, statusOf: (owner: SlotOwner) => OwnerStatus): boolean {
+  return before !== undefined && (statusOf(before) === 'lost' || before.blind);
 }
 
 /** Returns `box/incarnation`, which identifies one agent process. */
--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -61,10 +61,10 @@
     connection: BackendConnection,
     release: (reusable: boolean) => void,
     listener: BackendCallListener,
-    prompts: number,
+    promptSize: number,
   ) {
     this.server = server;
-    this._promptSize = prompts;
+    this._promptSize = promptSize;
     this._connection = connection;
     this._release = release;
     this._listener = listener;
--- a/src/serving/outgoingRequest.ts
+++ b/src/serving/outgoingRequest.ts
@@ -21,14 +21,14 @@
   names: HeaderNames,
   parameters: AttemptParameters,
 ): BackendRequest {
-  const { method, path, headers, body, model, promptSize: prompts } = request;
-  const { server, remainingMilliseconds: leftMilliseconds, lastEventId, newestVersion } = parameters;
-  const own = [names.deadline, String(Math.max(1, Math.floor(leftMilliseconds)))];
+  const { method, path, headers, body, model, promptSize } = request;
+  const { server, remainingMilliseconds, lastEventId, newestVersion } = parameters;
+  const own = [names.deadline, String(Math.max(1, Math.floor(remainingMilliseconds)))];
   own.push(names.expectedServer, server.record.id);
   if (lastEventId !== '') own.push(names.lastEventId, lastEventId);
   const version = server.version(model);
   // a server that has switched to a newer version meanwhile rejects the request, which tells this entry that its view
   // of the server is out of date
   if (model !== '' && newestVersion > version) own.push(names.expectedVersion, String(version));
-  return { method, path, headers: [...headers, ...own], body, promptSize: prompts };
+  return { method, path, headers: [...headers, ...own], body, promptSize };
 }
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -99,14 +99,14 @@
     const milliseconds = Math.round(this._clock.now() - this._startedAt);
     this._metrics.requestEnded(this._request.service, outcome, milliseconds);
     const { name: route, objectiveMilliseconds } = this._request.route;
-    const firstEventAt = stream?.firstEventAt ?? 0;
+    const firstBytesAt = stream?.firstBytesAt ?? 0;
     this._log.decision(`request.${outcome}`, {
       request: this._id,
       route,
       attempts,
       milliseconds,
       objectiveMilliseconds,
-      firstMilliseconds: firstEventAt > 0 ? Math.round(firstEventAt - this._startedAt) : undefined,
+      firstMilliseconds: firstBytesAt > 0 ? Math.round(firstBytesAt - this._startedAt) : undefined,
       pauseMilliseconds: stream ? Math.round(stream.longestPause) : undefined,
       ...fields,
     });
--- a/src/serving/streamRelay.ts
+++ b/src/serving/streamRelay.ts
@@ -17,7 +17,7 @@
   private _heardAt = 0;
   /** When the current server last sent bytes. */
   private _serverHeardAt = 0;
-  private _firstEventAt = 0;
+  private _firstBytesAt = 0;
   private _longestPause = 0;
 
   /** `lastEventId` is the id of the last event that the caller has received, '' for none. */
@@ -37,8 +37,8 @@
   }
 
   /** Monotonic milliseconds of the first bytes of the body, 0 before them. */
-  get firstEventAt(): number {
-    return this._firstEventAt;
+  get firstBytesAt(): number {
+    return this._firstBytesAt;
   }
 
   /** Longest time between two parts of the body, in milliseconds. */
@@ -63,8 +63,8 @@
   /** Forwards the events that `bytes` complete. Returns false when the caller reads too slowly. */
   push(bytes: Buffer): boolean {
     const now = this._clock.now();
-    if (this._firstEventAt > 0) this._longestPause = Math.max(this._longestPause, now - this._heardAt);
-    else this._firstEventAt = now;
+    if (this._firstBytesAt > 0) this._longestPause = Math.max(this._longestPause, now - this._heardAt);
+    else this._firstBytesAt = now;
     this._heardAt = now;
     this._serverHeardAt = now;
     let canTakeMore = true;
