--- a/src/serving/admittedRequest.ts
+++ b/src/serving/admittedRequest.ts
@@ -14,7 +14,7 @@
   fingerprint: () => string;
   method: string;
   path: string;
-  /** Headers to forward, as names and values in turn, without those that differ between attempts. */
+  /** Headers to forward, names and values alternating, without those that differ between attempts. */
   headers: string[];
   body: Buffer | undefined;
   /** Size of the prompt relative to the service's mean prompt; 1 when the caller does not give it. */
--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -20,9 +20,7 @@
  */
 export type AnswerClass = 'not-run' | 'answered' | 'failed' | 'unclear';
 
-/**
- * Statuses that imply that the request has not run; without the server's explicit statement they are not forwarded.
- */
+/** Statuses that imply that the request has not run. They are not forwarded without an explicit statement of that. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const SERVER_ERROR = 500;
 const REDIRECTION = 300;
--- a/src/serving/answerHead.ts
+++ b/src/serving/answerHead.ts
@@ -4,9 +4,7 @@
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/**
- * Status by which a server says that the request is meant for another server, or for another version of the model.
- */
+/** Status of a server for which the request was not meant, or which has another version of the model. */
 export const MISDIRECTED_REQUEST = 421;
 
 /** Records status and headers of an answer of `server`. `model` is '' for requests without one. */
--- a/src/serving/answerReceiver.ts
+++ b/src/serving/answerReceiver.ts
@@ -35,10 +35,7 @@
     this._answer = undefined;
   }
 
-  /**
-   * Receives the head. `sealed` tells whether it carries a server's seal, the proof that the server ran the
-   * request.
-   */
+  /** Receives the head. `sealed` tells whether it carries the seal, the proof that a server ran the request. */
   onHead(status: number, headers: AnswerHeaders, sealed: boolean): void {
     this._answer = { status, headers, body: [], length: 0 };
     this._isSealed = sealed;
--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -27,7 +27,7 @@
   onFailed(failure: CallFailure): void;
 }
 
-/** Details of a failed attempt; they are written to the log under these names. */
+/** Details of a failed attempt; logged under these names. */
 export interface CallFailure {
   /** False when it is certain that nothing reached the server. */
   sent: boolean;
@@ -101,9 +101,7 @@
     if (!this._ended) this._controller?.resume();
   }
 
-  /**
-   * Aborts the attempt and resets its connection, so that the server stops processing. The listener is not called.
-   */
+  /** Aborts the attempt and resets its connection, so that the server stops working. The listener is not called. */
   abort(reason: AbortReason): void {
     if (this._ended) return;
     this._aborted = reason;
--- a/src/serving/callerExchange.ts
+++ b/src/serving/callerExchange.ts
@@ -139,10 +139,7 @@
   }
 }
 
-/**
- * Returns the headers of a request to forward, names and values in turn, without hop-by-hop ones and those in
- * `drop`.
- */
+/** Returns the headers to forward, names and values alternating, without hop-by-hop headers and those in `drop`. */
 export function forwardedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
   const connectionNamed = new Set(
     String(request.headers.connection ?? '')
--- a/src/serving/promptSize.ts
+++ b/src/serving/promptSize.ts
@@ -3,10 +3,7 @@
 /** Size of a prompt whose number of tokens is unknown. */
 const DEFAULT_SIZE = 1;
 
-/**
- * Returns the size relative to `usualTokens`. The value of the tokens header begins with the number of prompt
- * tokens.
- */
+/** Returns the size relative to `usualTokens`. The tokens header begins with the number of prompt tokens. */
 export function promptSize(tokensHeader: string | string[] | undefined, usualTokens: number): number {
   const tokens = Number.parseInt(String(tokensHeader ?? ''), 10);
   if (!(tokens > 0) || usualTokens <= 0) return DEFAULT_SIZE;
--- a/src/serving/streamHandover.ts
+++ b/src/serving/streamHandover.ts
@@ -1,7 +1,4 @@
-/**
- * Moves a stream to another server without a pause: the first server goes on sending until the second has sent an
- * event.
- */
+/** Moves a stream to another server without a pause: the first server keeps sending until the second has started. */
 import { recordAnswerHead } from './answerHead.js';
 import { classifyAnswer } from './answerClassification.js';
 import type { AnswerHeaders, BackendCallListener, BackendRequest, CallFailure } from './backendCall.js';
@@ -20,10 +17,7 @@
   model: string;
   /** Receives the whole answer of the second server, from its head on, once that server has sent its first event. */
   listener: BackendCallListener;
-  /**
-   * The second server has sent its first event: the call to the first server can be aborted, and `call` replaces
-   * it.
-   */
+  /** The second server has sent its first event; `call` now replaces the call to the first server. */
   onReady: (call: BackendCall) => void;
   /** The second server failed, or timed out, before its first event. */
   onFailed: (failure: CallFailure) => void;
@@ -52,9 +46,7 @@
     );
   }
 
-  /**
-   * Sends the request. Returns undefined when all connections to the server are in use, or when it failed at once.
-   */
+  /** Sends the request. Returns undefined when all connections are in use, or when the call failed immediately. */
   static begin(options: StreamHandoverOptions): StreamHandover | undefined {
     const handover = new StreamHandover(options);
     options.server.streamBegan();
--- a/src/serving/streamRelay.ts
+++ b/src/serving/streamRelay.ts
@@ -1,7 +1,4 @@
-/**
- * Forwards the events of a stream in order and exactly once, even when they come from several backend servers in
- * turn.
- */
+/** Forwards the events of a stream in order and exactly once, even when several backend servers send them in turn. */
 import type { Clock } from '../utils/clock.js';
 import type { AnswerHeaders } from './backendCall.js';
 import type { CallerExchange } from './callerExchange.js';
