--- a/src/serving/retryAllowances.ts
+++ b/src/serving/retryAllowances.ts
@@ -4,10 +4,9 @@
 import { RetryAllowance } from './retryAllowance.js';
 
 /**
- * Number of windows for which an entry still counts after it is no longer heard of. Its retries remain in the
- * window for one, and behind a network partition it goes on using its share: without this rule two halves of six
- * entries, each of which takes the whole slack, reach 1.06 of the limit in spite of the safety factor
- * (tests/retryBound.spec.ts).
+ * Number of windows for which an entry that has become silent still counts. Its retries stay in the current window,
+ * and behind a network partition it continues to use its share: without this rule two halves of six entries, each
+ * of which uses the whole slack, reach 1.06 of the limit in spite of the safety factor (tests/retryBound.spec.ts).
  */
 const ENTRY_COUNT_WINDOWS = 3;
 
--- a/tests/streamResumption.spec.ts
+++ b/tests/streamResumption.spec.ts
@@ -258,7 +258,7 @@
   expect([(await asked).status, fixture.arrivals]).toEqual([503, 2]);
 });
 
-test('should restart the silence of a stream when another server begins to answer', () => {
+test('should measure the silence of a stream from the answer of its current server', () => {
   const clock = new ManualClock();
   const exchange = { begin: () => undefined, write: () => true } as unknown as CallerExchange;
   const relay = new StreamRelay(exchange, '', clock);
