--- a/src/requests/agentClient.ts
+++ b/src/requests/agentClient.ts
@@ -7,7 +7,7 @@
 import type { CallerRequest } from './callerRequest.js';
 import type { RefusalReason } from './refusals.js';
 
-/** The ledger slot that a request without repetition is meant for. */
+/** The ledger slot, and its owner's incarnation, to which a non-repeatable request is addressed. */
 export interface LedgerTarget {
   slot: number;
   slotEpoch: number;
@@ -25,7 +25,7 @@
   load: number | undefined;
 }
 
-/** What came of an attempt. `reached` tells whether the agent itself spoke. */
+/** Result of an attempt. `reached` tells whether the refusal comes from the agent itself. */
 export type AttemptResult =
   | AgentAnswer
   | {
@@ -38,22 +38,25 @@
       load: number | undefined;
     };
 
-/** One attempt. */
+/** One attempt to send a request to a box. */
 export interface Attempt {
   request: CallerRequest;
   backend: Backend;
-  /** Present when the request is not repeatable. */
+  /** Set only when the request is not repeatable. */
   ledger: LedgerTarget | undefined;
   deadlineMilliseconds: number | undefined;
   signal: AbortSignal;
 }
 
-/** Holds the connections to agents. */
+/** Sends requests to agents over pooled connections. */
 export class AgentClient {
   private readonly _token: string;
   private readonly _dispatcher: Agent;
 
-  /** `token` proves this entry; `firstByteMilliseconds` bounds the wait for an answer to begin. */
+  /**
+   * `token` authenticates this entry to agents. `firstByteMilliseconds` limits the wait for the headers of an answer,
+   * and for each further part of its body.
+   */
   constructor(token: string, firstByteMilliseconds: number) {
     this._token = token;
     this._dispatcher = new Agent({
@@ -65,7 +68,7 @@
     });
   }
 
-  /** Never throws. */
+  /** Sends the attempt. Never throws; failures are returned as refusals. */
   async send(attempt: Attempt): Promise<AttemptResult> {
     const { request, backend } = attempt;
     const url = `http://${backend.address}:${backend.httpPort}/requests${request.path}`;
@@ -75,18 +78,18 @@
     try {
       const answer = await httpRequest(url, {
         method: request.method as 'POST',
-        headers: headersOf(attempt, this._token),
+        headers: requestHeaders(attempt, this._token),
         body: request.body.length > 0 ? request.body : undefined,
         dispatcher: this._dispatcher,
         signal: AbortSignal.any([attempt.signal, boxLost.signal]),
       });
-      return await resultOf(answer, request);
+      return await toAttemptResult(answer, request);
     } catch (error) {
       const neverSent = wasNeverSent(error);
       const reason = neverSent ? 'backend-unreachable' : 'backend-lost';
-      return unreached(reason, neverSent ? 'not-run' : 'unknown');
+      return unreachedResult(reason, neverSent ? 'not-run' : 'unknown');
     } finally {
-      // an answer that has begun may still end over its own connection
+      // once an answer has begun it may complete over its own connection even if the box counts as lost
       backend.lost.removeEventListener('abort', onLost);
     }
   }
@@ -94,7 +97,7 @@
 
 type HttpAnswer = Awaited<ReturnType<typeof httpRequest>>;
 
-function headersOf(
+function requestHeaders(
   { request, ledger, deadlineMilliseconds }: Attempt,
   token: string,
 ): Record<string, string> {
@@ -120,14 +123,14 @@
   };
 }
 
-/** An answer that is not to this very request is never passed on. */
-async function resultOf(answer: HttpAnswer, request: CallerRequest): Promise<AttemptResult> {
+/** Converts an HTTP answer. An answer whose request id or customer does not match the request is treated as lost. */
+async function toAttemptResult(answer: HttpAnswer, request: CallerRequest): Promise<AttemptResult> {
   const text = (name: string): string => String(answer.headers[name] ?? '');
   const load =
     text(HEADER.inFlight) === '' ? undefined : Number(text(HEADER.inFlight)) + Number(text(HEADER.queued));
   if (text(HEADER.requestId) !== request.id || text(HEADER.customer) !== request.name.customer) {
     answer.body.destroy();
-    return unreached('backend-lost', 'unknown');
+    return unreachedResult('backend-lost', 'unknown');
   }
   if (text(HEADER.outcome) === 'answered') {
     const { statusCode: status, body } = answer;
@@ -152,7 +155,7 @@
   };
 }
 
-function unreached(reason: RefusalReason, outcome: Outcome): AttemptResult {
+function unreachedResult(reason: RefusalReason, outcome: Outcome): AttemptResult {
   const status = reason === 'backend-unreachable' ? 503 : 502;
   return {
     kind: 'refused',
--- a/src/requests/callerRequest.ts
+++ b/src/requests/callerRequest.ts
@@ -1,4 +1,4 @@
-/** A caller's request after its headers have been checked. */
+/** A caller's request, and validation of the headers that control how it runs. */
 import type http from 'node:http';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -8,52 +8,52 @@
 import { HEADER } from '../protocol/headers.js';
 import type { Priority } from '../protocol/headers.js';
 
-/** What the caller wants, apart from the body. */
-export interface CallerTerms {
-  /** May the system run it again when it cannot tell whether it ran? */
+/** Options that the caller sets in headers. */
+export interface CallerOptions {
+  /** Whether the request may run again when it is unknown whether it has run. */
   repeatable: boolean;
-  /** The caller's own key, or ''. */
+  /** The caller's idempotency key, '' for none. */
   idempotencyKey: string;
   priority: Priority;
-  /** Milliseconds from arrival; undefined for none. */
+  /** Milliseconds from arrival; undefined for no deadline. */
   deadlineMilliseconds: number | undefined;
 }
 
-/** A request on its way to a box. */
-export interface CallerRequest extends CallerTerms {
+/** A validated request to be routed to a box. */
+export interface CallerRequest extends CallerOptions {
   id: string;
   name: ConfigurationName;
   method: string;
-  /** Path and query at the backend server. */
+  /** Path and query to request from the backend server. */
   path: string;
   contentType: string;
   body: Buffer;
-  /** Hash key of customer and prompt prefix, or ''. */
+  /** Hash key of customer and prompt prefix, '' for none. */
   affinity: string;
   arrivedAt: number;
 }
 
-const LONGEST_DEADLINE_MILLISECONDS = 3_600_000;
-const DEADLINE_ALLOWED = 'whole milliseconds from 1 to 3600000';
+const MAX_DEADLINE_MILLISECONDS = 3_600_000;
+const DEADLINE_FORMAT = 'whole milliseconds from 1 to 3600000';
 
-const termsSchema = z.object({
+const callerOptionsSchema = z.object({
   [HEADER.repeatable]: z.enum(['yes', 'no'], 'yes or no').optional(),
   [HEADER.idempotencyKey]: z.string().max(200, 'at most 200 characters').default(''),
   [HEADER.priority]: z.enum(['high', 'normal', 'low'], 'high, normal or low').default('normal'),
   [HEADER.deadline]: z.coerce
-    .number(DEADLINE_ALLOWED)
-    .int(DEADLINE_ALLOWED)
-    .min(1, DEADLINE_ALLOWED)
-    .max(LONGEST_DEADLINE_MILLISECONDS, DEADLINE_ALLOWED)
+    .number(DEADLINE_FORMAT)
+    .int(DEADLINE_FORMAT)
+    .min(1, DEADLINE_FORMAT)
+    .max(MAX_DEADLINE_MILLISECONDS, DEADLINE_FORMAT)
     .optional(),
 });
 
-/** Reads the headers that a caller may set; without `Larklatch-Repeatable` the `standard` holds. */
-export function readTerms(
+/** Validates the headers that a caller may set. Without `Larklatch-Repeatable`, `defaultRepeatable` applies. */
+export function parseCallerOptions(
   headers: http.IncomingHttpHeaders,
-  standard: boolean,
-): Result<CallerTerms, FieldProblem[]> {
-  const parsed = termsSchema.safeParse(headers);
+  defaultRepeatable: boolean,
+): Result<CallerOptions, FieldProblem[]> {
+  const parsed = callerOptionsSchema.safeParse(headers);
   if (!parsed.success) {
     return err(
       parsed.error.issues.map((issue) => {
@@ -62,12 +62,12 @@
       }),
     );
   }
-  const terms = parsed.data;
-  const repeatable = terms[HEADER.repeatable];
+  const options = parsed.data;
+  const repeatable = options[HEADER.repeatable];
   return ok({
-    repeatable: repeatable === undefined ? standard : repeatable === 'yes',
-    idempotencyKey: terms[HEADER.idempotencyKey],
-    priority: terms[HEADER.priority],
-    deadlineMilliseconds: terms[HEADER.deadline],
+    repeatable: repeatable === undefined ? defaultRepeatable : repeatable === 'yes',
+    idempotencyKey: options[HEADER.idempotencyKey],
+    priority: options[HEADER.priority],
+    deadlineMilliseconds: options[HEADER.deadline],
   });
 }
--- a/src/requests/fairQueue.ts
+++ b/src/requests/fairQueue.ts
@@ -5,11 +5,11 @@
 import type { Clock } from '../utils/clock.js';
 
 /** Why a request was not admitted. */
-export type AdmissionRefusal = 'queue-full' | 'deadline-too-close';
+export type AdmissionRefusalReason = 'queue-full' | 'deadline-too-close';
 
-/** A refusal and when to come back, in milliseconds from now. */
-export interface Refused {
-  reason: AdmissionRefusal;
+/** A refusal, with the milliseconds after which the caller should retry. */
+export interface AdmissionRefusal {
+  reason: AdmissionRefusalReason;
   retryAfterMilliseconds: number;
 }
 
@@ -18,21 +18,21 @@
   customer: string;
   weight: number;
   priority: Priority;
-  /** Milliseconds from now within which the answer is of use; undefined for no limit. */
+  /** Milliseconds from now until the answer is no longer useful; undefined for no deadline. */
   deadlineMilliseconds: number | undefined;
 }
 
-/** A place in the queue or a slot. `release` ends it, in either state, and may be called twice. */
+/** A queued or running request. `release` removes it from the queue or frees its slot; further calls have no effect. */
 export interface Admission {
-  /** Resolves true once the request may run, false when its deadline passed while it waited. */
+  /** Resolves to true once the request may run, to false when its deadline passed or it was released while queued. */
   ready: Promise<boolean>;
   release(): void;
 }
 
-/** Sizes of the queue. */
+/** Options of a queue. */
 export interface FairQueueOptions {
   slots: number;
-  /** Requests that may wait, per customer. */
+  /** Maximum number of queued requests per customer. */
   waitingPerCustomer: number;
   clock: Clock;
 }
@@ -43,24 +43,24 @@
   start: (admitted: boolean) => void;
 }
 
-/** The requests of one customer, and how much of its share the customer has used. */
+/** Queued and running requests of one customer, and the customer's virtual time. */
 interface CustomerQueue {
   waiting: Record<Priority, Waiting[]>;
   running: number;
-  /** Virtual time at which the customer's next request is due. */
+  /** Virtual start time of the customer's next request. */
   virtualTime: number;
 }
 
 const PRIORITIES: readonly Priority[] = ['high', 'normal', 'low'];
-/** Weight of a new sample in the moving average of service times. */
-const AVERAGE_WEIGHT = 0.1;
-const FIRST_SERVICE_MILLISECONDS = 50;
-const SHORTEST_RETRY_MILLISECONDS = 200;
+/** Weight of a new sample in the exponential moving average of service times. */
+const MOVING_AVERAGE_WEIGHT = 0.1;
+const INITIAL_SERVICE_MILLISECONDS = 50;
+const MIN_RETRY_AFTER_MILLISECONDS = 200;
 
 /**
- * Start-time fair queueing: the customer whose virtual time is lowest runs next; each run moves it on by one over
- * its weight. A customer that was idle starts at the present virtual time, so it cannot save up. A refusal is given
- * at once, when the queue of the customer is full or the expected wait is past the deadline.
+ * Start-time fair queueing: the customer with the lowest virtual time runs next, and each run advances its virtual time
+ * by 1 / weight. An idle customer resumes at the current virtual time, so it cannot accumulate credit. A request is
+ * refused on arrival when its customer's queue is full or the expected wait exceeds its deadline.
  */
 export class FairQueue {
   private readonly _options: FairQueueOptions;
@@ -68,7 +68,7 @@
   private _running = 0;
   private _waitingCount = 0;
   private _virtualNow = 0;
-  private _serviceMilliseconds = FIRST_SERVICE_MILLISECONDS;
+  private _serviceMilliseconds = INITIAL_SERVICE_MILLISECONDS;
 
   constructor(options: FairQueueOptions) {
     this._options = options;
@@ -86,33 +86,33 @@
     return this._options.slots;
   }
 
-  /** Admits a request to a slot or the queue, or refuses it at once. */
-  admit(request: AdmissionRequest): Result<Admission, Refused> {
+  /** Starts or queues a request, or refuses it. */
+  admit(request: AdmissionRequest): Result<Admission, AdmissionRefusal> {
     const customer = this._customer(request.customer);
-    const queued = waitingOf(customer);
+    const queued = waitingCountOf(customer);
     const expectedWait = this._expectedWait(customer, queued, request.weight);
-    if (queued >= this._options.waitingPerCustomer) return err(refused('queue-full', expectedWait));
+    if (queued >= this._options.waitingPerCustomer) return err(refusal('queue-full', expectedWait));
     const deadline = request.deadlineMilliseconds;
     if (deadline !== undefined && expectedWait + this._serviceMilliseconds > deadline) {
-      return err(refused('deadline-too-close', expectedWait));
+      return err(refusal('deadline-too-close', expectedWait));
     }
     return ok(this._enqueue(customer, request));
   }
 
-  /** Expected wait of a request that would be the next of its customer, in milliseconds. */
+  /** Expected wait, in milliseconds, of a request appended to the customer's queue. */
   private _expectedWait(customer: CustomerQueue, queued: number, weight: number): number {
     if (this._running < this._options.slots && queued === 0) return 0;
     const share = Math.max(1, this._options.slots * this._shareOf(customer, weight));
     return ((queued + 1) * this._serviceMilliseconds) / share;
   }
 
-  /** The part of the slots that a customer gets beside the others that are busy now. */
+  /** Share of the slots that the customer gets next to the other active customers, each counted with weight 1. */
   private _shareOf(customer: CustomerQueue, weight: number): number {
-    let busy = 1;
+    let activeCustomers = 1;
     for (const other of this._customers.values()) {
-      if (other !== customer && waitingOf(other) + other.running > 0) busy++;
+      if (other !== customer && waitingCountOf(other) + other.running > 0) activeCustomers++;
     }
-    return Math.min(1, weight / (weight + busy - 1));
+    return Math.min(1, weight / (weight + activeCustomers - 1));
   }
 
   private _enqueue(customer: CustomerQueue, request: AdmissionRequest): Admission {
@@ -129,7 +129,7 @@
       };
     });
     const item: Waiting = { request, expiresAt, start };
-    if (waitingOf(customer) === 0 && customer.running === 0) {
+    if (waitingCountOf(customer) === 0 && customer.running === 0) {
       customer.virtualTime = Math.max(customer.virtualTime, this._virtualNow);
     }
     customer.waiting[request.priority].push(item);
@@ -156,8 +156,12 @@
   private _finish(customer: CustomerQueue, name: string, milliseconds: number): void {
     customer.running--;
     this._running--;
-    this._serviceMilliseconds += AVERAGE_WEIGHT * (milliseconds - this._serviceMilliseconds);
-    if (customer.running === 0 && waitingOf(customer) === 0 && customer.virtualTime <= this._virtualNow) {
+    this._serviceMilliseconds += MOVING_AVERAGE_WEIGHT * (milliseconds - this._serviceMilliseconds);
+    if (
+      customer.running === 0 &&
+      waitingCountOf(customer) === 0 &&
+      customer.virtualTime <= this._virtualNow
+    ) {
       this._customers.delete(name);
     }
     this._runNext();
@@ -165,7 +169,7 @@
 
   private _runNext(): void {
     while (this._running < this._options.slots) {
-      const customer = this._mostDue();
+      const customer = this._nextCustomer();
       if (!customer) return;
       const item = firstWaiting(customer)!;
       customer.waiting[item.request.priority].shift();
@@ -182,10 +186,10 @@
     }
   }
 
-  private _mostDue(): CustomerQueue | undefined {
+  private _nextCustomer(): CustomerQueue | undefined {
     let best: CustomerQueue | undefined;
     for (const customer of this._customers.values()) {
-      if (waitingOf(customer) === 0) continue;
+      if (waitingCountOf(customer) === 0) continue;
       if (!best || customer.virtualTime < best.virtualTime) best = customer;
     }
     return best;
@@ -201,7 +205,7 @@
   }
 }
 
-function waitingOf(customer: CustomerQueue): number {
+function waitingCountOf(customer: CustomerQueue): number {
   return PRIORITIES.reduce((sum, priority) => sum + customer.waiting[priority].length, 0);
 }
 
@@ -212,6 +216,6 @@
   return undefined;
 }
 
-function refused(reason: AdmissionRefusal, expectedWait: number): Refused {
-  return { reason, retryAfterMilliseconds: Math.max(SHORTEST_RETRY_MILLISECONDS, Math.ceil(expectedWait)) };
+function refusal(reason: AdmissionRefusalReason, expectedWait: number): AdmissionRefusal {
+  return { reason, retryAfterMilliseconds: Math.max(MIN_RETRY_AFTER_MILLISECONDS, Math.ceil(expectedWait)) };
 }
--- a/src/requests/refusals.ts
+++ b/src/requests/refusals.ts
@@ -1,7 +1,7 @@
-/** Why an agent or an entry did not run a request, and how callers are told. */
+/** Reasons for which an agent or an entry refuses a request, and the answers that callers get for them. */
 import type { Outcome } from '../protocol/headers.js';
 
-/** Reasons as they travel in the `larklatch-reason` header. */
+/** Reasons, as sent in the `larklatch-reason` header. */
 export type RefusalReason =
   | 'leaving'
   | 'not-serving'
@@ -18,7 +18,7 @@
   | 'isolated'
   | 'cancelled';
 
-/** A final refusal of a request. */
+/** The answer to a refused request. */
 export interface Refusal {
   reason: RefusalReason;
   status: number;
@@ -26,9 +26,9 @@
   retryAfterMilliseconds: number;
 }
 
-const DEFAULT_RETRY_MILLISECONDS = 500;
+const DEFAULT_RETRY_AFTER_MILLISECONDS = 500;
 
-const STATUS: Record<RefusalReason, number> = {
+const STATUS_BY_REASON: Record<RefusalReason, number> = {
   leaving: 503,
   'not-serving': 503,
   'other-version': 503,
@@ -45,18 +45,18 @@
   cancelled: 499,
 };
 
-const UNKNOWN: ReadonlySet<RefusalReason> = new Set([
+const UNKNOWN_OUTCOME_REASONS: ReadonlySet<RefusalReason> = new Set([
   'already-started',
   'uncertain',
   'backend-lost',
   'cancelled',
 ]);
 
-/** Builds the refusal for a reason; `outcome` is `unknown` where the work may have started. */
+/** Builds the refusal for a reason. `outcome` is `unknown` for reasons after which the request may have started. */
 export function refusalFor(
   reason: RefusalReason,
-  retryAfterMilliseconds = DEFAULT_RETRY_MILLISECONDS,
+  retryAfterMilliseconds = DEFAULT_RETRY_AFTER_MILLISECONDS,
 ): Refusal {
-  const outcome = UNKNOWN.has(reason) ? 'unknown' : 'not-run';
-  return { reason, status: STATUS[reason], outcome, retryAfterMilliseconds };
+  const outcome = UNKNOWN_OUTCOME_REASONS.has(reason) ? 'unknown' : 'not-run';
+  return { reason, status: STATUS_BY_REASON[reason], outcome, retryAfterMilliseconds };
 }
--- a/src/routing/routeTable.ts
+++ b/src/routing/routeTable.ts
@@ -1,4 +1,4 @@
-/** Which boxes serve which configuration, from the agents' own reports. */
+/** Maps each configuration to the boxes that serve it, according to the agents' reports. */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { shortName } from '../configuration/recordKeys.js';
 import type { AgentLink } from '../membership/agentLink.js';
@@ -8,28 +8,28 @@
 import type { Backend } from './backend.js';
 import { BoxLoad } from './backend.js';
 import type { BackendPool } from './backendChoice.js';
-import { Circuit } from './circuit.js';
+import { CircuitBreaker } from './circuitBreaker.js';
 import { preferVersion } from './versionPreference.js';
 
-/** What an entry keeps of a box across reports. */
+/** State of a box that an entry keeps across reports. */
 interface BoxState {
   load: BoxLoad;
-  circuit: Circuit;
+  circuitBreaker: CircuitBreaker;
   reportedAt: number;
 }
 
-/** A pool and the rollout that it was made for. */
+/** A pool and the activated rollout for which it was built. */
 interface CachedPool {
-  activated: string | undefined;
+  activatedRollout: string | undefined;
   pool: BackendPool;
 }
 
-/** Rebuilt when a report or a link has changed, at the next question. */
+/** Rebuilt lazily, at the first lookup after a report or a link has changed. */
 export class RouteTable {
   private readonly _links: AgentLinks;
   private readonly _dataCentre: string;
   private readonly _clock: Clock;
-  /** The rollout that callers should be served by, once it has been activated. */
+  /** Returns the activated rollout of a configuration, undefined when none is activated. */
   private readonly _activatedRollout: (name: ConfigurationName) => string | undefined;
   private readonly _boxes = new Map<string, BoxState>();
   private _backends = new Map<string, Backend[]>();
@@ -47,25 +47,25 @@
     this._clock = clock;
     this._activatedRollout = activatedRollout;
     links.on('change', () => (this._stale = true));
-    links.on('load', (link) => this._takeLoad(link));
+    links.on('load', (link) => this._updateLoad(link));
   }
 
-  /** Boxes that take work for a configuration now. */
+  /** Boxes that currently accept requests for a configuration. */
   pool(name: ConfigurationName): BackendPool {
     if (this._stale) this._rebuild();
     const activated = this._activatedRollout(name);
     const cached = this._pools.get(shortName(name));
-    if (cached && cached.activated === activated) return cached.pool;
+    if (cached && cached.activatedRollout === activated) return cached.pool;
     const backends = preferVersion(this._backends.get(shortName(name)) ?? [], activated);
     const pool = {
       sameDataCentre: backends.filter((backend) => backend.dataCentre === this._dataCentre),
       otherDataCentres: backends.filter((backend) => backend.dataCentre !== this._dataCentre),
     };
-    this._pools.set(shortName(name), { activated, pool });
+    this._pools.set(shortName(name), { activatedRollout: activated, pool });
     return pool;
   }
 
-  /** The box that runs an incarnation, if it takes work. */
+  /** The box that runs the given agent incarnation, if it accepts requests for the configuration. */
   owner(name: ConfigurationName, box: string, incarnation: string): Backend | undefined {
     if (this._stale) this._rebuild();
     return this._backends
@@ -73,14 +73,14 @@
       ?.find((each) => each.box === box && each.incarnation === incarnation);
   }
 
-  circuit(box: string): Circuit {
-    return this._state(box).circuit;
+  circuitBreaker(box: string): CircuitBreaker {
+    return this._state(box).circuitBreaker;
   }
 
   private _state(box: string): BoxState {
     let state = this._boxes.get(box);
     if (!state) {
-      state = { load: new BoxLoad(), circuit: new Circuit(this._clock), reportedAt: 0 };
+      state = { load: new BoxLoad(), circuitBreaker: new CircuitBreaker(this._clock), reportedAt: 0 };
       this._boxes.set(box, state);
     }
     return state;
@@ -93,19 +93,19 @@
     for (const link of this._links.all()) {
       const { report } = link;
       if (!link.live || !report?.backendUp || link.box.state === 'leaving') continue;
-      this._takeLoad(link);
-      for (const service of report.services) this._add(link, service);
+      this._updateLoad(link);
+      for (const service of report.services) this._addBackend(link, service);
     }
   }
 
-  private _takeLoad(link: AgentLink): void {
+  private _updateLoad(link: AgentLink): void {
     const state = this._state(link.box.box);
     if (state.reportedAt === link.reportedAt) return;
     state.reportedAt = link.reportedAt;
     state.load.report(link.report!.inFlight + link.report!.queued, link.reportedAt);
   }
 
-  private _add(link: AgentLink, service: ServiceReport): void {
+  private _addBackend(link: AgentLink, service: ServiceReport): void {
     if (service.activeVersion === '') return;
     const { box, dataCentre, address, httpPort } = link.box;
     const name = shortName(service);
--- a/src/serving/answerHead.ts
+++ b/src/serving/answerHead.ts
@@ -1,14 +1,14 @@
-/** Hands what the head of an answer says of its server on to what is known of that server. */
+/** Updates the state kept of a backend server from the status and headers of its answers. */
 import { readSignals } from '../backpressure/answerSignals.js';
 import type { AnswerHeaders } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Another server has the address, or the server holds another version. */
-export const MISDIRECTED = 421;
+/** Status of a server for which the request was not meant, or which has another version of the model. */
+export const MISDIRECTED_REQUEST = 421;
 
-/** Notes the head of an answer of `server`; `model` is '' for requests without one. */
-export function noteAnswerHead(
+/** Records status and headers of an answer of `server`. `model` is '' for requests without one. */
+export function recordAnswerHead(
   server: TrackedServer,
   status: number,
   headers: AnswerHeaders,
@@ -17,6 +17,6 @@
 ): void {
   const version = Number(headers[names.version]);
   if (model !== '' && version > 0) server.noteVersion(model, version);
-  // a misdirected request may have been answered by another server
-  if (status !== MISDIRECTED) server.backpressure.note(readSignals(status, headers, names));
+  // the answer to a misdirected request may come from another server
+  if (status !== MISDIRECTED_REQUEST) server.backpressure.note(readSignals(status, headers, names));
 }
--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -1,43 +1,44 @@
-/** One attempt: a request sent to one backend server over one connection, and its answer as it comes. */
+/** One attempt: sends a request to a backend server over one connection and receives its answer. */
 import type { Dispatcher } from 'undici';
 import { errorCode, errorText } from '../utils/stepError.js';
 import type { BackendConnection } from './backendConnections.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** The request as the backend server gets it. */
+/** The request as sent to a backend server. */
 export interface BackendRequest {
   method: string;
   path: string;
-  /** Names and values in turn. */
+  /** Names and values, alternating. */
   headers: string[];
   body: Buffer | undefined;
-  /** Size of the prompt, in usual prompts of the service. */
-  prompts: number;
+  /** Size of the prompt relative to the service's mean prompt. */
+  promptSize: number;
 }
 
 /** Header values by lower-case name. */
 export type AnswerHeaders = Record<string, string | string[] | undefined>;
 
-/** Hears what comes of an attempt; after `onEnd` or `onFailed` nothing follows. */
+/** Receives the events of an attempt. `onEnd` or `onFailed` is the last one. */
 export interface BackendCallListener {
   onHead(status: number, headers: AnswerHeaders): void;
   onData(bytes: Buffer): void;
   onEnd(): void;
-  /** `sent` is false when it is certain that nothing reached the server. */
+  /** The attempt failed, before or within its answer. */
   onFailed(failure: CallFailure): void;
 }
 
-/** How an attempt failed. */
+/** Details of a failed attempt; logged under these names. */
 export interface CallFailure {
+  /** False when it is certain that nothing reached the server. */
   sent: boolean;
   reason: string;
-  /** Whether the connection broke off with the request at the server, and not by this process. */
+  /** Whether the connection was lost after the request had been sent, and was not closed by this process. */
   brokeOff?: boolean;
-  /** The status by which the server said that it has not run the request. */
+  /** Status of an answer by which the server said that it has not run the request. */
   rejectedWith?: number;
 }
 
-/** Why an attempt was given up by this process. */
+/** Why this process aborted an attempt. */
 export type AbortReason =
   'caller-gone' | 'time-over' | 'silent' | 'foreign-answer' | 'not-needed' | 'server-closed';
 
@@ -47,29 +48,29 @@
   readonly server: TrackedServer;
   private readonly _listener: BackendCallListener;
   private readonly _connection: BackendConnection;
-  private readonly _giveBack: (reusable: boolean) => void;
+  private readonly _release: (reusable: boolean) => void;
   private _controller: Dispatcher.DispatchController | undefined;
   private _sent = false;
   private _ended = false;
-  private readonly _prompts: number;
-  private _isRead = false;
+  private readonly _promptSize: number;
+  private _isPromptRead = false;
   private _aborted: AbortReason | undefined;
 
   private constructor(
     server: TrackedServer,
     connection: BackendConnection,
-    giveBack: (reusable: boolean) => void,
+    release: (reusable: boolean) => void,
     listener: BackendCallListener,
-    prompts: number,
+    promptSize: number,
   ) {
     this.server = server;
-    this._prompts = prompts;
+    this._promptSize = promptSize;
     this._connection = connection;
-    this._giveBack = giveBack;
+    this._release = release;
     this._listener = listener;
   }
 
-  /** Sends a request; undefined when the server's connections are all in use. */
+  /** Sends a request. Returns undefined when all connections to the server are in use. */
   static send(
     server: TrackedServer,
     request: BackendRequest,
@@ -77,10 +78,10 @@
   ): BackendCall | undefined {
     const connection = server.connections.acquire();
     if (!connection) return undefined;
-    const giveBack = (reusable: boolean): void => server.connections.release(connection, reusable);
-    const call = new BackendCall(server, connection, giveBack, listener, request.prompts);
+    const release = (reusable: boolean): void => server.connections.release(connection, reusable);
+    const call = new BackendCall(server, connection, release, listener, request.promptSize);
     server.load.outstanding++;
-    server.noteSent(request.prompts);
+    server.noteSent(request.promptSize);
     server.backpressure.noteSent();
     call._dispatch(request);
     return call;
@@ -91,7 +92,7 @@
     return this._sent;
   }
 
-  /** Stops reading until {@link BackendCall.resume}. */
+  /** Stops reading the answer until {@link BackendCall.resume} is called. */
   pause(): void {
     this._controller?.pause();
   }
@@ -100,7 +101,7 @@
     if (!this._ended) this._controller?.resume();
   }
 
-  /** Ends the attempt and resets its connection, so that the server stops working. The listener hears nothing more. */
+  /** Aborts the attempt and resets its connection, so that the server stops working. The listener is not called. */
   abort(reason: AbortReason): void {
     if (this._ended) return;
     this._aborted = reason;
@@ -115,7 +116,7 @@
     this._connection.client.dispatch(options, {
       onRequestStart: (controller) => {
         this._controller = controller;
-        // a connection takes a while to come up, and the server may have asked for a pause meanwhile
+        // while the connection was being established the server may have announced a pause or that it is leaving
         if (this.server.backpressure.isClosed) this._aborted ??= 'server-closed';
         if (this._aborted) controller.abort(new CallAborted(this._aborted));
         else this._sent = true;
@@ -135,7 +136,7 @@
 
   private _onData(bytes: Buffer): void {
     if (this._ended) return;
-    this._noteRead();
+    this._notePromptRead();
     this.server.heard();
     this._listener.onData(bytes);
   }
@@ -154,16 +155,16 @@
     this._listener.onFailed({ sent: this._sent, reason, brokeOff: this._sent });
   }
 
-  private _noteRead(): void {
-    if (this._isRead) return;
-    this._isRead = true;
-    this.server.noteRead(this._prompts);
+  private _notePromptRead(): void {
+    if (this._isPromptRead) return;
+    this._isPromptRead = true;
+    this.server.noteRead(this._promptSize);
   }
 
   private _end(reusable: boolean): void {
-    this._noteRead();
+    this._notePromptRead();
     this._ended = true;
     this.server.load.outstanding--;
-    this._giveBack(reusable);
+    this._release(reusable);
   }
 }
--- a/src/serving/callerExchange.ts
+++ b/src/serving/callerExchange.ts
@@ -1,18 +1,18 @@
-/** One caller's request as it came, and the answer to it: whatever happens, exactly one. */
+/** A caller's request and its answer. Ensures that exactly one answer is sent. */
 import type http from 'node:http';
 
-/** Statuses by which this process answers for itself. */
+/** Statuses of answers that this process gives itself instead of forwarding a server's answer. */
 export const OWN_STATUS = {
   badRequest: 400,
   unauthorized: 401,
   noRoute: 404,
   tooLarge: 413,
-  unclear: 502,
+  unknown: 502,
   notRun: 503,
-  timeOver: 504,
+  timeOut: 504,
 } as const;
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which are not forwarded. */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -25,7 +25,7 @@
   'content-length',
 ]);
 
-/** Writes the answer of a request. */
+/** Writes the answer to a caller's request. */
 export class CallerExchange {
   readonly request: http.IncomingMessage;
   readonly requestId: string;
@@ -46,8 +46,8 @@
     this._isLeaving = isLeaving;
   }
 
-  /** Whether the caller has been sent a status already. */
-  get begun(): boolean {
+  /** Whether the status and headers have been sent to the caller. */
+  get headersSent(): boolean {
     return this._response.headersSent;
   }
 
@@ -55,68 +55,69 @@
     return this._response.writableEnded || this._response.destroyed;
   }
 
-  /** Calls `listener` when the caller leaves before the answer has ended. */
-  onCallerGone(listener: () => void): void {
+  /** Calls `listener` when the caller disconnects before the answer is complete. */
+  onCallerDisconnect(listener: () => void): void {
     this._response.once('close', () => {
       if (!this._response.writableFinished) listener();
     });
   }
 
-  /** Answers for this process itself. `retryAfterMilliseconds` says when to come back. */
+  /** Sends an error answer of this process. `retryAfterMilliseconds` becomes the `Retry-After` header. */
   refuse(status: number, reason: string, retryAfterMilliseconds?: number): void {
-    if (this.begun || this.ended) return this.cut();
+    if (this.headersSent || this.ended) return this.abort();
     const text = JSON.stringify({ error: reason });
     if (this.requestId !== '') this._response.setHeader(this._requestIdHeader, this.requestId);
     if (retryAfterMilliseconds !== undefined) {
       this._response.setHeader('retry-after', (retryAfterMilliseconds / 1000).toFixed(2));
     }
-    this._finishHead(status, Buffer.byteLength(text));
+    this._writeHead(status, Buffer.byteLength(text));
     this._response.end(text);
   }
 
-  /** Passes a whole answer of a backend server on. */
+  /** Forwards a complete answer of a backend server. */
   answer(status: number, headers: http.IncomingHttpHeaders, body: Buffer): void {
-    if (this.begun || this.ended) return this.cut();
+    if (this.headersSent || this.ended) return this.abort();
     this._copyHeaders(headers);
     const hasBody = status !== 204 && status !== 304 && this.request.method !== 'HEAD';
-    const framed = hasBody && this._keepFraming(headers);
-    this._finishHead(status, framed ? body.length : undefined);
+    const framed = hasBody && this._copyFraming(headers);
+    this._writeHead(status, framed ? body.length : undefined);
     this._response.end(hasBody ? body : undefined);
   }
 
-  /** Begins an answer whose length is not known yet. */
+  /** Sends the head of an answer whose length is not known yet. */
   begin(status: number, headers: http.IncomingHttpHeaders): void {
-    if (this.begun || this.ended) return;
+    if (this.headersSent || this.ended) return;
     this._copyHeaders(headers);
-    this._keepFraming(headers);
-    this._finishHead(status, undefined);
+    this._copyFraming(headers);
+    this._writeHead(status, undefined);
     this._response.flushHeaders();
   }
 
-  /** Sends a part of an answer that was begun; false when the caller reads too slowly. */
+  /** Sends a part of the body. Returns false when the caller reads too slowly and the part was buffered. */
   write(bytes: Buffer): boolean {
     return this.ended || this._response.write(bytes);
   }
 
-  onceDrained(listener: () => void): void {
+  onceWritable(listener: () => void): void {
     this._response.once('drain', listener);
   }
 
-  /** Ends an answer that was begun, as whole. */
+  /** Completes an answer. */
   end(): void {
     if (!this.ended) this._response.end();
   }
 
-  /** Closes the caller's connection, so that the answer cannot look whole. */
-  cut(): void {
+  /** Closes the caller's connection, so that an incomplete answer cannot be taken for a complete one. */
+  abort(): void {
     this._response.destroy();
   }
 
   /**
-   * An answer that says nothing of its length ends with its connection, and nobody can tell whether it is whole: it must
-   * not be passed on as one of known length. Returns whether the length is known.
+   * Keeps the framing of the server's answer. An answer with neither a length nor chunked encoding ends when its
+   * connection closes, so that a truncated one cannot be detected; it must not be forwarded with a known length.
+   * Returns whether the answer had a length or chunked encoding.
    */
-  private _keepFraming(headers: http.IncomingHttpHeaders): boolean {
+  private _copyFraming(headers: http.IncomingHttpHeaders): boolean {
     const framed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
     if (!framed) {
       this._response.useChunkedEncodingByDefault = false;
@@ -131,25 +132,25 @@
     }
   }
 
-  private _finishHead(status: number, length: number | undefined): void {
+  private _writeHead(status: number, length: number | undefined): void {
     if (length !== undefined) this._response.setHeader('content-length', length);
     if (this._isLeaving()) this._response.setHeader('connection', 'close');
     this._response.writeHead(status);
   }
 }
 
-/** The headers of a request that are passed on: names and values in turn, without those that `drop` names. */
-export function passedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
-  const named = new Set(
+/** Returns the headers to forward, names and values alternating, without hop-by-hop headers and those in `drop`. */
+export function forwardedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
+  const connectionNamed = new Set(
     String(request.headers.connection ?? '')
       .split(',')
       .map((name) => name.trim().toLowerCase()),
   );
-  const passed: string[] = [];
+  const forwarded: string[] = [];
   for (let index = 0; index < request.rawHeaders.length; index += 2) {
     const name = request.rawHeaders[index].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || named.has(name) || drop.has(name)) continue;
-    passed.push(request.rawHeaders[index], request.rawHeaders[index + 1]);
+    if (CONNECTION_HEADERS.has(name) || connectionNamed.has(name) || drop.has(name)) continue;
+    forwarded.push(request.rawHeaders[index], request.rawHeaders[index + 1]);
   }
-  return passed;
+  return forwarded;
 }
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -1,19 +1,19 @@
-/** Carries one admitted request to backend servers until it has an answer. */
+/** Forwards an admitted request to backend servers until it has an answer. */
 import type { AnswerHeaders, BackendCallListener, CallFailure } from './backendCall.js';
 import { SuspicionGate } from '../crashes/suspicionGate.js';
 import { SharedInterval } from '../utils/sharedInterval.js';
-import { MISDIRECTED, noteAnswerHead } from './answerHead.js';
+import { MISDIRECTED_REQUEST, recordAnswerHead } from './answerHead.js';
 import { AnswerReceiver } from './answerReceiver.js';
 import type { BackendCall } from './backendCall.js';
 import { OWN_STATUS } from './callerExchange.js';
 import type { AdmittedRequest } from './admittedRequest.js';
-import type { PartialAnswer } from './answerJudgement.js';
-import { handoverDelay, isGoodEnd, isSilent, judgeAnswer } from './answerJudgement.js';
+import type { PartialAnswer } from './answerClassification.js';
+import { handoverDelay, isSuccessfulRun, isStalled, classifyAnswer } from './answerClassification.js';
 import { CurrentAttempt } from './currentAttempt.js';
 import { FinalAnswer } from './finalAnswer.js';
-import type { ForwardServices } from './forwardServices.js';
-import type { NoAttempt } from './noAttempt.js';
-import { mayPass, noAttemptOf } from './noAttempt.js';
+import type { ForwardingContext } from './forwardingContext.js';
+import type { NoAttemptReason } from './noAttemptReason.js';
+import { isTransient, noAttemptReasonOf } from './noAttemptReason.js';
 import { RequestAttempts } from './requestAttempts.js';
 import { RequestHandover } from './requestHandover.js';
 import type { EndFields, RequestOutcome } from './requestTrace.js';
@@ -21,16 +21,16 @@
 import { StreamRelay } from './streamRelay.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** How often a request looks at its server, or for one that it waits for: several times within the shortest patience. */
+/** Interval at which a request checks its server, or looks for one; a fraction of the shortest attempt timeout. */
 const WATCH_INTERVAL_MILLISECONDS = 50;
-const watches = new SharedInterval(WATCH_INTERVAL_MILLISECONDS);
+const watchInterval = new SharedInterval(WATCH_INTERVAL_MILLISECONDS);
 
 export class ForwardedRequest {
-  private readonly _services: ForwardServices;
+  private readonly _context: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _trace: RequestTrace;
   private readonly _relay: StreamRelay | undefined;
-  private readonly _received: AnswerReceiver;
+  private readonly _receiver: AnswerReceiver;
   private readonly _current: CurrentAttempt;
   private readonly _attempts: RequestAttempts;
   private readonly _turn: SuspicionGate;
@@ -38,66 +38,66 @@
   private readonly _handoverDelay: number;
   private readonly _final: FinalAnswer;
   private readonly _done: () => void;
-  /** Why there was no next attempt when one was last wanted; undefined while there is one. */
-  private _noAttempt: NoAttempt | undefined;
-  /** Whether a stream that has begun waits until it can go on elsewhere. */
+  /** Why no further attempt could be made when one was last needed; undefined during an attempt. */
+  private _noAttempt: NoAttemptReason | undefined;
+  /** Whether a stream that has begun is waiting to be resumed on another server. */
   private _isWaiting = false;
-  /** Whether the request may have run somewhere. */
+  /** Whether the request may have run on any server. */
   private _mayHaveRun = false;
-  private _deadlineTimer: NodeJS.Timeout | undefined;
-  private _endWatch: () => void = () => undefined;
+  private _timeout: NodeJS.Timeout | undefined;
+  private _stopWatching: () => void = () => undefined;
 
   /** `done` is called once, when the request has ended. */
-  constructor(services: ForwardServices, request: AdmittedRequest, done: () => void) {
-    this._services = services;
+  constructor(context: ForwardingContext, request: AdmittedRequest, done: () => void) {
+    this._context = context;
     this._request = request;
     this._done = done;
     this._final = new FinalAnswer(request.exchange, (outcome, fields) => this._onEnded(outcome, fields));
-    this._handoverDelay = handoverDelay(services.random.fraction());
-    this._attempts = new RequestAttempts(services, request, () => this._relay?.begun === true);
-    this._turn = new SuspicionGate(services.suspicions, request, services.clock);
-    this._trace = new RequestTrace(request, services.log, services.metrics, services.clock);
-    this._handover = new RequestHandover(services, request, this._attempts, this._trace, {
+    this._handoverDelay = handoverDelay(context.random.fraction());
+    this._attempts = new RequestAttempts(context, request, () => this._relay?.begun === true);
+    this._turn = new SuspicionGate(context.suspicions, request, context.clock);
+    this._trace = new RequestTrace(request, context.log, context.metrics, context.clock);
+    this._handover = new RequestHandover(context, request, this._attempts, this._trace, {
       callListener: (server) => this._listenerFor(server),
-      onBegun: (server) => this._noteAttempt(server),
+      onSent: (server) => this._noteAttempt(server),
       onReady: (call, startedAt) => this._onHandoverReady(call, startedAt),
       onFailed: (server, failure, startedAt) => this._onHandoverFailed(server, failure, startedAt),
     });
     if (request.route.kind === 'stream')
-      this._relay = new StreamRelay(request.exchange, request.lastEventId, services.clock);
-    this._received = new AnswerReceiver(request.exchange, this._relay);
-    this._current = new CurrentAttempt(services.clock, this._relay);
+      this._relay = new StreamRelay(request.exchange, request.lastEventId, context.clock);
+    this._receiver = new AnswerReceiver(request.exchange, this._relay);
+    this._current = new CurrentAttempt(context.clock, this._relay);
   }
 
   start(): void {
     const { exchange } = this._request;
-    if (exchange.ended) return this._onCallerGone();
-    exchange.onCallerGone(() => this._onCallerGone());
-    this._deadlineTimer = setTimeout(() => this._onTimeOver(), Math.max(0, this._attempts.leftMilliseconds));
-    // a stream shows by its head that it has begun; other requests that may run once are left to end where they are
-    if (this._attempts.repeatable || this._relay) this._endWatch = watches.add(() => this._watch());
+    if (exchange.ended) return this._onCallerDisconnect();
+    exchange.onCallerDisconnect(() => this._onCallerDisconnect());
+    this._timeout = setTimeout(() => this._onTimeout(), Math.max(0, this._attempts.remainingMilliseconds));
+    // of the non-repeatable requests only streams are watched: the head of a stream shows whether it has begun
+    if (this._attempts.repeatable || this._relay) this._stopWatching = watchInterval.add(() => this._watch());
     this._attempt();
   }
 
-  /** Sends the request to the best server there is. */
+  /** Sends the request to the best available server. */
   private _attempt(): void {
-    if (this._final.given) return;
+    if (this._final.ended) return;
     if (!this._turn.isOpen) return void this._awaitTurn();
     const found = this._attempts.find();
-    if (found.kind === 'none') return this._giveUp(noAttemptOf(found)!);
+    if (found.kind === 'none') return this._giveUp(noAttemptReasonOf(found)!);
     const { server } = found;
-    this._received.forget();
+    this._receiver.reset();
     const outgoing = this._attempts.outgoing(server, this._relay?.lastEventId ?? '');
     if (this._current.send(server, outgoing, this._listenerFor(server))) this._noteAttempt(server);
     else this._giveUp('all busy');
   }
 
-  /** The same request is suspected of ending its servers: it runs once at a time, if at all. */
+  /** Waits for permission to run: copies of a request suspected of crashing servers run one at a time, if at all. */
   private async _awaitTurn(): Promise<void> {
     if (this._turn.isWaiting) return;
     const outcome = await this._turn.wait();
     if (outcome === 'granted') this._attempt();
-    else if (!this._final.given) this._giveUp(outcome);
+    else if (!this._final.ended) this._giveUp(outcome);
   }
 
   private _noteAttempt(server: TrackedServer): void {
@@ -116,85 +116,85 @@
   }
 
   private _onHead(server: TrackedServer, status: number, headers: AnswerHeaders): void {
-    const { names } = this._services;
+    const { names } = this._context;
     const { exchange, model } = this._request;
     if (headers[names.requestId] !== exchange.requestId) return this._onForeignAnswer(server);
-    server.health.noteFirstAnswer(this._current.waited);
-    noteAnswerHead(server, status, headers, names, model);
-    this._received.onHead(status, headers, headers[names.seal] !== undefined);
+    server.health.noteFirstAnswer(this._current.elapsedMilliseconds);
+    recordAnswerHead(server, status, headers, names, model);
+    this._receiver.onHead(status, headers, headers[names.seal] !== undefined);
   }
 
   private _onData(bytes: Buffer): void {
-    if (!this._received.onData(bytes, this._current.call)) this._onForeignAnswer(this._current.call!.server);
+    if (!this._receiver.onData(bytes, this._current.call)) this._onForeignAnswer(this._current.call!.server);
   }
 
-  /** The answer is for another request: nothing of this connection can be trusted. */
+  /** Handles an answer to another request, or one that is too large: the connection can no longer be used. */
   private _onForeignAnswer(server: TrackedServer): void {
-    this._current.end('foreign-answer');
+    this._current.abort('foreign-answer');
     this._afterFailure(server, { sent: true, reason: 'foreign-answer' });
   }
 
   private _onEnd(server: TrackedServer): void {
-    const answer = this._received.answer!;
-    this._current.forget(server);
-    if (this._received.isPassedOn) {
+    const answer = this._receiver.answer!;
+    this._current.clear(server);
+    if (this._receiver.isForwarding) {
       server.health.note('succeeded');
       this._turn.recordSuccess();
       return this._final.endStream(server, answer.status);
     }
-    this._judge(server, answer);
+    this._onCompleteAnswer(server, answer);
   }
 
-  /** Acts on what a whole answer means. */
-  private _judge(server: TrackedServer, answer: PartialAnswer): void {
+  /** Forwards a complete answer to the caller, or retries on another server, depending on what the answer means. */
+  private _onCompleteAnswer(server: TrackedServer, answer: PartialAnswer): void {
     const { status, headers } = answer;
-    const verdict = judgeAnswer(status, headers, this._services.names);
-    if (verdict === 'not-run') return this._onRejected(server, status);
+    const kind = classifyAnswer(status, headers, this._context.names);
+    if (kind === 'not-run') return this._onRejected(server, status);
     this._mayHaveRun = true;
-    server.health.note(verdict === 'failed' || verdict === 'unclear' ? 'failed' : 'succeeded');
-    if (isGoodEnd(verdict, status)) this._turn.recordSuccess();
-    if (verdict !== 'answered' && this._attempts.repeatable && this._goOnElsewhere()) return;
-    if (verdict === 'unclear') return this._final.refuse(OWN_STATUS.unclear, `status ${status} from server`);
+    server.health.note(kind === 'failed' || kind === 'unclear' ? 'failed' : 'succeeded');
+    if (isSuccessfulRun(kind, status)) this._turn.recordSuccess();
+    if (kind !== 'answered' && this._attempts.repeatable && this._continueElsewhere()) return;
+    if (kind === 'unclear') return this._final.refuse(OWN_STATUS.unknown, `status ${status} from server`);
     if (this._relay?.begun) return this._final.cut('stream could not be resumed');
-    this._final.pass(server, status, headers, Buffer.concat(answer.body));
+    this._final.forward(server, status, headers, Buffer.concat(answer.body));
   }
 
-  /** The server says that the request has not run. */
+  /** Handles an answer by which the server says that the request has not run. */
   private _onRejected(server: TrackedServer, status: number): void {
     this._noteRejected(server, status);
-    if (!this._goOnElsewhere()) this._giveUp(this._noAttempt!);
+    if (!this._continueElsewhere()) this._giveUp(this._noAttempt!);
   }
 
   private _noteRejected(server: TrackedServer, status: number): void {
-    server.health.note(status === MISDIRECTED ? 'displaced' : 'rejected');
+    server.health.note(status === MISDIRECTED_REQUEST ? 'displaced' : 'rejected');
     this._attempts.noteNotRun(server);
     this._trace.rejected(server, status);
   }
 
   private _afterFailure(server: TrackedServer, failure: CallFailure): void {
-    this._current.forget(server);
-    this._trace.attemptFailed(server, failure, this._current.waited);
-    if (!failure.sent && !this._handover.isUnderWay) return this._afterUnreachable(server);
+    this._current.clear(server);
+    this._trace.attemptFailed(server, failure, this._current.elapsedMilliseconds);
+    if (!failure.sent && !this._handover.inProgress) return this._afterUnreachable(server);
     this._mayHaveRun = true;
     if (failure.reason === 'silent') server.health.note('silent');
     else server.health.note('failed');
-    if (failure.brokeOff) void this._afterBreak(server, failure);
-    else this._goOnAfter(failure);
+    if (failure.brokeOff) void this._afterDisconnect(server, failure);
+    else this._continueAfter(failure);
   }
 
-  /** The connection broke off: if with the server, whoever sends the request next has to know. */
-  private async _afterBreak(server: TrackedServer, failure: CallFailure): Promise<void> {
+  /** Handles a lost connection. A crash of the server is recorded before the request is sent anywhere else. */
+  private async _afterDisconnect(server: TrackedServer, failure: CallFailure): Promise<void> {
     if (await this._turn.onConnectionBroken(server.record)) server.health.noteUnreachable();
-    const hasGoneOn = this._current.call !== undefined || this._handover.isUnderWay;
-    if (!hasGoneOn && !this._final.given) this._goOnAfter(failure);
+    const hasContinued = this._current.call !== undefined || this._handover.inProgress;
+    if (!hasContinued && !this._final.ended) this._continueAfter(failure);
   }
 
-  private _goOnAfter(failure: CallFailure): void {
-    if (this._attempts.repeatable && this._goOnElsewhere()) return;
+  private _continueAfter(failure: CallFailure): void {
+    if (this._attempts.repeatable && this._continueElsewhere()) return;
     this._final.fail(this._relay?.begun === true, failure.reason);
   }
 
-  /** Nothing reached the server, so that the attempt does not count. */
+  /** Handles an attempt of which nothing reached the server; such an attempt is not counted. */
   private _afterUnreachable(server: TrackedServer): void {
     server.health.noteUnreachable();
     const refused = this._attempts.noteUnreachable(server);
@@ -202,78 +202,78 @@
     else this._attempt();
   }
 
-  /** Goes on with the handover under way, with another attempt or by waiting for one; false when there can be none. */
-  private _goOnElsewhere(): boolean {
-    if (this._handover.isUnderWay || this._final.given) return true;
+  /** Continues with the handover in progress, a new attempt or a wait. Returns false if none of these is possible. */
+  private _continueElsewhere(): boolean {
+    if (this._handover.inProgress || this._final.ended) return true;
     this._noAttempt = this._takeRetry();
-    if (this._noAttempt) return this._waitsFor(this._noAttempt);
+    if (this._noAttempt) return this._waitIfTransient(this._noAttempt);
     this._attempt();
     return true;
   }
 
-  /** Lets a stream that has begun wait for what is missing, and holds nothing meanwhile; false when it is not to wait. */
-  private _waitsFor(reason: NoAttempt): boolean {
-    this._isWaiting = this._relay?.begun === true && this._attempts.repeatable && mayPass(reason);
+  /** Makes a begun stream wait, without a connection, if the reason is transient. Returns whether it waits. */
+  private _waitIfTransient(reason: NoAttemptReason): boolean {
+    this._isWaiting = this._relay?.begun === true && this._attempts.repeatable && isTransient(reason);
     if (this._isWaiting) this._trace.waiting(reason);
     return this._isWaiting;
   }
 
   private _tryAgain(): void {
     this._isWaiting = false;
-    if (!this._goOnElsewhere()) this._giveUp(this._noAttempt!);
+    if (!this._continueElsewhere()) this._giveUp(this._noAttempt!);
   }
 
-  /** Takes permission for one more attempt; returns why there is none. */
-  private _takeRetry(): NoAttempt | undefined {
+  /** Requests permission for another attempt. Returns the reason when it is denied. */
+  private _takeRetry(): NoAttemptReason | undefined {
     const refused = this._attempts.takeRetry();
     if (!refused) this._trace.retried();
     return refused;
   }
 
-  /** Looks whether the server is silent for too long, or is about to take another version. */
+  /** Checks whether the server has stalled, is about to switch versions, or may begin the request too late. */
   private _watch(): void {
     if (this._isWaiting) return this._tryAgain();
     const { call } = this._current;
     if (!call) return;
-    if (!this._received.answer && this._attempts.mayBeginTooLate(call.server)) return this._takeBack(call);
-    if (this._handover.isUnderWay || !this._attempts.repeatable) return;
+    if (!this._receiver.answer && this._attempts.mayBeginTooLate(call.server)) return this._takeBack(call);
+    if (this._handover.inProgress || !this._attempts.repeatable) return;
     const { switchingFor } = call.server;
-    if (switchingFor === 0) this._moveIfSilent(call);
+    if (switchingFor === 0) this._retryIfStalled(call);
     else if (this._relay && switchingFor > this._handoverDelay)
       this._handover.begin(call.server, this._relay.lastEventId);
   }
 
-  /** No request may begin on an older version after the bound, whatever else is known of it. */
+  /** Takes the request back from its server, since no request may begin on an older version after the bound. */
   private _takeBack({ server, sent }: BackendCall): void {
     this._trace.takenBack(server);
-    this._current.end('not-needed');
+    this._current.abort('not-needed');
     this._afterFailure(server, { sent, reason: 'not begun before the bound of its version' });
   }
 
-  private _moveIfSilent({ server }: BackendCall): void {
-    const { waited } = this._current;
-    const silent = isSilent({
-      waited,
+  private _retryIfStalled({ server }: BackendCall): void {
+    const { elapsedMilliseconds: elapsed } = this._current;
+    const stalled = isStalled({
+      waited: elapsed,
       objective: this._request.route.objectiveMilliseconds,
       serverSilentFor: server.silentFor,
       stream: this._relay !== undefined,
-      streamSilentFor: this._received.answer && this._relay?.begun ? this._relay.silentFor() : undefined,
+      streamSilentFor: this._receiver.answer && this._relay?.begun ? this._relay.silentFor() : undefined,
     });
-    if (!silent || this._takeRetry()) return;
-    this._current.end('silent');
+    if (!stalled || this._takeRetry()) return;
+    this._current.abort('silent');
     this._mayHaveRun = true;
     server.health.note('silent');
-    this._trace.attemptFailed(server, { sent: true, reason: 'silent' }, waited);
+    this._trace.attemptFailed(server, { sent: true, reason: 'silent' }, elapsed);
     this._attempt();
   }
 
-  /** The other server has sent an event: lets the first one go and follows the other. */
+  /** Completes a handover: the other server has sent an event, so the call to the first server is aborted. */
   private _onHandoverReady(call: BackendCall, startedAt: number): void {
-    const { call: former, waited } = this._current;
-    if (former) this._trace.attemptFailed(former.server, { sent: true, reason: 'switching' }, waited);
-    this._current.end('not-needed');
+    const { call: previous, elapsedMilliseconds: elapsed } = this._current;
+    if (previous) this._trace.attemptFailed(previous.server, { sent: true, reason: 'switching' }, elapsed);
+    this._current.abort('not-needed');
     this._mayHaveRun = true;
-    this._current.follow(call, startedAt);
+    this._current.adopt(call, startedAt);
   }
 
   private _onHandoverFailed(server: TrackedServer, failure: CallFailure, startedAt: number): void {
@@ -282,12 +282,12 @@
     if (rejectedWith !== undefined) return this._onRejected(server, rejectedWith);
     if (!this._current.call) return this._afterFailure(server, failure);
     this._mayHaveRun ||= failure.sent;
-    this._trace.attemptFailed(server, failure, this._services.clock.now() - startedAt);
+    this._trace.attemptFailed(server, failure, this._context.clock.now() - startedAt);
   }
 
-  private _giveUp(reason: NoAttempt): void {
+  private _giveUp(reason: NoAttemptReason): void {
     this._noAttempt = reason;
-    if (this._waitsFor(reason)) return;
+    if (this._waitIfTransient(reason)) return;
     this._final.giveUp(reason, {
       begun: this._relay?.begun === true,
       mayHaveRun: this._mayHaveRun,
@@ -295,23 +295,23 @@
     });
   }
 
-  private _onTimeOver(): void {
-    const sent = this._mayHaveRun || this._handover.isUnderWay || this._current.call?.sent === true;
-    this._current.end('time-over');
-    this._final.timeOver(this._relay?.begun === true, sent);
+  private _onTimeout(): void {
+    const sent = this._mayHaveRun || this._handover.inProgress || this._current.call?.sent === true;
+    this._current.abort('time-over');
+    this._final.timeOut(this._relay?.begun === true, sent);
   }
 
-  private _onCallerGone(): void {
-    if (this._final.given) return;
-    this._current.end('caller-gone');
-    this._final.callerGone();
+  private _onCallerDisconnect(): void {
+    if (this._final.ended) return;
+    this._current.abort('caller-gone');
+    this._final.callerDisconnected();
   }
 
   private _onEnded(outcome: RequestOutcome, fields: EndFields): void {
     this._handover.cancel();
     this._turn.release();
-    clearTimeout(this._deadlineTimer);
-    this._endWatch();
+    clearTimeout(this._timeout);
+    this._stopWatching();
     this._trace.ended(outcome, this._attempts.count, { ...fields, noAttempt: this._noAttempt }, this._relay);
     this._done();
   }
--- a/src/serving/forwardServices.ts
+++ b/src/serving/forwardingContext.ts
@@ -1,4 +1,4 @@
-/** What all requests of a gateway share. */
+/** Dependencies shared by all requests of a gateway. */
 import type { SuspicionTracker } from '../crashes/suspicionTracker.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { ServingMetrics } from '../telemetry/servingMetrics.js';
@@ -8,7 +8,7 @@
 import type { ServerPool } from './serverPool.js';
 import type { VersionGate } from './versionGate.js';
 
-export interface ForwardServices {
+export interface ForwardingContext {
   names: HeaderNames;
   pool: ServerPool;
   gate: VersionGate;
--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -1,62 +1,62 @@
-/** Looks a caller's request up in the configuration and admits it or answers it. */
+/** Checks a caller's request against the configuration, and either admits it or answers it. */
 import type http from 'node:http';
 import { requestFingerprint } from '../crashes/requestFingerprint.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import { bearerToken, readBody } from '../utils/httpBody.js';
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
-import { CallerExchange, OWN_STATUS, passedHeaders } from './callerExchange.js';
+import { CallerExchange, OWN_STATUS, forwardedHeaders } from './callerExchange.js';
 import type { ConfigurationHolder } from './configurationHolder.js';
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { HeaderNames } from './headerNames.js';
 import { promptSize } from './promptSize.js';
-import type { RetryBound } from './retryAllowance.js';
+import type { RetryLimit } from './retryAllowance.js';
 import { RetryAllowances } from './retryAllowances.js';
 import { chooseTarget } from './routeIndex.js';
 import type { RouteIndex } from './routeIndex.js';
 import type { CustomerKeys, Route } from './servingConfiguration.js';
 
-/** What admission works with. */
+/** Options of the admission. */
 export interface AdmissionOptions {
   names: HeaderNames;
   configuration: ConfigurationHolder;
   clock: Clock;
   random: Random;
   log: EventLog;
-  retryBound: RetryBound;
-  /** Whether no process before this one can have used this entry's share of the retries. */
+  retryLimit: RetryLimit;
+  /** Whether no earlier process of this entry can have used its share of the retries. */
   isFirstStart: boolean;
   entries: () => number;
   isLeaving: () => boolean;
-  /** Milliseconds until a leaving entry closes all connections; infinite while it stays. */
+  /** Milliseconds until a draining entry closes all connections; infinite while it is not draining. */
   closesIn: () => number;
-  /** Whether the configuration can be trusted to be the newest. */
+  /** Whether the configuration is known to be the newest. */
   isCurrent: () => boolean;
 }
 
-/** A refusal that comes from the configuration. */
+/** A refusal because of the configuration: an unknown route or API key. */
 interface Denial {
   status: number;
   reason: string;
 }
 
-const RETRY_AFTER_UNKNOWN_MILLISECONDS = 400;
-const LONGEST_MILLISECONDS = 3_600_000;
-/** Longest time that a request usually takes. A leaving entry takes only what ends before it does. */
-const USUAL_MILLISECONDS = 3_200;
-/** Another entry takes the request at once. */
+const RETRY_AFTER_STALE_MILLISECONDS = 400;
+const MAX_REQUEST_MILLISECONDS = 3_600_000;
+/** Upper bound of a typical request's duration; a draining entry admits only requests that will end in time. */
+const TYPICAL_MILLISECONDS = 3_200;
+/** Retry delay when this entry is draining: another entry can take the request immediately. */
 const RETRY_AFTER_LEAVING_MILLISECONDS = 10;
 
 export class RequestAdmission {
   private readonly _options: AdmissionOptions;
   private readonly _retries: RetryAllowances;
-  private readonly _dropped: ReadonlySet<string>;
+  private readonly _droppedHeaders: ReadonlySet<string>;
 
   constructor(options: AdmissionOptions) {
     this._options = options;
-    const { names, retryBound, clock, entries, isFirstStart } = options;
-    this._retries = new RetryAllowances(retryBound, clock, entries, isFirstStart);
-    this._dropped = new Set([
+    const { names, retryLimit, clock, entries, isFirstStart } = options;
+    this._retries = new RetryAllowances(retryLimit, clock, entries, isFirstStart);
+    this._droppedHeaders = new Set([
       'authorization',
       names.deadline,
       names.customer,
@@ -68,7 +68,7 @@
     ]);
   }
 
-  /** Returns the admitted request, or undefined when it has been answered. */
+  /** Returns the admitted request, or undefined when the request has been answered here. */
   async admit(
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -78,7 +78,7 @@
     const exchange = new CallerExchange(request, response, names.requestId, isLeaving);
     const { index } = configuration;
     if (!index) {
-      exchange.refuse(OWN_STATUS.notRun, 'no configuration yet', RETRY_AFTER_UNKNOWN_MILLISECONDS);
+      exchange.refuse(OWN_STATUS.notRun, 'no configuration yet', RETRY_AFTER_STALE_MILLISECONDS);
       return undefined;
     }
     const route = index.route(request.headers.host ?? '', request.url ?? '/');
@@ -107,7 +107,7 @@
       current,
     });
     if (current) exchange.refuse(denial.status, denial.reason);
-    else exchange.refuse(OWN_STATUS.notRun, 'configuration may be old', RETRY_AFTER_UNKNOWN_MILLISECONDS);
+    else exchange.refuse(OWN_STATUS.notRun, 'configuration may be old', RETRY_AFTER_STALE_MILLISECONDS);
     return undefined;
   }
 
@@ -129,7 +129,7 @@
   ): AdmittedRequest {
     const { names, random } = this._options;
     const { request } = exchange;
-    const headers = passedHeaders(request, this._dropped);
+    const headers = forwardedHeaders(request, this._droppedHeaders);
     if (customer) headers.push(names.customer, customer.name);
     headers.push(names.priority, String(customer?.priority ?? route.priority));
     const service = chooseTarget(route, random.fraction());
@@ -149,25 +149,25 @@
       path,
       headers,
       body: body.length > 0 ? body : undefined,
-      prompts: promptSize(request.headers[names.tokens], this._usualPromptTokens(service)),
+      promptSize: promptSize(request.headers[names.tokens], this._usualPromptTokens(service)),
       lastEventId: String(request.headers[names.lastEventId] ?? ''),
       retries,
-      endsAt: arrivedAt + this._longest(request, route),
+      endsAt: arrivedAt + this._timeout(request, route),
     };
   }
 
-  /** Mean tokens of a prompt to a service, 0 where it has none. */
+  /** Mean number of tokens of a prompt to a service, 0 when unknown. */
   private _usualPromptTokens(service: string): number {
     return this._options.configuration.index?.service(service)?.engine?.usualPromptTokens ?? 0;
   }
 
-  /** The longest time that a request may take, in milliseconds. */
-  private _longest(request: http.IncomingMessage, route: Route): number {
-    const told = Number(request.headers[this._options.names.deadline] ?? LONGEST_MILLISECONDS);
-    return Math.min(told || LONGEST_MILLISECONDS, route.timeoutMilliseconds);
+  /** Maximum duration of a request: the caller's deadline, limited by the route's timeout. */
+  private _timeout(request: http.IncomingMessage, route: Route): number {
+    const requested = Number(request.headers[this._options.names.deadline] ?? MAX_REQUEST_MILLISECONDS);
+    return Math.min(requested || MAX_REQUEST_MILLISECONDS, route.timeoutMilliseconds);
   }
 
   private _endsInTime(request: http.IncomingMessage, route: Route): boolean {
-    return this._options.closesIn() >= Math.min(this._longest(request, route), USUAL_MILLISECONDS);
+    return this._options.closesIn() >= Math.min(this._timeout(request, route), TYPICAL_MILLISECONDS);
   }
 }
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -1,50 +1,50 @@
-/** Where a request has been sent, and whether and where it may be sent next. */
+/** Tracks the servers that a request has been sent to, and decides whether and where to send it next. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendRequest } from './backendCall.js';
-import type { ForwardServices } from './forwardServices.js';
-import type { NoAttempt } from './noAttempt.js';
-import { noAttemptOf } from './noAttempt.js';
+import type { ForwardingContext } from './forwardingContext.js';
+import type { NoAttemptReason } from './noAttemptReason.js';
+import { noAttemptReasonOf } from './noAttemptReason.js';
 import { outgoingRequest } from './outgoingRequest.js';
-import { retryAfter } from './retryAdvice.js';
+import { computeRetryAfter } from './retryAfter.js';
 import type { ServerFound } from './serverPool.js';
-import { LONGEST_HANDOVER_MILLISECONDS } from './streamHandover.js';
+import { HANDOVER_TIMEOUT_MILLISECONDS } from './streamHandover.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Least time that is worth another attempt. */
-const SHORTEST_ATTEMPT_MILLISECONDS = 40;
-/** Connections that cannot be opened cost no attempt, but there is an end to them. */
-const MOST_UNREACHABLE = 4;
-/** Time after which a server that has not run a begun stream is asked again: until then choices avoid it (serverHealth). */
-const ASK_AGAIN_MILLISECONDS = 150;
+/** An attempt is not worth starting with less time than this left. */
+const MIN_ATTEMPT_MILLISECONDS = 40;
+/** Limit on servers that could not be reached, since these do not count as attempts. */
+const MAX_UNREACHABLE = 4;
+/** A server that has not run a begun stream is tried again after this time; serverHealth avoids it until then. */
+const SAME_SERVER_RETRY_MILLISECONDS = 150;
 /**
- * Least time between the sends of a begun stream beyond those that its route allows at once: places come free every few
- * milliseconds, but each send takes a retry from all others.
+ * Minimum interval between sends of a begun stream beyond the attempts of its route. Servers get free slots every few
+ * milliseconds, but each send uses a retry that other requests could have had.
  */
-const RESEND_MILLISECONDS = 100;
+const MIN_RESEND_INTERVAL_MILLISECONDS = 100;
 
 export class RequestAttempts {
-  private readonly _services: ForwardServices;
+  private readonly _context: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _hasBegun: () => boolean;
   private readonly _tried = new Set<string>();
-  /** When servers were last tried that have not run the request. */
+  /** By id of servers that have not run the request: when they last said so, or could not be reached. */
   private readonly _notRunAt = new Map<string, number>();
   private _lastNotRunAt = Number.NEGATIVE_INFINITY;
   private _count = 0;
-  /** Those of the sends that a server says it has not run. */
-  private _notRun = 0;
-  private _unreachable = 0;
-  /** For how long no server took the request when one was last sought. */
+  /** Number of sends after which the server said that it has not run the request. */
+  private _notRunCount = 0;
+  private _unreachableCount = 0;
+  /** Milliseconds until a server is expected to take the request, as of the last search. */
   private _waitMilliseconds = 0;
 
-  /** `hasBegun` tells whether the caller has a part of the answer. */
-  constructor(services: ForwardServices, request: AdmittedRequest, hasBegun: () => boolean = () => false) {
+  /** `hasBegun` tells whether a part of the answer has been sent to the caller. */
+  constructor(context: ForwardingContext, request: AdmittedRequest, hasBegun: () => boolean = () => false) {
     this._hasBegun = hasBegun;
-    this._services = services;
+    this._context = context;
     this._request = request;
   }
 
-  /** Servers that the request has been sent to. */
+  /** Number of sends, without those that did not reach a server. */
   get count(): number {
     return this._count;
   }
@@ -55,20 +55,22 @@
     return kind === 'repeatable' || (kind === 'stream' && resumable);
   }
 
-  /** Milliseconds until the caller or the operator no longer waits. */
-  get leftMilliseconds(): number {
-    return this._request.endsAt - this._services.clock.now();
+  /** Milliseconds until the request's deadline. */
+  get remainingMilliseconds(): number {
+    return this._request.endsAt - this._context.clock.now();
   }
 
   /**
-   * The best server that has not been tried; `isHandover` while the request runs on another one. An answer that has begun is
-   * asked for no first answer in time any more, and may be sent again to a server that has not run it.
+   * Finds the best server that has not been tried. `isHandover` tells that the request is still running on another
+   * server. Once its answer has begun, a request is no longer subject to the latency objective, and may be sent again
+   * to a server that has not run it.
    */
   find(isHandover = false): ServerFound {
     const { service, model } = this._request;
-    const { gate, pool } = this._services;
+    const { gate, pool } = this._context;
     const preferredVersion = gate.preferred(model);
-    // what is handed over late to a server of an older version would have to move again, and may begin there too late
+    // a stream handed over to an older version shortly before that version's bound would have to move again, and
+    // might begin too late
     const lowestForHandover = isHandover ? preferredVersion : 0;
     const found = pool.find({
       service,
@@ -79,31 +81,31 @@
       newestVersion: gate.newest(model),
       objectiveMilliseconds: this._objectiveMilliseconds(isHandover),
       isCarriedOver: isHandover || this._hasBegun(),
-      tried: this._hasBegun() && !isHandover ? this._triedLately() : this._tried,
+      tried: this._hasBegun() && !isHandover ? this._excludedServers() : this._tried,
     });
     this._waitMilliseconds = 'waitMilliseconds' in found ? found.waitMilliseconds : 0;
     return found;
   }
 
-  /** The request as `server` gets it, from the event after `lastEventId` on. */
+  /** Returns the request to send to `server`, which asks for the events after `lastEventId`. */
   outgoing(server: TrackedServer, lastEventId: string): BackendRequest {
-    const { names, gate } = this._services;
+    const { names, gate } = this._context;
     return outgoingRequest(this._request, names, {
       server,
-      leftMilliseconds: this.leftMilliseconds,
+      remainingMilliseconds: this.remainingMilliseconds,
       lastEventId,
       newestVersion: gate.newest(this._request.model),
     });
   }
 
-  /** Whether the bound is so near that the request should no longer begin on the version of `server`. */
+  /** Whether the request might begin only after the bound, the time after which none may begin on that version. */
   mayBeginTooLate(server: TrackedServer): boolean {
     const { model } = this._request;
-    const mayLie = server.slowLink || server.agentSilent;
-    return model !== '' && server.version(model) < this._services.gate.lowestToBegin(model, mayLie);
+    const mayBeDelayed = server.slowLink || server.agentSilent;
+    return model !== '' && server.version(model) < this._context.gate.lowestToBegin(model, mayBeDelayed);
   }
 
-  /** Counts an attempt. */
+  /** Counts an attempt at `server`. */
   noteSent(server: TrackedServer): void {
     this._count++;
     this._tried.add(server.record.id);
@@ -111,66 +113,68 @@
   }
 
   /**
-   * The server says that it has not run the request. Attempts bound the runs of a stream that has begun: it loses none by
-   * this when it is broken off, and may ask the server again. A new request is sent to no more servers than its route allows.
+   * Records that the server has not run the request. The attempts of a stream that has begun limit how often it
+   * runs, so this send does not count when the stream is resumed later, and the same server may be tried again. For
+   * a request that has not begun, attempts limit the number of sends.
    */
   noteNotRun(server: TrackedServer): void {
-    this._notRun++;
+    this._notRunCount++;
     this._noteNotRunAt(server);
   }
 
-  /** Nothing reached the server, so that the attempt does not count; returns why not to go on to another one. */
-  noteUnreachable(server: TrackedServer): NoAttempt | undefined {
+  /** Uncounts an attempt that did not reach the server. Returns a reason when no other server should be tried. */
+  noteUnreachable(server: TrackedServer): NoAttemptReason | undefined {
     this._noteNotRunAt(server);
     this._count--;
-    this._unreachable++;
-    if (this._unreachable >= MOST_UNREACHABLE) return 'no server';
-    return this.leftMilliseconds <= SHORTEST_ATTEMPT_MILLISECONDS ? 'time' : undefined;
+    this._unreachableCount++;
+    if (this._unreachableCount >= MAX_UNREACHABLE) return 'no server';
+    return this.remainingMilliseconds <= MIN_ATTEMPT_MILLISECONDS ? 'time' : undefined;
   }
 
   /**
-   * Takes permission for one more attempt: the route, the time left, a server and the retry budget must allow it. Returns
-   * what does not.
+   * Takes permission for another attempt, which depends on the route's attempts, the time left, an available server
+   * and the retry budget. Returns the reason when it is denied.
    */
-  takeRetry(isHandover = false): NoAttempt | undefined {
+  takeRetry(isHandover = false): NoAttemptReason | undefined {
     const { route, retries } = this._request;
-    // a stream that is handed over still has its first server, and needs no more sends than a new request
-    const isBrokenOff = this._hasBegun() && !isHandover;
-    const used = isBrokenOff ? this._count - this._notRun : this._count;
+    // a stream that is being handed over still runs on its first server, so that the limit for new requests suffices
+    const isResumption = this._hasBegun() && !isHandover;
+    const used = isResumption ? this._count - this._notRunCount : this._count;
     if (used >= route.attempts) return 'attempts used';
-    if (this.leftMilliseconds < SHORTEST_ATTEMPT_MILLISECONDS) return 'time';
-    if (isBrokenOff && this._isTooSoon()) return 'asked just now';
-    const noServer = noAttemptOf(this.find(isHandover));
+    if (this.remainingMilliseconds < MIN_ATTEMPT_MILLISECONDS) return 'time';
+    if (isResumption && this._isTooSoon()) return 'asked just now';
+    const noServer = noAttemptReasonOf(this.find(isHandover));
     if (noServer) return noServer;
     return retries.takeRetry(this._hasBegun()) ? undefined : 'retry budget';
   }
 
-  /** Milliseconds after which its caller should come back, where there is no attempt for `reason`. */
-  retryAfter(reason: NoAttempt): number {
-    const fraction = this._services.random.fraction();
-    return retryAfter(reason, this.leftMilliseconds, fraction, this._waitMilliseconds);
+  /** Milliseconds after which the caller should retry a request that was refused for `reason`. */
+  retryAfter(reason: NoAttemptReason): number {
+    const fraction = this._context.random.fraction();
+    return computeRetryAfter(reason, this.remainingMilliseconds, fraction, this._waitMilliseconds);
   }
 
   private _noteNotRunAt(server: TrackedServer): void {
-    this._lastNotRunAt = this._services.clock.now();
+    this._lastNotRunAt = this._context.clock.now();
     this._notRunAt.set(server.record.id, this._lastNotRunAt);
   }
 
-  /** Servers that may have run the request, and those that have not but were asked only just now. */
-  private _triedLately(): Set<string> {
-    const now = this._services.clock.now();
-    const isLate = (id: string): boolean => now - (this._notRunAt.get(id) ?? now) >= ASK_AGAIN_MILLISECONDS;
-    return new Set([...this._tried].filter((id) => !isLate(id)));
+  /** Returns the servers that may have run the request, and those that were tried too recently to try them again. */
+  private _excludedServers(): Set<string> {
+    const now = this._context.clock.now();
+    const mayRetry = (id: string): boolean =>
+      now - (this._notRunAt.get(id) ?? now) >= SAME_SERVER_RETRY_MILLISECONDS;
+    return new Set([...this._tried].filter((id) => !mayRetry(id)));
   }
 
   private _isTooSoon(): boolean {
-    const isBeyond = this._count >= this._request.route.attempts || this._unreachable >= MOST_UNREACHABLE;
-    return isBeyond && this._services.clock.now() - this._lastNotRunAt < RESEND_MILLISECONDS;
+    const isBeyond = this._count >= this._request.route.attempts || this._unreachableCount >= MAX_UNREACHABLE;
+    return isBeyond && this._context.clock.now() - this._lastNotRunAt < MIN_RESEND_INTERVAL_MILLISECONDS;
   }
 
-  /** Time that a server may take for its first answer. */
+  /** Time within which a server should send its first answer. */
   private _objectiveMilliseconds(isHandover: boolean): number {
     if (!this._hasBegun()) return this._request.route.objectiveMilliseconds;
-    return isHandover ? LONGEST_HANDOVER_MILLISECONDS : Number.POSITIVE_INFINITY;
+    return isHandover ? HANDOVER_TIMEOUT_MILLISECONDS : Number.POSITIVE_INFINITY;
   }
 }
--- a/src/serving/requestHandover.ts
+++ b/src/serving/requestHandover.ts
@@ -1,26 +1,26 @@
-/** The handover of one request: another server is asked for the rest of its stream, while the first one goes on. */
+/** Hands the stream of a request over: another server is asked for the rest while the first one goes on sending. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendCall, BackendCallListener, CallFailure } from './backendCall.js';
-import type { ForwardServices } from './forwardServices.js';
-import { noAttemptOf } from './noAttempt.js';
+import type { ForwardingContext } from './forwardingContext.js';
+import { noAttemptReasonOf } from './noAttemptReason.js';
 import type { RequestAttempts } from './requestAttempts.js';
 import type { RequestTrace } from './requestTrace.js';
 import { StreamHandover } from './streamHandover.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Hears what comes of a handover. */
+/** Receives the events of a handover. */
 export interface HandoverListener {
-  /** Hears the call from when it is followed. */
+  /** Returns the listener for the call to the other server once the handover is complete. */
   callListener(server: TrackedServer): BackendCallListener;
-  /** The other server has been asked. */
-  onBegun(server: TrackedServer): void;
-  /** It has sent an event of the call that began at `startedAt`. */
+  /** The request has been sent to the other server. */
+  onSent(server: TrackedServer): void;
+  /** The other server has sent its first event; `call` began at `startedAt`. */
   onReady(call: BackendCall, startedAt: number): void;
   onFailed(server: TrackedServer, failure: CallFailure, startedAt: number): void;
 }
 
 export class RequestHandover {
-  private readonly _services: ForwardServices;
+  private readonly _context: ForwardingContext;
   private readonly _request: AdmittedRequest;
   private readonly _attempts: RequestAttempts;
   private readonly _trace: RequestTrace;
@@ -28,36 +28,36 @@
   private _handover: StreamHandover | undefined;
 
   constructor(
-    services: ForwardServices,
+    context: ForwardingContext,
     request: AdmittedRequest,
     attempts: RequestAttempts,
     trace: RequestTrace,
     listener: HandoverListener,
   ) {
-    this._services = services;
+    this._context = context;
     this._request = request;
     this._attempts = attempts;
     this._trace = trace;
     this._listener = listener;
   }
 
-  get isUnderWay(): boolean {
+  get inProgress(): boolean {
     return this._handover !== undefined;
   }
 
-  /** Asks a server other than `from` for what follows `lastEventId`, if there is one and the bounds allow it. */
+  /** Asks another server for the events after `lastEventId`, if one is available and a retry is permitted. */
   begin(from: TrackedServer, lastEventId: string): void {
     const found = this._attempts.find(true);
-    if (found.kind === 'none') return this._trace.notHandedOver(from, noAttemptOf(found)!);
+    if (found.kind === 'none') return this._trace.notHandedOver(from, noAttemptReasonOf(found)!);
     const refused = this._attempts.takeRetry(true);
     if (refused) return this._trace.notHandedOver(from, refused);
     this._trace.retried();
     const { server } = found;
-    const startedAt = this._services.clock.now();
+    const startedAt = this._context.clock.now();
     this._handover = StreamHandover.begin({
       server,
       request: this._attempts.outgoing(server, lastEventId),
-      names: this._services.names,
+      names: this._context.names,
       requestId: this._request.exchange.requestId,
       model: this._request.model,
       listener: this._listener.callListener(server),
@@ -70,7 +70,7 @@
         this._listener.onFailed(server, failure, startedAt);
       },
     });
-    if (this._handover) this._listener.onBegun(server);
+    if (this._handover) this._listener.onSent(server);
   }
 
   cancel(): void {
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -1,9 +1,9 @@
-/** Log lines and counters of one request, from its first attempt to its end. */
+/** Writes the log lines and counts the metrics of one request. */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { CallFailure } from './backendCall.js';
-import type { NoAttempt } from './noAttempt.js';
+import type { NoAttemptReason } from './noAttemptReason.js';
 import type { ServingMetrics } from '../telemetry/servingMetrics.js';
 import type { StreamRelay } from './streamRelay.js';
 import type { TrackedServer } from './trackedServer.js';
@@ -11,7 +11,7 @@
 /** How a request ended. */
 export type RequestOutcome = 'answered' | 'refused' | 'failed' | 'cut' | 'caller-gone';
 
-/** What else is logged of an end. */
+/** Additional log fields for the end of a request. */
 export type EndFields = Record<string, string | number | boolean | undefined>;
 
 export class RequestTrace {
@@ -20,8 +20,8 @@
   private readonly _metrics: ServingMetrics;
   private readonly _clock: Clock;
   private readonly _startedAt: number;
-  private _stays = false;
-  private _waitsFor: NoAttempt | undefined;
+  private _hasLoggedNotHandedOver = false;
+  private _waitReason: NoAttemptReason | undefined;
 
   constructor(request: AdmittedRequest, log: EventLog, metrics: ServingMetrics, clock: Clock) {
     this._request = request;
@@ -32,7 +32,7 @@
   }
 
   sent(server: TrackedServer, attempt: number): void {
-    this._waitsFor = undefined;
+    this._waitReason = undefined;
     const now = this._clock.now();
     const { statusAge } = server;
     if (statusAge !== undefined) this._metrics.loadUsed(server.record.service, statusAge);
@@ -52,8 +52,8 @@
     this._log.decision('request.rejected', { request: this._id, server: server.record.id, status });
   }
 
-  attemptFailed(server: TrackedServer, failure: CallFailure, waited: number): void {
-    const milliseconds = Math.round(waited);
+  attemptFailed(server: TrackedServer, failure: CallFailure, elapsed: number): void {
+    const milliseconds = Math.round(elapsed);
     this._log.decision('request.attempt-failed', {
       request: this._id,
       server: server.record.id,
@@ -63,7 +63,7 @@
     });
   }
 
-  /** The request has not begun, and may not begin on the version of `server` any more. */
+  /** Logs that the request has not begun and may no longer begin on the version of `server`. */
   takenBack(server: TrackedServer): void {
     this._log.decision('request.taken-back', {
       request: this._id,
@@ -74,18 +74,18 @@
     });
   }
 
-  /** A stream stays at a server that is about to change its version; logged once. */
+  /** Logs, once, that a stream stays at a server that is about to switch versions. */
   notHandedOver(server: TrackedServer, reason: string): void {
-    if (this._stays) return;
-    this._stays = true;
+    if (this._hasLoggedNotHandedOver) return;
+    this._hasLoggedNotHandedOver = true;
     this._metrics.count(`handovers_refused_total{reason="${reason}"}`);
     this._log.decision('request.not-handed-over', { request: this._id, server: server.record.id, reason });
   }
 
-  /** A stream that has begun waits until it can go on elsewhere; logged once for each reason. */
-  waiting(reason: NoAttempt): void {
-    if (this._waitsFor === reason) return;
-    this._waitsFor = reason;
+  /** Logs that a begun stream waits to be resumed on another server. Repeats of the same reason are skipped. */
+  waiting(reason: NoAttemptReason): void {
+    if (this._waitReason === reason) return;
+    this._waitReason = reason;
     this._metrics.count(`streams_waiting_total{reason="${reason}"}`);
     const leftMilliseconds = Math.round(this._request.endsAt - this._clock.now());
     this._log.decision('request.waiting', { request: this._id, noAttempt: reason, leftMilliseconds });
@@ -99,14 +99,14 @@
     const milliseconds = Math.round(this._clock.now() - this._startedAt);
     this._metrics.requestEnded(this._request.service, outcome, milliseconds);
     const { name: route, objectiveMilliseconds } = this._request.route;
-    const firstAt = stream?.firstAt ?? 0;
+    const firstBytesAt = stream?.firstBytesAt ?? 0;
     this._log.decision(`request.${outcome}`, {
       request: this._id,
       route,
       attempts,
       milliseconds,
       objectiveMilliseconds,
-      firstMilliseconds: firstAt > 0 ? Math.round(firstAt - this._startedAt) : undefined,
+      firstMilliseconds: firstBytesAt > 0 ? Math.round(firstBytesAt - this._startedAt) : undefined,
       pauseMilliseconds: stream ? Math.round(stream.longestPause) : undefined,
       ...fields,
     });
--- a/src/serving/streamHandover.ts
+++ b/src/serving/streamHandover.ts
@@ -1,33 +1,36 @@
-/** Moves a stream to another server without a pause: the first server goes on until the second has sent an event. */
-import { noteAnswerHead } from './answerHead.js';
-import { judgeAnswer } from './answerJudgement.js';
+/** Moves a stream to another server without a pause: the first server keeps sending until the second has started. */
+import { recordAnswerHead } from './answerHead.js';
+import { classifyAnswer } from './answerClassification.js';
 import type { AnswerHeaders, BackendCallListener, BackendRequest, CallFailure } from './backendCall.js';
 import { BackendCall } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** What a handover works with. */
+/** Options of a handover. */
 export interface StreamHandoverOptions {
   server: TrackedServer;
-  /** Asks for the stream from the event after the last one that the caller has been sent. */
+  /** Request for the events after the last one sent to the caller. */
   request: BackendRequest;
   names: HeaderNames;
   requestId: string;
-  /** '' for requests without one. */
+  /** Name of the model, '' for requests without one. */
   model: string;
-  /** Hears all of the second server's answer, from its head on, once that server has sent its first event. */
+  /** Receives the whole answer of the second server, from its head on, once that server has sent its first event. */
   listener: BackendCallListener;
-  /** The second server has sent its first event: the first one can be let go, and the request goes on with `call`. */
+  /** The second server has sent its first event; `call` now replaces the call to the first server. */
   onReady: (call: BackendCall) => void;
-  /** The second server failed before its first event, or was silent for too long. */
+  /** The second server failed, or timed out, before its first event. */
   onFailed: (failure: CallFailure) => void;
 }
 
-/** Time for the first event of the second server: less than entries keep clear of the bound of an older version. */
-export const LONGEST_HANDOVER_MILLISECONDS = 600;
+/**
+ * Timeout for the first event of the second server. It is shorter than the margin that entries keep before the
+ * bound of an older version.
+ */
+export const HANDOVER_TIMEOUT_MILLISECONDS = 600;
 const SUCCESS = 200;
 
-/** Ends by exactly one of `onReady`, `onFailed` and {@link StreamHandover.cancel}. */
+/** A handover in progress. It ends with exactly one of `onReady`, `onFailed` and {@link StreamHandover.cancel}. */
 export class StreamHandover {
   private readonly _options: StreamHandoverOptions;
   private readonly _timer: NodeJS.Timeout;
@@ -39,11 +42,11 @@
     this._options = options;
     this._timer = setTimeout(
       () => this._fail({ sent: true, reason: 'handover was silent' }),
-      LONGEST_HANDOVER_MILLISECONDS,
+      HANDOVER_TIMEOUT_MILLISECONDS,
     );
   }
 
-  /** Sends the request; undefined when the server's connections are all in use, or when it has failed at once. */
+  /** Sends the request. Returns undefined when all connections are in use, or when the call failed immediately. */
   static begin(options: StreamHandoverOptions): StreamHandover | undefined {
     const handover = new StreamHandover(options);
     options.server.streamBegan();
@@ -58,7 +61,7 @@
     return undefined;
   }
 
-  /** Gives the second server up. */
+  /** Aborts the handover. */
   cancel(): void {
     if (this._state === 'waiting') this._end('ended');
   }
@@ -67,12 +70,12 @@
     if (this._state !== 'waiting') return;
     const { server, names, requestId, model } = this._options;
     const isOwn = headers[names.requestId] === requestId;
-    if (isOwn) noteAnswerHead(server, status, headers, names, model);
+    if (isOwn) recordAnswerHead(server, status, headers, names, model);
     if (isOwn && status === SUCCESS && headers[names.seal] !== undefined) {
       this._headers = headers;
       return;
     }
-    const isRejected = isOwn && judgeAnswer(status, headers, names) === 'not-run';
+    const isRejected = isOwn && classifyAnswer(status, headers, names) === 'not-run';
     const reason = `status ${status} of a handover`;
     this._fail({ sent: true, reason, rejectedWith: isRejected ? status : undefined });
   }
@@ -104,7 +107,7 @@
     this._options.onFailed(failure);
   }
 
-  /** `ended` lets the second server go. */
+  /** Ends the handover; `ended` also aborts the call to the second server. */
   private _end(state: 'ready' | 'ended'): void {
     this._state = state;
     clearTimeout(this._timer);
--- a/tests/backendCall.spec.ts
+++ b/tests/backendCall.spec.ts
@@ -1,4 +1,4 @@
-/** One attempt at a backend server. */
+/** Calls to a backend server whose signals change while the connection is being opened. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { CallFailure } from '../src/serving/backendCall.js';
@@ -9,10 +9,10 @@
 import { ScriptedBackend, answers } from '../standins/scriptedBackend.js';
 import { servingSignals } from './fixtures/servingSignals.js';
 
-const REQUEST = { method: 'GET', path: '/', headers: [], body: undefined, prompts: 0 };
+const REQUEST = { method: 'GET', path: '/', headers: [], body: undefined, promptSize: 0 };
 
-/** Sends a request, and lets the server ask for something before its connection is up. */
-async function sendBeforeWord(changes: { leaving: boolean; retryAfterMilliseconds: number }) {
+/** Sends a request, and applies signals of the server before the connection is established. */
+async function sendDuringSignal(signals: { leaving: boolean; retryAfterMilliseconds: number }) {
   const backend = new ScriptedBackend(answers());
   const address = await backend.listen();
   const clock = new SystemClock();
@@ -24,7 +24,7 @@
   const failure = await new Promise<CallFailure | undefined>((resolve) => {
     const listener = { onHead: () => undefined, onData: () => undefined };
     BackendCall.send(server, REQUEST, { ...listener, onEnd: () => resolve(undefined), onFailed: resolve });
-    backpressure.note({ limitPerSecond: undefined, unreadable: undefined, ...changes });
+    backpressure.note({ limitPerSecond: undefined, unreadable: undefined, ...signals });
   });
   const arrivals = backend.arrived.length;
   connections.close();
@@ -32,17 +32,17 @@
   return { failure, arrivals };
 }
 
-test('should send nothing over a connection that comes up after the server has asked for a pause', async () => {
-  const { failure, arrivals } = await sendBeforeWord({ leaving: false, retryAfterMilliseconds: 5_000 });
+test('should send nothing over a connection established after the server has asked for a pause', async () => {
+  const { failure, arrivals } = await sendDuringSignal({ leaving: false, retryAfterMilliseconds: 5_000 });
   expect([failure?.sent, arrivals]).toEqual([false, 0]);
 });
 
-test('should send nothing over a connection that comes up after the server has said it leaves', async () => {
-  const { failure, arrivals } = await sendBeforeWord({ leaving: true, retryAfterMilliseconds: 0 });
+test('should send nothing over a connection established after the server has announced that it leaves', async () => {
+  const { failure, arrivals } = await sendDuringSignal({ leaving: true, retryAfterMilliseconds: 0 });
   expect([failure?.sent, arrivals]).toEqual([false, 0]);
 });
 
-test('should send over a connection that comes up while the server asks for nothing', async () => {
-  const { failure, arrivals } = await sendBeforeWord({ leaving: false, retryAfterMilliseconds: 0 });
+test('should send over a connection when the server has sent no signal', async () => {
+  const { failure, arrivals } = await sendDuringSignal({ leaving: false, retryAfterMilliseconds: 0 });
   expect([failure, arrivals]).toEqual([undefined, 1]);
 });
--- a/tests/fairQueue.spec.ts
+++ b/tests/fairQueue.spec.ts
@@ -1,4 +1,4 @@
-/** Shares among customers, refusals at once, deadlines. */
+/** Fair shares among customers, immediate refusals and deadlines. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Priority } from '../src/protocol/headers.js';
@@ -6,7 +6,7 @@
 import { FairQueue } from '../src/requests/fairQueue.js';
 import { ManualClock } from '../src/utils/clock.js';
 
-interface Ask {
+interface RequestOptions {
   customer: string;
   weight?: number;
   priority?: Priority;
@@ -18,28 +18,31 @@
   return { queue: new FairQueue({ slots, waitingPerCustomer, clock }), clock };
 }
 
-function admit(queue: FairQueue, ask: Ask): Admission {
-  const { customer, weight = 1, priority = 'normal', deadlineMilliseconds } = ask;
+function admit(queue: FairQueue, request: RequestOptions): Admission {
+  const { customer, weight = 1, priority = 'normal', deadlineMilliseconds } = request;
   return queue.admit({ customer, weight, priority, deadlineMilliseconds })._unsafeUnwrap();
 }
 
-/** Admits requests, then serves them one after the other and returns the order of their names. */
-async function servedOrder(queue: FairQueue, asks: (Ask & { name: string })[]): Promise<string[]> {
+/** Admits requests, serves them one after the other and returns their names in the order served. */
+async function servedOrder(
+  queue: FairQueue,
+  requests: (RequestOptions & { name: string })[],
+): Promise<string[]> {
   const blocker = admit(queue, { customer: 'blocker' });
   const order: string[] = [];
-  for (const ask of asks) {
-    const admission = admit(queue, ask);
+  for (const request of requests) {
+    const admission = admit(queue, request);
     void admission.ready.then((runs) => {
-      if (runs) order.push(ask.name);
+      if (runs) order.push(request.name);
       admission.release();
     });
   }
   blocker.release();
-  for (let turn = 0; turn < asks.length * 4; turn++) await Promise.resolve();
+  for (let turn = 0; turn < requests.length * 4; turn++) await Promise.resolve();
   return order;
 }
 
-test('should alternate between a burst and a small customer', async () => {
+test('should alternate between a customer with a burst and one with few requests', async () => {
   const { queue } = queueWith(1);
   const burst = Array.from({ length: 10 }, (_none, index) => ({ customer: 'large', name: `large-${index}` }));
   const small = [0, 1, 2].map((index) => ({ customer: 'small', name: `small-${index}` }));
@@ -49,7 +52,7 @@
   expect(order.length).toEqual(13);
 });
 
-test('should serve equal customers equally within five in a hundred', async () => {
+test('should give customers of equal weight equal shares within five percent', async () => {
   const { queue } = queueWith(1);
   const asks = ['a', 'b', 'c', 'd'].flatMap((customer) =>
     Array.from({ length: 50 }, () => ({ customer, name: customer })),
@@ -61,7 +64,7 @@
   }
 });
 
-test('should give a customer of twice the weight twice the share', async () => {
+test('should give a customer with twice the weight twice the share', async () => {
   const { queue } = queueWith(1);
   const asks = [
     ...Array.from({ length: 60 }, () => ({ customer: 'heavy', weight: 2, name: 'heavy' })),
@@ -72,7 +75,7 @@
   expect(heavy >= 38 && heavy <= 42).toEqual(true);
 });
 
-test('should run high priority first, within a customer only', async () => {
+test('should order by priority only within a customer', async () => {
   const { queue } = queueWith(1);
   const order = await servedOrder(queue, [
     { customer: 'a', priority: 'low', name: 'a-low' },
@@ -83,7 +86,7 @@
   expect(order.indexOf('b-low') < 2).toEqual(true);
 });
 
-test('should refuse at once when the queue of the customer is full, and say when to come back', () => {
+test('should refuse when the queue of the customer is full, and say when to retry', () => {
   const { queue } = queueWith(1, 2);
   for (let index = 0; index < 3; index++) admit(queue, { customer: 'a' });
   const refused = queue.admit({
@@ -99,14 +102,14 @@
   ).toEqual(true);
 });
 
-test('should refuse at once what cannot end before its deadline', () => {
+test('should refuse a request that cannot end before its deadline', () => {
   const { queue } = queueWith(1);
   for (let index = 0; index < 20; index++) admit(queue, { customer: 'a' });
   const refused = queue.admit({ customer: 'a', weight: 1, priority: 'normal', deadlineMilliseconds: 100 });
   expect(refused._unsafeUnwrapErr().reason).toEqual('deadline-too-close');
 });
 
-test('should not run a request whose deadline passed while it waited', async () => {
+test('should not run a request whose deadline passed in the queue', async () => {
   const { queue, clock } = queueWith(1);
   const running = admit(queue, { customer: 'a' });
   const waiting = admit(queue, { customer: 'b', deadlineMilliseconds: 200 });
@@ -116,7 +119,7 @@
   expect(queue.running).toEqual(0);
 });
 
-test('should free the place of a caller that leaves the queue', async () => {
+test('should free the place of a request that is released in the queue', async () => {
   const { queue } = queueWith(1);
   const running = admit(queue, { customer: 'a' });
   const waiting = admit(queue, { customer: 'a' });
--- a/tests/ledger.spec.ts
+++ b/tests/ledger.spec.ts
@@ -1,11 +1,11 @@
-/** At most once: what an agent's ledger lets run, step by step and fault by fault. */
+/** At-most-once execution: which requests the ledger of an agent allows to run. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import fc from 'fast-check';
-import type { LedgerRequest, LedgerVerdict } from '../src/requests/ledger.js';
+import type { LedgerRequest, LedgerDecision } from '../src/requests/ledger.js';
 import { Ledger } from '../src/requests/ledger.js';
 import type { LedgerCandidate, SlotOwner } from '../src/requests/ledgerSlots.js';
-import { LEDGER_SLOTS, assignSlots, ledgerHash, slotsOf } from '../src/requests/ledgerSlots.js';
+import { LEDGER_SLOT_COUNT, assignSlots, ledgerHash, slotsOf } from '../src/requests/ledgerSlots.js';
 import { issueTicket, readTicket } from '../src/requests/ticket.js';
 import { ManualClock } from '../src/utils/clock.js';
 
@@ -21,117 +21,127 @@
   };
 }
 
-function asked(request: Partial<LedgerRequest> = {}): LedgerRequest {
+function ledgerRequest(request: Partial<LedgerRequest> = {}): LedgerRequest {
   return { key: 'k', slot: 3, slotEpoch: 2, ticketed: false, ...request };
 }
 
 const CASES: {
-  what: string;
+  description: string;
   blind: boolean;
   request: Partial<LedgerRequest>;
-  verdict: LedgerVerdict['kind'];
+  decision: LedgerDecision['kind'];
 }[] = [
-  { what: 'the owner, same epoch', blind: false, request: {}, verdict: 'run' },
-  { what: 'a slot of another box', blind: false, request: { slot: 4 }, verdict: 'not-owner' },
-  { what: 'an entry with a stale table', blind: false, request: { slotEpoch: 1 }, verdict: 'not-owner' },
-  { what: 'an entry with a newer table', blind: false, request: { slotEpoch: 3 }, verdict: 'not-owner' },
+  { description: 'the owner, same epoch', blind: false, request: {}, decision: 'run' },
+  { description: 'a slot of another box', blind: false, request: { slot: 4 }, decision: 'not-owner' },
   {
-    what: 'a ticket of a lost owner',
+    description: 'an entry with a stale table',
+    blind: false,
+    request: { slotEpoch: 1 },
+    decision: 'not-owner',
+  },
+  {
+    description: 'an entry with a newer table',
+    blind: false,
+    request: { slotEpoch: 3 },
+    decision: 'not-owner',
+  },
+  {
+    description: 'a ticket of a lost owner',
     blind: false,
     request: { slotEpoch: 1, ticketed: true },
-    verdict: 'uncertain',
+    decision: 'uncertain',
   },
-  { what: 'a bare key after the owner was lost', blind: true, request: {}, verdict: 'uncertain' },
+  { description: 'a bare key after the owner was lost', blind: true, request: {}, decision: 'uncertain' },
   {
-    what: 'a fresh ticket after the owner was lost',
+    description: 'a fresh ticket after the owner was lost',
     blind: true,
     request: { ticketed: true },
-    verdict: 'run',
+    decision: 'run',
   },
 ];
 
-for (const { what, blind, request, verdict } of CASES) {
-  test(`should answer ${verdict} to ${what}`, () => {
+for (const { description, blind, request, decision } of CASES) {
+  test(`should answer ${decision} to ${description}`, () => {
     const { ledger } = ledgerWith();
     ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind }]);
-    expect(ledger.check(SERVICE, asked(request)).kind).toEqual(verdict);
+    expect(ledger.check(SERVICE, ledgerRequest(request)).kind).toEqual(decision);
   });
 }
 
-test('should let a key run once, also while it runs', () => {
+test('should let a key run once, even while it is running', () => {
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
-  expect(ledger.check(SERVICE, asked()).kind).toEqual('run');
-  expect(ledger.check(SERVICE, asked()).kind).toEqual('started');
+  expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('run');
+  expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('started');
   ledger.finish('k', undefined);
-  expect(ledger.check(SERVICE, asked()).kind).toEqual('started');
+  expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('started');
 });
 
-test('should give a kept answer again', () => {
+test('should return a stored answer again', () => {
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
-  ledger.check(SERVICE, asked());
+  ledger.check(SERVICE, ledgerRequest());
   ledger.finish('k', { status: 200, contentType: 'text/plain', version: '1', body: Buffer.from('done') });
-  const verdict = ledger.check(SERVICE, asked());
-  expect(verdict.kind === 'answered' && verdict.answer.body.toString()).toEqual('done');
+  const decision = ledger.check(SERVICE, ledgerRequest());
+  expect(decision.kind === 'answered' && decision.answer.body.toString()).toEqual('done');
 });
 
-test('should let a key run that was certainly never sent', () => {
+test('should let a key run again after it was cancelled', () => {
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
-  ledger.check(SERVICE, asked());
+  ledger.check(SERVICE, ledgerRequest());
   ledger.cancel('k');
-  expect(ledger.check(SERVICE, asked()).kind).toEqual('run');
+  expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('run');
 });
 
-test('should refuse new keys rather than forget one that may still be sent again', () => {
+test('should refuse new keys rather than drop one that may still be resent', () => {
   const { ledger, clock } = ledgerWith(1);
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
-  ledger.check(SERVICE, asked({ key: 'first' }));
+  ledger.check(SERVICE, ledgerRequest({ key: 'first' }));
   ledger.finish('first', undefined);
-  expect(ledger.check(SERVICE, asked({ key: 'second' })).kind).toEqual('full');
+  expect(ledger.check(SERVICE, ledgerRequest({ key: 'second' })).kind).toEqual('full');
   clock.advance(LIFETIME + 1);
-  expect(ledger.check(SERVICE, asked({ key: 'second' })).kind).toEqual('run');
+  expect(ledger.check(SERVICE, ledgerRequest({ key: 'second' })).kind).toEqual('run');
 });
 
-test('should never forget a key that still runs', () => {
+test('should never drop a key that is still running', () => {
   const { ledger, clock } = ledgerWith(1);
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
-  ledger.check(SERVICE, asked({ key: 'long' }));
+  ledger.check(SERVICE, ledgerRequest({ key: 'long' }));
   clock.advance(LIFETIME * 10);
-  expect(ledger.check(SERVICE, asked({ key: 'other' })).kind).toEqual('full');
-  expect(ledger.check(SERVICE, asked({ key: 'long' })).kind).toEqual('started');
+  expect(ledger.check(SERVICE, ledgerRequest({ key: 'other' })).kind).toEqual('full');
+  expect(ledger.check(SERVICE, ledgerRequest({ key: 'long' })).kind).toEqual('started');
 });
 
-test('should see clearly again once every key of the lost owner has expired', () => {
+test('should stop being blind once every key of the lost owner has expired', () => {
   const { ledger, clock } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: true }]);
   clock.advance(BLIND - 1);
-  expect(ledger.check(SERVICE, asked()).kind).toEqual('uncertain');
+  expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('uncertain');
   clock.advance(1);
-  expect(ledger.check(SERVICE, asked()).kind).toEqual('run');
+  expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('run');
 });
 
-test('should keep its sight when the same slots are assigned again', () => {
+test('should not restart the blind time when the same slots are assigned again', () => {
   const { ledger, clock } = ledgerWith();
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: true }]);
   clock.advance(BLIND - 1);
   ledger.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: true }]);
   clock.advance(1);
-  expect(ledger.check(SERVICE, asked()).kind).toEqual('run');
+  expect(ledger.check(SERVICE, ledgerRequest()).kind).toEqual('run');
 });
 
 const BOXES: LedgerCandidate[] = ['a', 'b', 'c'].map((box) => ({ box, incarnation: `${box}1` }));
 
-test('should deal all slots evenly at first', () => {
+test('should distribute all slots evenly at first', () => {
   const slots = assignSlots([], BOXES, () => 'owns');
   const counts = BOXES.map(({ box }) => slots.filter((owner) => owner.box === box).length);
-  expect(slots.length).toEqual(LEDGER_SLOTS);
+  expect(slots.length).toEqual(LEDGER_SLOT_COUNT);
   expect(Math.max(...counts) - Math.min(...counts) <= 1).toEqual(true);
   expect(slots.every((owner) => owner.epoch === 1 && !owner.blind)).toEqual(true);
 });
 
-test('should move only the slots of an owner that is proven gone, blind and under a new epoch', () => {
+test('should move only the slots of a lost owner, as blind slots with a new epoch', () => {
   const before = assignSlots([], BOXES, () => 'owns');
   const after = assignSlots(before, BOXES.slice(1), (owner) => (owner.box === 'a' ? 'lost' : 'owns'));
   after.forEach((owner, slot) => {
@@ -140,12 +150,12 @@
   });
 });
 
-test('should leave the slots of a silent owner where they are', () => {
+test('should keep the slots of a silent owner', () => {
   const before = assignSlots([], BOXES, () => 'owns');
   expect(assignSlots(before, BOXES.slice(1), () => 'owns')).toEqual(before);
 });
 
-test('should hash what the owner was told to the same value as the table', () => {
+test('should hash the assigned slots to the same value as the table', () => {
   const slots: SlotOwner[] = assignSlots([], BOXES, () => 'owns');
   const { ledger } = ledgerWith();
   ledger.assign(SERVICE, slotsOf(slots, BOXES[1]));
@@ -153,7 +163,7 @@
   expect(ledger.hashOf(SERVICE) === ledgerHash(slotsOf(slots, BOXES[0]))).toEqual(false);
 });
 
-test('should read its own tickets and no others', () => {
+test('should read only tickets signed with its own key for the same service', () => {
   const ticket = issueTicket('a-shared-key', SERVICE, { slot: 7, slotEpoch: 4 });
   expect(readTicket('a-shared-key', SERVICE, ticket)).toEqual({ slot: 7, slotEpoch: 4 });
   expect(readTicket('another-key', SERVICE, ticket)).toEqual(undefined);
@@ -161,14 +171,14 @@
   expect(readTicket('a-shared-key', SERVICE, ticket.replace('.4.', '.5.'))).toEqual(undefined);
 });
 
-test('should take no text for a ticket', () => {
+test('should not accept arbitrary text as a ticket', () => {
   fc.assert(
     fc.property(fc.string(), (text) => readTicket('a-shared-key', SERVICE, text) === undefined),
     { seed: 5 },
   );
 });
 
-test('should hand a slot over with sight when the old owner gave its keys', () => {
+test('should not make a slot blind when the old owner has handed over its keys', () => {
   const before = assignSlots([], BOXES, () => 'owns');
   const after = assignSlots(before, BOXES.slice(1), (owner) => (owner.box === 'a' ? 'handed-over' : 'owns'));
   after.forEach((owner, slot) => {
@@ -176,20 +186,20 @@
   });
 });
 
-test('should stay blind when the one that hands over was blind itself', () => {
+test('should keep a slot blind when its old owner was blind at the handover', () => {
   const lost = assignSlots([], BOXES, () => 'owns').map((owner) => ({ ...owner, blind: true }));
   const after = assignSlots(lost, BOXES.slice(1), (owner) => (owner.box === 'a' ? 'handed-over' : 'owns'));
   expect(after.every((owner) => owner.blind)).toEqual(true);
 });
 
-test('should let nothing run that the earlier owner let run', () => {
+test('should not run a request that the earlier owner has allowed to run', () => {
   const { ledger: leaving } = ledgerWith();
   leaving.assign(SERVICE, [{ slot: 3, slotEpoch: 2, blind: false }]);
-  leaving.check(SERVICE, asked({ key: `${SERVICE}.k` }));
+  leaving.check(SERVICE, ledgerRequest({ key: `${SERVICE}.k` }));
   const { ledger: next } = ledgerWith();
   next.importKeys(leaving.exportKeys(SERVICE));
   next.assign(SERVICE, [{ slot: 3, slotEpoch: 3, blind: false }]);
-  expect(leaving.check(SERVICE, asked({ key: `${SERVICE}.other` })).kind).toEqual('not-owner');
-  expect(next.check(SERVICE, asked({ key: `${SERVICE}.k`, slotEpoch: 3 })).kind).toEqual('started');
-  expect(next.check(SERVICE, asked({ key: `${SERVICE}.other`, slotEpoch: 3 })).kind).toEqual('run');
+  expect(leaving.check(SERVICE, ledgerRequest({ key: `${SERVICE}.other` })).kind).toEqual('not-owner');
+  expect(next.check(SERVICE, ledgerRequest({ key: `${SERVICE}.k`, slotEpoch: 3 })).kind).toEqual('started');
+  expect(next.check(SERVICE, ledgerRequest({ key: `${SERVICE}.other`, slotEpoch: 3 })).kind).toEqual('run');
 });
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -1,9 +1,9 @@
-/** Where a request may be sent next. */
+/** Whether and where a request may be sent next. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { AdmittedRequest } from '../src/serving/admittedRequest.js';
-import type { ForwardServices } from '../src/serving/forwardServices.js';
-import type { NoAttempt } from '../src/serving/noAttempt.js';
+import type { ForwardingContext } from '../src/serving/forwardingContext.js';
+import type { NoAttemptReason } from '../src/serving/noAttemptReason.js';
 import { RequestAttempts } from '../src/serving/requestAttempts.js';
 import { RetryAllowance } from '../src/serving/retryAllowance.js';
 import type { ServerNeed } from '../src/serving/serverNeed.js';
@@ -13,7 +13,7 @@
 import { ManualClock } from '../src/utils/clock.js';
 import { routeFixture } from './fixtures/servingFixture.js';
 
-test('should hand a stream over to no server of an older version late before the bound', () => {
+test('should not hand a stream over to a server of an older version close to the bound', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.note('m', 2, 0);
@@ -24,7 +24,7 @@
       return { kind: 'none', reason: 'no-server' } as const;
     },
   };
-  const services = { clock, gate, pool } as unknown as ForwardServices;
+  const services = { clock, gate, pool } as unknown as ForwardingContext;
   const request = { service: 's', model: 'm', route: routeFixture() } as AdmittedRequest;
   const attempts = new RequestAttempts(services, request);
   clock.advance(4_900);
@@ -36,11 +36,11 @@
   expect(needs.map(({ lowestVersionSlow }) => lowestVersionSlow)).toEqual([0, 2, 0]);
 });
 
-test('should take a request back sooner from a server on whose link it may lie', () => {
+test('should take a request back earlier from a server with a slow link', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.note('m', 2, 0);
-  const services = { clock, gate } as unknown as ForwardServices;
+  const services = { clock, gate } as unknown as ForwardingContext;
   const request = { service: 's', model: 'm', route: routeFixture() } as AdmittedRequest;
   const attempts = new RequestAttempts(services, request);
   const server = { version: () => 1, slowLink: false, agentSilent: false } as unknown as TrackedServer;
@@ -54,7 +54,7 @@
 const SERVER = { record: { id: 'server-1' } } as TrackedServer;
 const FOUND: ServerFound = { kind: 'found', server: SERVER };
 
-interface Standing {
+interface Situation {
   found?: ServerFound;
   slack?: number;
   sent?: number;
@@ -62,13 +62,13 @@
   begun?: boolean;
 }
 
-/** Attempts of a request to which its route allows two, and how things stand for it. */
-function attemptsAt(standing: Standing): RequestAttempts {
-  const { found = FOUND, slack = 100, sent = 1, left = 1_000, begun = false } = standing;
+/** Creates the attempts of a request whose route allows two, in the given situation. */
+function attemptsIn(situation: Situation): RequestAttempts {
+  const { found = FOUND, slack = 100, sent = 1, left = 1_000, begun = false } = situation;
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   const pool = { find: () => found };
-  const services = { clock, gate, pool } as unknown as ForwardServices;
+  const services = { clock, gate, pool } as unknown as ForwardingContext;
   const retries = new RetryAllowance({ ratio: 0, windowMilliseconds: 10_000, slack }, clock, () => 1);
   const endsAt = clock.now() + left;
   const request = { service: 's', model: 'm', route: routeFixture({ attempts: 2 }), retries, endsAt };
@@ -77,7 +77,7 @@
   return attempts;
 }
 
-for (const [why, standing] of [
+for (const [reason, situation] of [
   [undefined, {}],
   ['attempts used', { sent: 2 }],
   ['retry budget', { slack: 0 }],
@@ -85,13 +85,13 @@
   ['all busy', { found: { kind: 'none', reason: 'all-busy' } }],
   ['old version', { found: { kind: 'none', reason: 'old-version' } }],
   ['time', { left: 30 }],
-] as const satisfies readonly (readonly [NoAttempt | undefined, Standing])[]) {
-  test(`should say why there is no next attempt: ${why ?? 'there is one'}`, () => {
-    expect(attemptsAt(standing).takeRetry()).toEqual(why);
+] as const satisfies readonly (readonly [NoAttemptReason | undefined, Situation])[]) {
+  test(`should say why there is no next attempt: ${reason ?? 'there is one'}`, () => {
+    expect(attemptsIn(situation).takeRetry()).toEqual(reason);
   });
 }
 
-/** Attempts of a stream that has begun, the needs that they told the pool, and their clock. */
+/** Creates the attempts of a stream that has begun, with their clock and the needs that they passed to the pool. */
 function begunStream(found: ServerFound): {
   attempts: RequestAttempts;
   needs: ServerNeed[];
@@ -102,7 +102,7 @@
   gate.note('m', 2, 0);
   const needs: ServerNeed[] = [];
   const pool = { find: (need: ServerNeed) => (needs.push(need), found) };
-  const services = { clock, gate, pool } as unknown as ForwardServices;
+  const services = { clock, gate, pool } as unknown as ForwardingContext;
   const retries = new RetryAllowance({ ratio: 0, windowMilliseconds: 10_000, slack: 100 }, clock, () => 1);
   const route = routeFixture({ attempts: 2, objectiveMilliseconds: 200 });
   const request = { service: 's', model: 'm', route, retries, endsAt: 60_000 };
@@ -110,7 +110,7 @@
   return { attempts, needs, clock };
 }
 
-test('should ask no first answer in time for a stream that has begun, and hold it to the bound of its version', () => {
+test('should not require a timely first answer for a stream that has begun, but keep to the bound of its version', () => {
   const { attempts, needs, clock } = begunStream(FOUND);
   attempts.find();
   attempts.find(true);
@@ -121,7 +121,7 @@
   expect(needs.map((need) => need.lowestVersion)).toEqual([0, 0, 2]);
 });
 
-test('should ask a server again, after a while, that has not run a stream that has begun', () => {
+test('should try a server that has not run a begun stream again after a while', () => {
   const { attempts, needs, clock } = begunStream(FOUND);
   const ran = { record: { id: 'server-2' } } as TrackedServer;
   attempts.noteSent(ran);
@@ -137,9 +137,9 @@
   expect(attempts.takeRetry()).toEqual('attempts used');
 });
 
-test('should let a stream that has begun have the retries that are kept from new requests', () => {
-  // one retry is within the whole share of the entry, and beyond the part that new requests may use
+test('should allow a stream that has begun the retries that are reserved from new requests', () => {
+  // one retry is within the entry's share, but beyond the part that new requests may use
   const slack = 1.3;
-  const [fresh, begun] = [false, true].map((hasBegun) => attemptsAt({ slack, begun: hasBegun }));
+  const [fresh, begun] = [false, true].map((hasBegun) => attemptsIn({ slack, begun: hasBegun }));
   expect([fresh.takeRetry(), begun.takeRetry()]).toEqual(['retry budget', undefined]);
 });
