--- a/src/backpressure/answerSignals.ts
+++ b/src/backpressure/answerSignals.ts
@@ -35,7 +35,7 @@
 const DECIMAL = /^\d+(\.\d+)?$/;
 const MILLISECONDS = 1_000;
 /** A server that asks for longer is asked again after this: its clock or its configuration is wrong. */
-export const LONGEST_RETRY_AFTER_MILLISECONDS = 600_000;
+export const MAX_RETRY_AFTER_MILLISECONDS = 600_000;
 const LONGEST_LOGGED = 40;
 
 /** Reads the signals of an answer; `wallClock` is Unix milliseconds, for dates. */
@@ -84,7 +84,7 @@
   const seconds = decimal(text);
   const milliseconds = seconds === undefined ? untilDate(text, wallClock) : seconds * MILLISECONDS;
   if (milliseconds === undefined) return undefined;
-  return Math.min(LONGEST_RETRY_AFTER_MILLISECONDS, Math.max(0, milliseconds));
+  return Math.min(MAX_RETRY_AFTER_MILLISECONDS, Math.max(0, milliseconds));
 }
 
 /** Milliseconds until an HTTP date, which ends in its time zone; other texts that a date parser takes are no dates. */
--- a/src/backpressure/probeSlot.ts
+++ b/src/backpressure/probeSlot.ts
@@ -5,7 +5,7 @@
 /** Of so many milliseconds for each entry: of all entries without a share few may ask at the same time, whoever has callers. */
 const MILLISECONDS_PER_ENTRY = 8_000;
 
-export interface ProbeTurn {
+export interface ProbeSchedule {
   /** Monotonic milliseconds. */
   now: number;
   /** How many entries there are. */
@@ -17,7 +17,7 @@
 }
 
 /** Milliseconds until the entry may ask, 0 when it may now. */
-export function untilProbe({ now, entries, phase, askedAt }: ProbeTurn): number {
+export function millisecondsUntilProbe({ now, entries, phase, askedAt }: ProbeSchedule): number {
   const period = MILLISECONDS_PER_ENTRY * Math.max(1, entries);
   const position = (now + phase * period) % period;
   const isInSlot = position < SLOT_MILLISECONDS;
--- a/src/backpressure/serverBackpressure.ts
+++ b/src/backpressure/serverBackpressure.ts
@@ -3,8 +3,8 @@
 import type { Clock } from '../utils/clock.js';
 import type { AnswerSignals } from './answerSignals.js';
 import type { LimitShare } from './limitShare.js';
-import { untilProbe } from './probeSlot.js';
-import { SendAllowance } from './sendAllowance.js';
+import { millisecondsUntilProbe } from './probeSlot.js';
+import { TokenBucket } from './tokenBucket.js';
 import { ServerLimit } from './serverLimit.js';
 
 /** How often all entries are told that a limit still holds. */
@@ -27,7 +27,7 @@
 }
 
 /** What a server asks of all entries. */
-export interface ServerDemand {
+export interface SharedBackpressure {
   limitPerSecond: number | undefined;
   leaving: boolean;
   /** Monotonic milliseconds of the answer that told it. */
@@ -47,7 +47,7 @@
   private readonly _onChange: () => void;
   private readonly _limit: ServerLimit;
   /** What this entry may send while a limit holds, or has ended just now. */
-  private _allowance: SendAllowance;
+  private _allowance: TokenBucket;
   private _isLeaving = false;
   private _leavingHeardAt = Number.NEGATIVE_INFINITY;
   private _backoffUntil = Number.NEGATIVE_INFINITY;
@@ -64,12 +64,12 @@
     this._phase = phase;
     this._onChange = onChange;
     this._limit = new ServerLimit(clock);
-    this._allowance = new SendAllowance(clock);
+    this._allowance = new TokenBucket(clock);
   }
 
   /** Whether the server names a limit. */
   get isLimited(): boolean {
-    return this._limit.named !== undefined;
+    return this._limit.advertised !== undefined;
   }
 
   /** Whether the server has said that it leaves; it does not come back in this life. */
@@ -99,13 +99,13 @@
   }
 
   /** What the server asks of all entries. */
-  get demand(): ServerDemand {
-    const { named: limitPerSecond, heardAt } = this._limit;
+  get sharedState(): SharedBackpressure {
+    const { advertised: limitPerSecond, heardAt } = this._limit;
     return { limitPerSecond, leaving: this._isLeaving, heardAt: Math.max(heardAt, this._leavingHeardAt) };
   }
 
   /** Takes what an answer to this entry says. */
-  note(signals: AnswerSignals): void {
+  applySignals(signals: AnswerSignals): void {
     const { limitPerSecond, leaving, retryAfterMilliseconds, unreadable } = signals;
     const now = this._clock.now();
     if (unreadable !== undefined) this._noteUnreadable(unreadable);
@@ -118,7 +118,7 @@
   }
 
   /** Takes what another entry has heard. What is known here from a later answer stays. */
-  noteTold({ limitPerSecond, leaving, heardAt }: ServerDemand): void {
+  applyNotice({ limitPerSecond, leaving, heardAt }: SharedBackpressure): void {
     if (leaving) this._leave(heardAt, 'entry');
     if (heardAt <= this._limit.heardAt) return;
     this._sharedAt = heardAt;
@@ -143,7 +143,7 @@
     const now = this._clock.now();
     const freshMilliseconds = this._limit.heardAt + STALE_MILLISECONDS - now;
     if (freshMilliseconds > 0) return freshMilliseconds;
-    return untilProbe({ now, entries, phase: this._phase, askedAt: this._sentAt });
+    return millisecondsUntilProbe({ now, entries, phase: this._phase, askedAt: this._sentAt });
   }
 
   private _tell(now: number): void {
@@ -152,22 +152,22 @@
   }
 
   private _name(perSecond: number, heardAt: number, source: SignalSource): boolean {
-    const former = this._limit.named;
-    if (this._limit.allowed === undefined) this._allowance = new SendAllowance(this._clock);
-    const isOther = this._limit.name(perSecond, heardAt);
+    const former = this._limit.advertised;
+    if (this._limit.allowed === undefined) this._allowance = new TokenBucket(this._clock);
+    const isOther = this._limit.update(perSecond, heardAt);
     if (isOther) this._log.state('server.limited', { server: this.server, perSecond, former, source });
     return isOther;
   }
 
   /** An answer names no limit; returns whether one ends by that. */
   private _passOver(): boolean {
-    if (!this._limit.mayEnd) return false;
+    if (!this._limit.canEnd) return false;
     this._end(this._clock.now(), 'answer');
     return true;
   }
 
   private _end(heardAt: number, source: SignalSource): void {
-    const former = this._limit.named;
+    const former = this._limit.advertised;
     this._limit.end(heardAt);
     if (former !== undefined) this._log.state('server.limit-ended', { server: this.server, former, source });
   }
--- a/src/backpressure/serverLimit.ts
+++ b/src/backpressure/serverLimit.ts
@@ -24,7 +24,7 @@
   }
 
   /** Requests a second as the server named them; undefined when it names no limit. */
-  get named(): number | undefined {
+  get advertised(): number | undefined {
     return this._endedAt === undefined ? this._perSecond : undefined;
   }
 
@@ -45,8 +45,8 @@
   }
 
   /** The server has named a limit in an answer of that time. Returns whether it is another one. */
-  name(perSecond: number, heardAt: number): boolean {
-    const isOther = this.named !== perSecond;
+  update(perSecond: number, heardAt: number): boolean {
+    const isOther = this.advertised !== perSecond;
     this._perSecond = perSecond;
     this._heardAt = heardAt;
     this._endedAt = undefined;
@@ -54,13 +54,13 @@
   }
 
   /** Whether an answer that names none ends the limit. */
-  get mayEnd(): boolean {
-    return this.named !== undefined && this._clock.now() - this._heardAt >= END_MILLISECONDS;
+  get canEnd(): boolean {
+    return this.advertised !== undefined && this._clock.now() - this._heardAt >= END_MILLISECONDS;
   }
 
   /** The limit has ended, by an answer of that time. */
   end(heardAt: number): void {
-    if (this.named !== undefined) this._endedAt = this._clock.now();
+    if (this.advertised !== undefined) this._endedAt = this._clock.now();
     this._heardAt = heardAt;
   }
 }
--- a/src/backpressure/serverSignals.ts
+++ b/src/backpressure/serverSignals.ts
@@ -57,7 +57,7 @@
   }
 
   /** What the life of a server asks for that began at `startedAt`, 0 where that is not known. */
-  of(server: string, dataCentre: string, startedAt: number): ServerBackpressure {
+  backpressureOf(server: string, dataCentre: string, startedAt: number): ServerBackpressure {
     const known = this._livesAt(server, startedAt) ?? this._add(server);
     known.dataCentre = dataCentre;
     known.startedAt = startedAt || known.startedAt;
@@ -65,7 +65,7 @@
   }
 
   /** Takes what other entries have heard from servers. */
-  take(notices: readonly ServerNotice[]): void {
+  applyNotices(notices: readonly ServerNotice[]): void {
     for (const notice of notices) this._takeOne(notice);
   }
 
@@ -73,7 +73,7 @@
   notices(): ServerNotice[] {
     return [...this._byServer.keys()].flatMap((server) => {
       const { backpressure } = this._byServer.peek(server)!;
-      const { isLimited, isLeaving, demand } = backpressure;
+      const { isLimited, isLeaving, sharedState: demand } = backpressure;
       const isNew = this._options.clock.now() - demand.heardAt < ENDED_MILLISECONDS;
       return isLimited || isLeaving || isNew ? [this._noticeOf(server)] : [];
     });
@@ -84,7 +84,7 @@
   }
 
   /** The server has started again: nothing that its former life asked for holds. */
-  startAnew(server: string): void {
+  forgetServer(server: string): void {
     this._byServer.delete(server);
   }
 
@@ -143,7 +143,7 @@
     const known = this._byServer.has(server) ? this._livesAt(server, startedAt) : this._add(server);
     if (!known) return;
     known.startedAt ||= startedAt;
-    known.backpressure.noteTold({
+    known.backpressure.applyNotice({
       limitPerSecond: limitPerSecond ?? undefined,
       leaving,
       heardAt: this._options.clock.now() - heardMilliseconds,
@@ -152,7 +152,7 @@
 
   private _noticeOf(server: string): ServerNotice {
     const { startedAt, backpressure } = this._byServer.peek(server)!;
-    const { limitPerSecond, leaving, heardAt } = backpressure.demand;
+    const { limitPerSecond, leaving, heardAt } = backpressure.sharedState;
     const heardMilliseconds = Math.max(0, this._options.clock.now() - heardAt);
     return { server, startedAt, limitPerSecond: limitPerSecond ?? null, leaving, heardMilliseconds };
   }
--- a/src/backpressure/sendAllowance.ts
+++ b/src/backpressure/tokenBucket.ts
@@ -6,7 +6,7 @@
 const MILLISECONDS = 1_000;
 
 /** Begins empty: entries that are told of a limit at one moment, or that start again, do not each send a burst. */
-export class SendAllowance {
+export class TokenBucket {
   private readonly _clock: Clock;
   private _perSecond = 0;
   private _tokens = 0;
--- a/src/serving/answerHead.ts
+++ b/src/serving/answerHead.ts
@@ -18,5 +18,5 @@
   const version = Number(headers[names.version]);
   if (model !== '' && version > 0) server.noteVersion(model, version);
   // a misdirected request may have been answered by another server
-  if (status !== MISDIRECTED) server.backpressure.note(readSignals(status, headers, names));
+  if (status !== MISDIRECTED) server.backpressure.applySignals(readSignals(status, headers, names));
 }
--- a/src/serving/boxLinks.ts
+++ b/src/serving/boxLinks.ts
@@ -211,7 +211,7 @@
     if (message.type === 'box-status') this._options.onStatus(link.agent, message);
     if (message.type === 'entry-list') this._options.onEntries(link.agent, message);
     if (message.type === 'versions-heard') this._options.onHeard(link.agent, message.versions);
-    if (message.type === 'server-notices') this._options.signals.take(message.notices);
+    if (message.type === 'server-notices') this._options.signals.applyNotices(message.notices);
     if (message.type !== 'agent-list-query') return;
     link.wantsAgents = message.wanted;
     this._tell(link);
--- a/src/serving/entrySignals.ts
+++ b/src/serving/entrySignals.ts
@@ -14,7 +14,7 @@
   log: EventLog;
 }
 
-export function entrySignals({ own, entries, clock, log }: EntrySignalsOptions): ServerSignals {
+export function createEntrySignals({ own, entries, clock, log }: EntrySignalsOptions): ServerSignals {
   return new ServerSignals({
     clock,
     log,
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -21,7 +21,7 @@
 import type { DirectoryPaths } from './directoryServer.js';
 import { DirectoryServer } from './directoryServer.js';
 import { EntryDirectory } from './entryDirectory.js';
-import { entrySignals } from './entrySignals.js';
+import { createEntrySignals } from './entrySignals.js';
 import { FollowedRecords } from './followedRecords.js';
 import type { ForwardServices } from './forwardServices.js';
 import { ForwardedRequest } from './forwardedRequest.js';
@@ -93,7 +93,7 @@
       log: parts.log,
       peerTimeoutMilliseconds: settings.peerTimeoutMilliseconds,
     });
-    this._signals = entrySignals({ own: this._own, entries: this._entries, clock, log: parts.log });
+    this._signals = createEntrySignals({ own: this._own, entries: this._entries, clock, log: parts.log });
     this._pool = this._createPool(random);
     this._gate = new VersionGate(
       { switchMilliseconds: settings.versionMilliseconds, contactMilliseconds: settings.contactMilliseconds },
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -174,7 +174,7 @@
     this._options.log.state('server.started-again', { server: id, service, source, startedAt });
     const former = this._servers.get(id)!;
     former.connections.endOpenedBefore(former.certainlyLivedAt);
-    this._options.signals.startAnew(id);
+    this._options.signals.forgetServer(id);
     this._servers.set(id, this._track(record));
   }
 
@@ -251,7 +251,11 @@
     return new TrackedServer(
       record,
       connections,
-      this._options.signals.of(record.id, record.dataCentre, this._lives.get(record.id)!.startedAt),
+      this._options.signals.backpressureOf(
+        record.id,
+        record.dataCentre,
+        this._lives.get(record.id)!.startedAt,
+      ),
       clock,
       () => Math.min(MOST_SHARERS, Math.max(1, sharers())),
       linkDelay,
--- a/tests/answerSignals.spec.ts
+++ b/tests/answerSignals.spec.ts
@@ -1,7 +1,7 @@
 /** What the head of a backend server's answer says of the server. */
 import { test } from 'node:test';
 import { expect } from 'earl';
-import { LONGEST_RETRY_AFTER_MILLISECONDS, readSignals } from '../src/backpressure/answerSignals.js';
+import { MAX_RETRY_AFTER_MILLISECONDS, readSignals } from '../src/backpressure/answerSignals.js';
 import { OWN_HEADER_NAMES as NAMES } from '../src/serving/headerNames.js';
 
 const NOW = Date.UTC(2026, 0, 2, 3, 4, 5);
@@ -33,7 +33,7 @@
   ['0', 0],
   ['Fri, 02 Jan 2026 03:04:09 GMT', 4_000],
   ['Fri, 02 Jan 2026 03:04:01 GMT', 0],
-  ['31536000', LONGEST_RETRY_AFTER_MILLISECONDS],
+  ['31536000', MAX_RETRY_AFTER_MILLISECONDS],
 ] as const) {
   test(`should read a Retry-After of "${text}" from a rejection`, () => {
     expect(read(503, { 'retry-after': text }).retryAfterMilliseconds).toEqual(milliseconds);
--- a/tests/backendCall.spec.ts
+++ b/tests/backendCall.spec.ts
@@ -18,13 +18,13 @@
   const clock = new SystemClock();
   const place = { service: 's', dataCentre: 'north', slots: 1, draining: false, models: [] };
   const connections = new BackendConnections({ address, connectMilliseconds: 500, clock, limit: () => 1 });
-  const backpressure = servingSignals(clock).of('i-1', 'north', 0);
+  const backpressure = servingSignals(clock).backpressureOf('i-1', 'north', 0);
   const record = { id: 'i-1', startedAt: 0, address, ...place };
   const server = new TrackedServer(record, connections, backpressure, clock, () => 1);
   const failure = await new Promise<CallFailure | undefined>((resolve) => {
     const listener = { onHead: () => undefined, onData: () => undefined };
     BackendCall.send(server, REQUEST, { ...listener, onEnd: () => resolve(undefined), onFailed: resolve });
-    backpressure.note({ limitPerSecond: undefined, unreadable: undefined, ...changes });
+    backpressure.applySignals({ limitPerSecond: undefined, unreadable: undefined, ...changes });
   });
   const arrivals = backend.arrived.length;
   connections.close();
--- a/tests/limitShare.spec.ts
+++ b/tests/limitShare.spec.ts
@@ -49,7 +49,7 @@
 
   /** All entries hear an answer that names a limit, or none. */
   hear(limitPerSecond: number | undefined): void {
-    for (const entry of this._entries.values()) entry.note(saying(limitPerSecond));
+    for (const entry of this._entries.values()) entry.applySignals(saying(limitPerSecond));
   }
 
   /** Each entry sends whenever it may. */
--- a/tests/serverNotices.spec.ts
+++ b/tests/serverNotices.spec.ts
@@ -38,7 +38,7 @@
   const clock = new ManualClock();
   clock.advance(10_000);
   const signals: ServerSignals = servingSignals(clock);
-  return { clock, signals, server: signals.of(SERVER, 'north', 0) };
+  return { clock, signals, server: signals.backpressureOf(SERVER, 'north', 0) };
 }
 
 test('should pass on what is new to an agent, once', () => {
@@ -89,59 +89,59 @@
 
 test('should heed the limit that another entry was told', () => {
   const { signals, server } = entry();
-  signals.take([notice()]);
+  signals.applyNotices([notice()]);
   expect(server.isLimited).toEqual(true);
   expect(server.waitMilliseconds).toEqual(1_000);
 });
 
 test('should heed a limit that was told before the server was found', () => {
   const { signals } = entry();
-  signals.take([notice({ server: 'i-2' })]);
-  expect(signals.of('i-2', 'north', 0).isLimited).toEqual(true);
+  signals.applyNotices([notice({ server: 'i-2' })]);
+  expect(signals.backpressureOf('i-2', 'north', 0).isLimited).toEqual(true);
 });
 
 test('should not heed what was told of another life of a server', () => {
   const { signals } = entry();
-  const server = signals.of('i-2', 'north', 6);
-  signals.take([notice({ server: 'i-2', startedAt: 5 })]);
+  const server = signals.backpressureOf('i-2', 'north', 6);
+  signals.applyNotices([notice({ server: 'i-2', startedAt: 5 })]);
   expect(server.isLimited).toEqual(false);
 });
 
 test('should not heed what was told of a former life before the present one was found', () => {
   const { signals } = entry();
-  signals.take([notice({ server: 'i-2', startedAt: 5, leaving: true })]);
-  const server = signals.of('i-2', 'north', 6);
+  signals.applyNotices([notice({ server: 'i-2', startedAt: 5, leaving: true })]);
+  const server = signals.backpressureOf('i-2', 'north', 6);
   expect([server.isLimited, server.isLeaving]).toEqual([false, false]);
 });
 
 test('should hear from another entry that a limit has ended, and not by an older notice', () => {
   const { clock, signals, server } = entry();
-  server.note(saying({ limitPerSecond: 1 }));
+  server.applySignals(saying({ limitPerSecond: 1 }));
   clock.advance(2_000);
-  signals.take([notice({ limitPerSecond: null, heardMilliseconds: 2_500 })]);
+  signals.applyNotices([notice({ limitPerSecond: null, heardMilliseconds: 2_500 })]);
   expect(server.isLimited).toEqual(true);
-  signals.take([notice({ limitPerSecond: null, heardMilliseconds: 500 })]);
+  signals.applyNotices([notice({ limitPerSecond: null, heardMilliseconds: 500 })]);
   expect(server.isLimited).toEqual(false);
-  signals.take([notice({ heardMilliseconds: 1_000 })]);
+  signals.applyNotices([notice({ heardMilliseconds: 1_000 })]);
   expect(server.isLimited).toEqual(false);
 });
 
 test('should heed a limit that it was told though an older answer of the server came later', () => {
   const { signals, server } = entry();
-  server.note(saying({}));
-  signals.take([notice({ heardMilliseconds: 50 })]);
-  server.note(saying({}));
+  server.applySignals(saying({}));
+  signals.applyNotices([notice({ heardMilliseconds: 50 })]);
+  server.applySignals(saying({}));
   expect(server.isLimited).toEqual(true);
 });
 
 test('should end a limit by an answer only when none has named it for a second', () => {
   const { clock, server } = entry();
-  server.note(saying({ limitPerSecond: 1 }));
+  server.applySignals(saying({ limitPerSecond: 1 }));
   clock.advance(900);
-  server.note(saying({}));
+  server.applySignals(saying({}));
   expect(server.isLimited).toEqual(true);
   clock.advance(100);
-  server.note(saying({}));
+  server.applySignals(saying({}));
   expect(server.isLimited).toEqual(false);
 });
 
@@ -157,21 +157,21 @@
     onChange: () => told++,
   });
   for (let second = 0; second <= 25; second++) {
-    server.note(saying({ limitPerSecond: 1 }));
+    server.applySignals(saying({ limitPerSecond: 1 }));
     clock.advance(1_000);
   }
   expect(told).toEqual(3);
-  server.note(saying({}));
+  server.applySignals(saying({}));
   clock.advance(20_000);
-  server.note(saying({}));
+  server.applySignals(saying({}));
   expect(told).toEqual(4);
 });
 
 test('should believe nothing of a former life of a server', () => {
   const { signals, server } = entry();
-  server.note(saying({ limitPerSecond: 1, leaving: true, retryAfterMilliseconds: 1_000 }));
-  signals.startAnew(SERVER);
-  const present = signals.of(SERVER, 'north', 0);
+  server.applySignals(saying({ limitPerSecond: 1, leaving: true, retryAfterMilliseconds: 1_000 }));
+  signals.forgetServer(SERVER);
+  const present = signals.backpressureOf(SERVER, 'north', 0);
   expect([present.isLimited, present.isLeaving, present.isBackingOff]).toEqual([false, false, false]);
 });
 
@@ -184,10 +184,10 @@
       resolve();
     });
   });
-  server.note(saying({}));
-  signals.take([notice({ server: 'i-2' })]);
-  server.note(saying({ limitPerSecond: 1 }));
-  server.note(saying({ limitPerSecond: 2, leaving: true }));
+  server.applySignals(saying({}));
+  signals.applyNotices([notice({ server: 'i-2' })]);
+  server.applySignals(saying({ limitPerSecond: 1 }));
+  server.applySignals(saying({ limitPerSecond: 2, leaving: true }));
   await once;
   expect(told).toEqual([[notice({ limitPerSecond: 2, leaving: true })]]);
   expect(new Set(signals.notices().map(({ server: id }) => id))).toEqual(new Set([SERVER, 'i-2']));
--- a/tests/trackedServer.spec.ts
+++ b/tests/trackedServer.spec.ts
@@ -24,7 +24,7 @@
   };
   const options = { address: record.address, connectMilliseconds: 1, clock, limit: () => 1 };
   const connections = new BackendConnections(options);
-  const backpressure = servingSignals(clock).of(record.id, record.dataCentre, record.startedAt);
+  const backpressure = servingSignals(clock).backpressureOf(record.id, record.dataCentre, record.startedAt);
   const served = { ...record, models };
   const server = new TrackedServer(served, connections, backpressure, clock, () => 3, linkDelay);
   server.update(server.record);
