--- a/src/serving/followedRecords.ts
+++ b/src/serving/followedRecords.ts
@@ -2,8 +2,8 @@
 import type { ConfigurationHolder } from './configurationHolder.js';
 import type { PlatformFollowers } from './platformFollowers.js';
 import type { ServingPlatform } from './platformRecords.js';
-import type { ListedServer } from './serverLife.js';
-import { supersededServers } from './serverLife.js';
+import type { ListedServer } from './serverIncarnation.js';
+import { supersededServers } from './serverIncarnation.js';
 import type { ServerPool } from './serverPool.js';
 import type { ServingConfiguration } from './servingConfiguration.js';
 
--- a/src/serving/serverLife.ts
+++ b/src/serving/serverIncarnation.ts
@@ -2,21 +2,21 @@
 import type { BackendServerRecord } from './backendServerRecord.js';
 
 /** Who tells when a server started: its entry in service discovery, or the agent beside it. */
-export type LifeSource = 'discovery' | 'agent';
+export type IncarnationSource = 'discovery' | 'agent';
 
 /** What a word is about; `former`: a life that is known to have ended. */
-export type LifeJudgement = 'same' | 'another' | 'former';
+export type IncarnationMatch = 'same' | 'another' | 'former';
 
 /** A start that is not told. */
 export const UNKNOWN_START = 0;
 
 /** What is known when a start is told; all in Unix milliseconds by the server's clock, 0 where there is none. */
-export interface LifeEvidence {
+export interface StartReport {
   /** The start of the life that is believed in. */
   current: number;
   /** What the same source told before. */
-  toldBefore: number;
-  told: number;
+  previouslyReported: number;
+  reported: number;
 }
 
 /**
@@ -24,7 +24,11 @@
  * told of something newer is late, and one that had told of the present life and tells of another knows better, also where the
  * server's clock was set back between the two starts.
  */
-export function judgeLife({ current, toldBefore, told }: LifeEvidence): LifeJudgement {
+export function matchIncarnation({
+  current,
+  previouslyReported: toldBefore,
+  reported: told,
+}: StartReport): IncarnationMatch {
   if (told === UNKNOWN_START || current === UNKNOWN_START || told === current) return 'same';
   if (toldBefore === current) return 'another';
   return toldBefore !== told && told > current ? 'another' : 'former';
@@ -60,8 +64,8 @@
 }
 
 /** What has been told of the lives of one server. */
-export class ServerLife {
-  private readonly _told = new Map<LifeSource, number>();
+export class ServerIncarnation {
+  private readonly _told = new Map<IncarnationSource, number>();
   private _startedAt = UNKNOWN_START;
 
   /** Start of the present life, in Unix milliseconds by the server's clock; 0 while unknown. */
@@ -70,9 +74,13 @@
   }
 
   /** Takes a word of `source`; returns what it is about. */
-  judge(source: LifeSource, told: number): LifeJudgement {
+  noteStart(source: IncarnationSource, told: number): IncarnationMatch {
     const toldBefore = this._told.get(source) ?? UNKNOWN_START;
-    const judgement = judgeLife({ current: this._startedAt, toldBefore, told });
+    const judgement = matchIncarnation({
+      current: this._startedAt,
+      previouslyReported: toldBefore,
+      reported: told,
+    });
     if (told === UNKNOWN_START) return judgement;
     this._told.set(source, told);
     if (judgement !== 'former') this._startedAt = told;
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -10,8 +10,8 @@
 import type { Candidate, ServiceCost } from './serverChoice.js';
 import { chooseServer } from './serverChoice.js';
 import { eligibleServers } from './serverEligibility.js';
-import type { LifeSource } from './serverLife.js';
-import { ServerLife, UNKNOWN_START } from './serverLife.js';
+import type { IncarnationSource } from './serverIncarnation.js';
+import { ServerIncarnation, UNKNOWN_START } from './serverIncarnation.js';
 import type { ServerNeed } from './serverNeed.js';
 import type { ServiceDescription } from './servingConfiguration.js';
 import { TrackedServer } from './trackedServer.js';
@@ -82,7 +82,7 @@
   private readonly _options: ServerPoolOptions;
   /** The present life of each server, by its id. */
   private readonly _servers = new Map<string, TrackedServer>();
-  private readonly _lives = new Map<string, ServerLife>();
+  private readonly _lives = new Map<string, ServerIncarnation>();
   private _byHost = new Map<string, TrackedServer[]>();
   /** Servers that are missing from a list that is not trusted. */
   private readonly _missing = new Set<string>();
@@ -153,7 +153,7 @@
   }
 
   private _noteStatusOf(record: BackendServerRecord, status: BoxStatus): void {
-    const judgement = this._lives.get(record.id)!.judge('agent', status.startedAt ?? UNKNOWN_START);
+    const judgement = this._lives.get(record.id)!.noteStart('agent', status.startedAt ?? UNKNOWN_START);
     if (judgement === 'former') return this._noteLate(record.id, 'agent');
     if (judgement === 'another') {
       this._startAnew(record, 'agent');
@@ -163,12 +163,12 @@
   }
 
   /** What came of a life that has ended says nothing of the present one. */
-  private _noteLate(server: string, source: LifeSource): void {
+  private _noteLate(server: string, source: IncarnationSource): void {
     this._options.log.decision('server.late-word', { server, source });
   }
 
   /** The server has started again: nothing that was learned of its former life holds, nor do connections to it. */
-  private _startAnew(record: BackendServerRecord, source: LifeSource): void {
+  private _startAnew(record: BackendServerRecord, source: IncarnationSource): void {
     const { id, service } = record;
     const startedAt = this._lives.get(id)!.startedAt;
     this._options.log.state('server.started-again', { server: id, service, source, startedAt });
@@ -212,7 +212,7 @@
     if (!known) return this._add(record);
     // each record is decoded once: the same one says nothing new, and an older one may name versions that are lost
     if (known.record === record) return;
-    const judgement = this._lives.get(record.id)!.judge('discovery', record.startedAt);
+    const judgement = this._lives.get(record.id)!.noteStart('discovery', record.startedAt);
     const hasMoved = known.record.address !== record.address;
     if (judgement === 'another' || hasMoved) this._startAnew(record, 'discovery');
     const server = this._servers.get(record.id)!;
@@ -228,8 +228,8 @@
   private _add(record: BackendServerRecord): void {
     const { id, service, address } = record;
     this._options.log.state('server.found', { server: id, service, address });
-    const life = new ServerLife();
-    life.judge('discovery', record.startedAt);
+    const life = new ServerIncarnation();
+    life.noteStart('discovery', record.startedAt);
     this._lives.set(id, life);
     const server = this._track(record);
     server.update(record);
--- a/src/serving/serverRollbackPolicy.ts
+++ b/src/serving/serverRollbackPolicy.ts
@@ -5,7 +5,7 @@
 import type { RollbackPolicy } from '../records/rollbackPolicy.js';
 import type { StoredObject } from '../records/watchableStore.js';
 import type { BackendServerRecord } from './backendServerRecord.js';
-import { UNKNOWN_START } from './serverLife.js';
+import { UNKNOWN_START } from './serverIncarnation.js';
 
 /** Heartbeats in which a running server renews its entry: the first may just have been missed. */
 const RENEWAL_HEARTBEATS = 2;
--- a/tests/serverLife.spec.ts
+++ b/tests/serverIncarnation.spec.ts
@@ -3,8 +3,8 @@
 import { expect } from 'earl';
 import type { BoxStatus } from '../src/protocol/boxMessages.js';
 import type { BackendServerRecord } from '../src/serving/backendServerRecord.js';
-import { ServerLife, judgeLife, supersededServers } from '../src/serving/serverLife.js';
-import type { LifeJudgement, LifeSource } from '../src/serving/serverLife.js';
+import { ServerIncarnation, matchIncarnation, supersededServers } from '../src/serving/serverIncarnation.js';
+import type { IncarnationMatch, IncarnationSource } from '../src/serving/serverIncarnation.js';
 import type { TrackedServer } from '../src/serving/trackedServer.js';
 import { isAnotherLife } from '../src/staging/backendLife.js';
 import { ServerPool } from '../src/serving/serverPool.js';
@@ -27,12 +27,12 @@
   ['a source that skips the life that the other told of', 200, 100, 300, 'another'],
 ] as const) {
   test(`should judge ${what} as ${judgement}`, () => {
-    expect(judgeLife({ current, toldBefore, told })).toEqual(judgement);
+    expect(matchIncarnation({ current, previouslyReported: toldBefore, reported: told })).toEqual(judgement);
   });
 }
 
 test('should follow two sources that tell of starts one after the other, in any order and over a clock set back', () => {
-  const words: [LifeSource, number, LifeJudgement][] = [
+  const words: [IncarnationSource, number, IncarnationMatch][] = [
     ['discovery', 100, 'same'],
     ['agent', 100, 'same'],
     ['agent', 200, 'another'],
@@ -45,8 +45,8 @@
     ['discovery', 300, 'former'],
     ['discovery', 400, 'same'],
   ];
-  const life = new ServerLife();
-  expect(words.map(([source, told]) => life.judge(source, told))).toEqual(
+  const life = new ServerIncarnation();
+  expect(words.map(([source, told]) => life.noteStart(source, told))).toEqual(
     words.map(([, , judged]) => judged),
   );
 });
