--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -73,12 +73,12 @@
     const found = pool.find({
       service,
       model,
-      lowestVersion: Math.max(gate.lowest(model), lowestForHandover),
-      lowestVersionSlow: Math.max(gate.lowest(model, true), lowestForHandover),
+      minVersion: Math.max(gate.lowest(model), lowestForHandover),
+      minVersionIfSlow: Math.max(gate.lowest(model, true), lowestForHandover),
       preferredVersion,
       newestVersion: gate.newest(model),
       objectiveMilliseconds: this._objectiveMilliseconds(isHandover),
-      isCarriedOver: isHandover || this._hasBegun(),
+      isContinuation: isHandover || this._hasBegun(),
       tried: this._hasBegun() && !isHandover ? this._triedLately() : this._tried,
     });
     this._waitMilliseconds = 'waitMilliseconds' in found ? found.waitMilliseconds : 0;
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -1,5 +1,5 @@
 /** Which backend servers a request may be sent to, as far as versions are concerned. Pure. */
-import type { ServerNeed } from './serverNeed.js';
+import type { ServerRequirements } from './serverRequirements.js';
 import type { TrackedServer } from './trackedServer.js';
 
 /** What eligibility depends on. */
@@ -16,7 +16,7 @@
  */
 export function eligibleServers<Server extends VersionedServer>(
   servers: readonly Server[],
-  need: ServerNeed,
+  need: ServerRequirements,
 ): Server[] {
   if (need.model === '') return [...servers];
   const able = servers.filter((server) => isAble(server, need));
@@ -25,13 +25,13 @@
   return able.filter((server) => server.version(need.model) >= need.preferredVersion);
 }
 
-function isAble(server: VersionedServer, need: ServerNeed): boolean {
+function isAble(server: VersionedServer, need: ServerRequirements): boolean {
   const version = server.version(need.model);
-  const lowest = server.beginsSoon ? need.lowestVersion : need.lowestVersionSlow;
+  const lowest = server.beginsSoon ? need.minVersion : need.minVersionIfSlow;
   return version > 0 && version >= lowest && !server.switching;
 }
 
-function mayBeginTooLate(server: VersionedServer, need: ServerNeed): boolean {
+function mayBeginTooLate(server: VersionedServer, need: ServerRequirements): boolean {
   const isOutdated = server.version(need.model) < need.newestVersion;
   return isOutdated && (server.agentSilent || server.suspicious || server.slowLink);
 }
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -12,7 +12,7 @@
 import { eligibleServers } from './serverEligibility.js';
 import type { IncarnationSource } from './serverIncarnation.js';
 import { ServerIncarnation, UNKNOWN_START } from './serverIncarnation.js';
-import type { ServerNeed } from './serverNeed.js';
+import type { ServerRequirements } from './serverRequirements.js';
 import type { ServiceDescription } from './servingConfiguration.js';
 import { TrackedServer } from './trackedServer.js';
 
@@ -121,7 +121,7 @@
   }
 
   /** Chooses a server: one of those whose load is told here, unless none of them can serve the request at all. */
-  find(need: ServerNeed): ServerFound {
+  find(need: ServerRequirements): ServerFound {
     const present = this.all().filter(
       (server) =>
         server.record.service === need.service && !server.isLeaving && !need.tried.has(server.record.id),
@@ -132,7 +132,7 @@
     return othersMayServe && routed.length < present.length ? this._findAmong(present, need) : found;
   }
 
-  private _findAmong(present: readonly TrackedServer[], need: ServerNeed): ServerFound {
+  private _findAmong(present: readonly TrackedServer[], need: ServerRequirements): ServerFound {
     if (present.length === 0) return { kind: 'none', reason: 'no-server' };
     const able = eligibleServers(present, need);
     if (able.length === 0) return { kind: 'none', reason: 'old-version' };
@@ -262,7 +262,7 @@
     );
   }
 
-  private _candidate(server: TrackedServer, need: ServerNeed): Candidate {
+  private _candidate(server: TrackedServer, need: ServerRequirements): Candidate {
     const { record, health, load } = server;
     return {
       id: record.id,
@@ -280,7 +280,7 @@
     };
   }
 
-  private _cost({ service, isCarriedOver }: ServerNeed): ServiceCost {
+  private _cost({ service, isContinuation: isCarriedOver }: ServerRequirements): ServiceCost {
     const engine = this._options.service(service)?.engine;
     if (!engine) return PLAIN_COST;
     const reading = engine.usualPromptTokens / (engine.readTokensPerSecond / 1000);
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -6,7 +6,7 @@
 import type { NoAttempt } from '../src/serving/noAttempt.js';
 import { RequestAttempts } from '../src/serving/requestAttempts.js';
 import { RetryAllowance } from '../src/serving/retryAllowance.js';
-import type { ServerNeed } from '../src/serving/serverNeed.js';
+import type { ServerRequirements } from '../src/serving/serverRequirements.js';
 import type { ServerFound } from '../src/serving/serverPool.js';
 import type { TrackedServer } from '../src/serving/trackedServer.js';
 import { VersionGate } from '../src/serving/versionGate.js';
@@ -17,9 +17,9 @@
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.note('m', 2, 0);
-  const needs: ServerNeed[] = [];
+  const needs: ServerRequirements[] = [];
   const pool = {
-    find: (need: ServerNeed) => {
+    find: (need: ServerRequirements) => {
       needs.push(need);
       return { kind: 'none', reason: 'no-server' } as const;
     },
@@ -32,8 +32,8 @@
   clock.advance(200);
   attempts.find(true);
   attempts.find();
-  expect(needs.map(({ lowestVersion }) => lowestVersion)).toEqual([0, 2, 0]);
-  expect(needs.map(({ lowestVersionSlow }) => lowestVersionSlow)).toEqual([0, 2, 0]);
+  expect(needs.map(({ minVersion: lowestVersion }) => lowestVersion)).toEqual([0, 2, 0]);
+  expect(needs.map(({ minVersionIfSlow: lowestVersionSlow }) => lowestVersionSlow)).toEqual([0, 2, 0]);
 });
 
 test('should take a request back sooner from a server on whose link it may lie', () => {
@@ -94,14 +94,14 @@
 /** Attempts of a stream that has begun, the needs that they told the pool, and their clock. */
 function begunStream(found: ServerFound): {
   attempts: RequestAttempts;
-  needs: ServerNeed[];
+  needs: ServerRequirements[];
   clock: ManualClock;
 } {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.note('m', 2, 0);
-  const needs: ServerNeed[] = [];
-  const pool = { find: (need: ServerNeed) => (needs.push(need), found) };
+  const needs: ServerRequirements[] = [];
+  const pool = { find: (need: ServerRequirements) => (needs.push(need), found) };
   const services = { clock, gate, pool } as unknown as ForwardServices;
   const retries = new RetryAllowance({ ratio: 0, windowMilliseconds: 10_000, slack: 100 }, clock, () => 1);
   const route = routeFixture({ attempts: 2, objectiveMilliseconds: 200 });
@@ -117,8 +117,8 @@
   clock.advance(8_000);
   attempts.find();
   expect(needs.map((need) => need.objectiveMilliseconds)).toEqual([Infinity, 600, Infinity]);
-  expect(needs.map((need) => need.isCarriedOver)).toEqual([true, true, true]);
-  expect(needs.map((need) => need.lowestVersion)).toEqual([0, 0, 2]);
+  expect(needs.map((need) => need.isContinuation)).toEqual([true, true, true]);
+  expect(needs.map((need) => need.minVersion)).toEqual([0, 0, 2]);
 });
 
 test('should ask a server again, after a while, that has not run a stream that has begun', () => {
--- a/tests/serverEligibility.spec.ts
+++ b/tests/serverEligibility.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 import { eligibleServers } from '../src/serving/serverEligibility.js';
 import type { VersionedServer } from '../src/serving/serverEligibility.js';
-import type { ServerNeed } from '../src/serving/serverNeed.js';
+import type { ServerRequirements } from '../src/serving/serverRequirements.js';
 
 interface NamedServer extends VersionedServer {
   name: string;
@@ -14,19 +14,19 @@
   return { name, version: () => version, ...well, ...changes };
 }
 
-const NEED: ServerNeed = {
+const NEED: ServerRequirements = {
   service: 's',
   model: 'm',
-  lowestVersion: 0,
-  lowestVersionSlow: 0,
+  minVersion: 0,
+  minVersionIfSlow: 0,
   preferredVersion: 0,
   newestVersion: 2,
   objectiveMilliseconds: 400,
-  isCarriedOver: false,
+  isContinuation: false,
   tried: new Set(),
 };
 
-function namesOf(servers: NamedServer[], need: Partial<ServerNeed> = {}): string[] {
+function namesOf(servers: NamedServer[], need: Partial<ServerRequirements> = {}): string[] {
   return eligibleServers(servers, { ...NEED, ...need }).map(({ name }) => name);
 }
 
@@ -44,8 +44,8 @@
 
 test('should send nothing to an older version late before the bound, and sooner where requests wait', () => {
   const servers = [server('old', 1), server('waiting', 1, { beginsSoon: false }), server('new', 2)];
-  expect(namesOf(servers, { lowestVersionSlow: 2 })).toEqual(['old', 'new']);
-  expect(namesOf(servers, { lowestVersion: 2, lowestVersionSlow: 2 })).toEqual(['new']);
+  expect(namesOf(servers, { minVersionIfSlow: 2 })).toEqual(['old', 'new']);
+  expect(namesOf(servers, { minVersion: 2, minVersionIfSlow: 2 })).toEqual(['new']);
 });
 
 test('should send nothing to a server that changes its version or has none', () => {
@@ -62,7 +62,7 @@
  * What settled it: sent at 21.383 s, taken back at 23.547 s, arrived at 24.091 s, begun at 24.301 s; the bound was 24.017 s.
  */
 test('should send nothing late to an older version where a request may lie on its way, also where there is no other', () => {
-  const late: Partial<ServerNeed> = { preferredVersion: 2 };
+  const late: Partial<ServerRequirements> = { preferredVersion: 2 };
   for (const changes of [{ agentSilent: true }, { suspicious: true }, { slowLink: true }]) {
     expect(namesOf([server('frozen', 1, changes)], late)).toEqual([]);
     expect(namesOf([server('frozen', 1, changes), server('old', 1)], late)).toEqual(['old']);
--- a/tests/serverPool.spec.ts
+++ b/tests/serverPool.spec.ts
@@ -1,7 +1,7 @@
 /** Which server a gateway finds for a request, and for whom there is still room. */
 import { test } from 'node:test';
 import { expect } from 'earl';
-import type { ServerNeed } from '../src/serving/serverNeed.js';
+import type { ServerRequirements } from '../src/serving/serverRequirements.js';
 import { ServerPool } from '../src/serving/serverPool.js';
 import type { ServiceDescription } from '../src/serving/servingConfiguration.js';
 import { SLOW_LINK_MILLISECONDS } from '../src/serving/trackedServer.js';
@@ -56,16 +56,16 @@
   return pool;
 }
 
-function need(isCarriedOver: boolean): ServerNeed {
+function need(isCarriedOver: boolean): ServerRequirements {
   return {
     service: 'chat',
     model: 'm',
-    lowestVersion: 0,
-    lowestVersionSlow: 0,
+    minVersion: 0,
+    minVersionIfSlow: 0,
     preferredVersion: 0,
     newestVersion: 1,
     objectiveMilliseconds: 500,
-    isCarriedOver,
+    isContinuation: isCarriedOver,
     tried: new Set(),
   };
 }
