--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -129,14 +129,14 @@
 
   private _onHead(status: number, headers: AnswerHeaders): void {
     if (this._ended) return;
-    this.server.heard();
+    this.server.noteData();
     this._listener.onHead(status, headers);
   }
 
   private _onData(bytes: Buffer): void {
     if (this._ended) return;
     this._noteRead();
-    this.server.heard();
+    this.server.noteData();
     this._listener.onData(bytes);
   }
 
--- a/src/serving/followedRecords.ts
+++ b/src/serving/followedRecords.ts
@@ -52,7 +52,7 @@
     }
     for (const id of supersededServers(listed)) unusable.add(id);
     const records = listed.map(({ record }) => record).filter(({ id }) => !unusable.has(id));
-    pool.update(records, { doubtful: isEchoing, unusable });
+    pool.update(records, { mayBeIncomplete: isEchoing, unusable });
     onServers();
   }
 }
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -138,7 +138,7 @@
     const answer = this._received.answer!;
     this._current.forget(server);
     if (this._received.isPassedOn) {
-      server.health.note('succeeded');
+      server.health.noteOutcome('succeeded');
       this._turn.noteGoodEnd();
       return this._final.endStream(server, answer.status);
     }
@@ -151,7 +151,7 @@
     const verdict = judgeAnswer(status, headers, this._services.names);
     if (verdict === 'not-run') return this._onRejected(server, status);
     this._mayHaveRun = true;
-    server.health.note(verdict === 'failed' || verdict === 'unclear' ? 'failed' : 'succeeded');
+    server.health.noteOutcome(verdict === 'failed' || verdict === 'unclear' ? 'failed' : 'succeeded');
     if (isGoodEnd(verdict, status)) this._turn.noteGoodEnd();
     if (verdict !== 'answered' && this._attempts.repeatable && this._goOnElsewhere()) return;
     if (verdict === 'unclear') return this._final.refuse(OWN_STATUS.unclear, `status ${status} from server`);
@@ -166,7 +166,7 @@
   }
 
   private _noteRejected(server: TrackedServer, status: number): void {
-    server.health.note(status === MISDIRECTED ? 'displaced' : 'rejected');
+    server.health.noteOutcome(status === MISDIRECTED ? 'displaced' : 'rejected');
     this._attempts.noteNotRun(server);
     this._trace.rejected(server, status);
   }
@@ -176,8 +176,8 @@
     this._trace.attemptFailed(server, failure, this._current.waited);
     if (!failure.sent && !this._handover.isUnderWay) return this._afterUnreachable(server);
     this._mayHaveRun = true;
-    if (failure.reason === 'silent') server.health.note('silent');
-    else server.health.note('failed');
+    if (failure.reason === 'silent') server.health.noteOutcome('silent');
+    else server.health.noteOutcome('failed');
     if (failure.brokeOff) void this._afterBreak(server, failure);
     else this._goOnAfter(failure);
   }
@@ -262,7 +262,7 @@
     if (!silent || this._takeRetry()) return;
     this._current.end('silent');
     this._mayHaveRun = true;
-    server.health.note('silent');
+    server.health.noteOutcome('silent');
     this._trace.attemptFailed(server, { sent: true, reason: 'silent' }, waited);
     this._attempt();
   }
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -228,7 +228,7 @@
       signals: this._signals,
       service: (name) => this._configuration.index?.service(name),
       entries: () => this._entries.count(),
-      entriesNear: () => this._entries.countNear(),
+      entriesInDataCentre: () => this._entries.countNear(),
       isRouted: (host) => this._announcements.isRouted(host),
       linkDelay: (host) => this._links.delayMilliseconds(boxOfHost(host)),
     });
--- a/src/serving/noAttempt.ts
+++ b/src/serving/noAttempt.ts
@@ -1,5 +1,5 @@
 /** Why a request is not sent to another server now. */
-import type { ServerFound } from './serverPool.js';
+import type { ServerSelection } from './serverPool.js';
 
 /**
  * - `attempts used`: as many servers as its route allows may have run it.
@@ -40,7 +40,7 @@
 } as const;
 
 /** The same for a choice that found no server; undefined when it found one. */
-export function noAttemptOf(found: ServerFound): NoAttempt | undefined {
+export function noAttemptOf(found: ServerSelection): NoAttempt | undefined {
   return found.kind === 'none' ? OF_CHOICE[found.reason] : undefined;
 }
 
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -6,7 +6,7 @@
 import { noAttemptOf } from './noAttempt.js';
 import { outgoingRequest } from './outgoingRequest.js';
 import { retryAfter } from './retryAdvice.js';
-import type { ServerFound } from './serverPool.js';
+import type { ServerSelection } from './serverPool.js';
 import { LONGEST_HANDOVER_MILLISECONDS } from './streamHandover.js';
 import type { TrackedServer } from './trackedServer.js';
 
@@ -64,7 +64,7 @@
    * The best server that has not been tried; `isHandover` while the request runs on another one. An answer that has begun is
    * asked for no first answer in time any more, and may be sent again to a server that has not run it.
    */
-  find(isHandover = false): ServerFound {
+  find(isHandover = false): ServerSelection {
     const { service, model } = this._request;
     const { gate, pool } = this._services;
     const preferredVersion = gate.preferred(model);
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -10,7 +10,7 @@
   /** Requests on the server, running or queued, over all entries. */
   load: number;
   /** Prompts on the server that it has yet to read. */
-  unread: number;
+  pendingPrompts: number;
   /** Part of recent attempts that failed, from 0 to 1. */
   failureRate: number;
   /** Recent time to the first answer, in milliseconds. */
@@ -34,9 +34,9 @@
   /** Mean time that a server needs to read a prompt, in milliseconds; 0 where there are none. */
   readMilliseconds: number;
   /** Time to the first answer of a server that is well, in milliseconds. */
-  usualFirstMilliseconds: number;
+  typicalFirstMilliseconds: number;
   /** Requests on a server, in parts of its slots, beyond which no more are sent. */
-  fullest: number;
+  maxFill: number;
   /**
    * How much slower a full server is than an empty one, in parts of the service time. Engines write a token for all
    * running requests in one step: there it is next to nothing, and what makes a request wait are prompts before its own.
@@ -73,9 +73,9 @@
   const waiting = (ahead / candidate.slots) * serviceMilliseconds;
   const failing = Math.max(0, candidate.failureRate - USUAL_FAILURE_RATE) * FAILURE_MILLISECONDS;
   const distance = candidate.sameDataCentre ? 0 : OTHER_DATA_CENTRE_MILLISECONDS;
-  const reading = candidate.unread * readMilliseconds;
+  const reading = candidate.pendingPrompts * readMilliseconds;
   const link = candidate.slowLink ? SLOW_LINK_MILLISECONDS : 0;
-  const slow = Math.max(0, candidate.firstAnswerMilliseconds - service.usualFirstMilliseconds);
+  const slow = Math.max(0, candidate.firstAnswerMilliseconds - service.typicalFirstMilliseconds);
   const outdated = candidate.outdated ? OUTDATED_MILLISECONDS : 0;
   const preparing = candidate.preparing ? PREPARING_MILLISECONDS : 0;
   const busy = filled * service.batchSlowdown * serviceMilliseconds;
@@ -90,10 +90,14 @@
  * Whether a request sent to `candidate` is likely to get its first answer within its objective. Where none is, the
  * request is better refused at once: more work on a full server makes all of it late.
  */
-export function isInTime(candidate: Candidate, service: ServiceCost, objectiveMilliseconds: number): boolean {
-  if (candidate.load >= candidate.slots * service.fullest) return false;
+export function canMeetObjective(
+  candidate: Candidate,
+  service: ServiceCost,
+  objectiveMilliseconds: number,
+): boolean {
+  if (candidate.load >= candidate.slots * service.maxFill) return false;
   const spare = objectiveMilliseconds * (1 - BASE_SHARE);
-  return candidate.unread * service.readMilliseconds <= spare;
+  return candidate.pendingPrompts * service.readMilliseconds <= spare;
 }
 
 /**
@@ -111,7 +115,7 @@
 ): T | undefined {
   const sound = candidates.filter((candidate) => !candidate.failing);
   const timely = (sound.length > 0 ? sound : candidates).filter((candidate) =>
-    isInTime(candidate, service, objectiveMilliseconds),
+    canMeetObjective(candidate, service, objectiveMilliseconds),
   );
   const fit = timely.filter((candidate) => !candidate.avoided);
   const usable = fit.length > 0 ? fit : timely;
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -5,7 +5,7 @@
 /** What eligibility depends on. */
 export type VersionedServer = Pick<
   TrackedServer,
-  'version' | 'beginsSoon' | 'switching' | 'agentSilent' | 'suspicious' | 'slowLink'
+  'version' | 'startsPromptly' | 'switching' | 'agentSilent' | 'suspicious' | 'slowLink'
 >;
 
 /**
@@ -27,7 +27,7 @@
 
 function isAble(server: VersionedServer, need: ServerRequirements): boolean {
   const version = server.version(need.model);
-  const lowest = server.beginsSoon ? need.minVersion : need.minVersionIfSlow;
+  const lowest = server.startsPromptly ? need.minVersion : need.minVersionIfSlow;
   return version > 0 && version >= lowest && !server.switching;
 }
 
--- a/src/serving/serverHealth.ts
+++ b/src/serving/serverHealth.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../utils/clock.js';
 
 /** How one attempt ended, seen from the server's health; `displaced`: another server answered at its address. */
-export type AttemptEnd = 'succeeded' | 'failed' | 'rejected' | 'displaced' | 'silent';
+export type AttemptOutcome = 'succeeded' | 'failed' | 'rejected' | 'displaced' | 'silent';
 
 /** Time after which what was seen counts half. */
 const HALF_LIFE_MILLISECONDS = 2_500;
@@ -70,7 +70,7 @@
     return this._failuresInRow >= FAILURES_IN_ROW && (this.avoided || outstanding > 0);
   }
 
-  note(end: AttemptEnd): void {
+  noteOutcome(end: AttemptOutcome): void {
     this._age();
     if (end === 'succeeded') {
       this._successes++;
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -28,7 +28,7 @@
   /** How many entries share the connections to each server. */
   entries: () => number;
   /** How many of these stand in this data centre. */
-  entriesNear: () => number;
+  entriesInDataCentre: () => number;
   /** Whether this entry hears of the load of the backend server at `host`, or nobody does. */
   isRouted: (host: string) => boolean;
   /** How long a round trip to the box at `host` takes at the least, in milliseconds; 0 while that is not measured. */
@@ -36,15 +36,15 @@
 }
 
 /** What is known of a list of service discovery beside what stands in it. */
-export interface ListState {
+export interface ServerListState {
   /** Whether servers may be missing that run. */
-  doubtful?: boolean;
+  mayBeIncomplete?: boolean;
   /** Servers that are listed and not to be used: nobody can read their entries, or a later life listens at their address. */
   unusable?: ReadonlySet<string>;
 }
 
 /** A chosen server, or how the service stands when there is none. */
-export type ServerFound =
+export type ServerSelection =
   | { kind: 'found'; server: TrackedServer }
   | { kind: 'none'; reason: 'no-server' | 'all-busy' | 'old-version' }
   /** Servers have asked for fewer requests; the first takes one after so long, as far as this entry can tell. */
@@ -61,8 +61,8 @@
 const PLAIN_COST: ServiceCost = {
   serviceMilliseconds: 60,
   readMilliseconds: 0,
-  usualFirstMilliseconds: 100,
-  fullest: 3,
+  typicalFirstMilliseconds: 100,
+  maxFill: 3,
   batchSlowdown: 0.25,
   tieMilliseconds: 0,
 };
@@ -98,7 +98,7 @@
    */
   update(
     records: readonly BackendServerRecord[],
-    { doubtful = false, unusable = NONE }: ListState = {},
+    { mayBeIncomplete: doubtful = false, unusable = NONE }: ServerListState = {},
   ): void {
     const present = new Set(records.map(({ id }) => id));
     for (const record of records) this._updateOne(record);
@@ -121,7 +121,7 @@
   }
 
   /** Chooses a server: one of those whose load is told here, unless none of them can serve the request at all. */
-  find(need: ServerRequirements): ServerFound {
+  find(need: ServerRequirements): ServerSelection {
     const present = this.all().filter(
       (server) =>
         server.record.service === need.service && !server.isLeaving && !need.tried.has(server.record.id),
@@ -132,7 +132,7 @@
     return othersMayServe && routed.length < present.length ? this._findAmong(present, need) : found;
   }
 
-  private _findAmong(present: readonly TrackedServer[], need: ServerRequirements): ServerFound {
+  private _findAmong(present: readonly TrackedServer[], need: ServerRequirements): ServerSelection {
     if (present.length === 0) return { kind: 'none', reason: 'no-server' };
     const able = eligibleServers(present, need);
     if (able.length === 0) return { kind: 'none', reason: 'old-version' };
@@ -173,7 +173,7 @@
     const startedAt = this._lives.get(id)!.startedAt;
     this._options.log.state('server.started-again', { server: id, service, source, startedAt });
     const former = this._servers.get(id)!;
-    former.connections.endOpenedBefore(former.certainlyLivedAt);
+    former.connections.endOpenedBefore(former.knownAliveAt);
     this._options.signals.forgetServer(id);
     this._servers.set(id, this._track(record));
   }
@@ -222,7 +222,7 @@
     }
     if (judgement !== 'former') return server.update(record);
     this._noteLate(record.id, 'discovery');
-    server.updatePlace(record);
+    server.updateLocation(record);
   }
 
   private _add(record: BackendServerRecord): void {
@@ -242,7 +242,7 @@
       return Math.max(1, Math.floor((maximum * CONNECTION_SHARE) / Math.max(1, this._options.entries())));
     };
     const { address } = record;
-    const { clock, dataCentre, entriesNear, entries } = this._options;
+    const { clock, dataCentre, entriesInDataCentre: entriesNear, entries } = this._options;
     const connectMilliseconds = CONNECT_MILLISECONDS;
     const connections = new BackendConnections({ address, connectMilliseconds, clock, limit });
     const sharers = (): number =>
@@ -269,7 +269,7 @@
       sameDataCentre: record.dataCentre === this._options.dataCentre,
       slots: Math.max(1, record.slots),
       load: load.estimate(this._options.clock.now()),
-      unread: server.unread,
+      pendingPrompts: server.pendingPrompts,
       failureRate: health.failureRate,
       firstAnswerMilliseconds: health.firstAnswerMilliseconds,
       slowLink: server.slowLink,
@@ -289,8 +289,8 @@
     return {
       serviceMilliseconds: reading + writing,
       readMilliseconds: reading,
-      usualFirstMilliseconds,
-      fullest: isCarriedOver ? FULLEST_FOR_CARRIED_OVER : FULLEST_ENGINE,
+      typicalFirstMilliseconds: usualFirstMilliseconds,
+      maxFill: isCarriedOver ? FULLEST_FOR_CARRIED_OVER : FULLEST_ENGINE,
       batchSlowdown: 0,
       tieMilliseconds: reading * TIE_PROMPTS,
     };
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -66,17 +66,17 @@
     this._clock = clock;
     this._sharers = sharers;
     this._linkDelay = linkDelay;
-    this.updatePlace(record);
+    this.updateLocation(record);
   }
 
   /** Takes what service discovery says of this life. */
   update(record: BackendServerRecord): void {
-    this.updatePlace(record);
+    this.updateLocation(record);
     for (const { name, version } of record.models) this.noteVersion(name, version);
   }
 
   /** Takes of what service discovery says only where the server is and whether it takes requests. */
-  updatePlace(record: BackendServerRecord): void {
+  updateLocation(record: BackendServerRecord): void {
     this.record = record;
     this.host = hostOf(record.address);
   }
@@ -113,7 +113,7 @@
    * process sent is known; others are taken to have sent as much, since they choose by the same reports, unless the agent
    * has told of more.
    */
-  get unread(): number {
+  get pendingPrompts(): number {
     const age = this._clock.now() - this._statusAt;
     const told = (this._status?.queued ?? 0) * 0.5 ** (age / UNREAD_HALF_LIFE_MILLISECONDS);
     return Math.max(told, this._ownUnread * this._sharers());
@@ -150,7 +150,7 @@
   }
 
   /** Monotonic milliseconds before which this life was certainly there; -infinity where its agent has not told of it. */
-  get certainlyLivedAt(): number {
+  get knownAliveAt(): number {
     return this.slowLink ? Number.NEGATIVE_INFINITY : this._statusAt - STATUS_WAY_MILLISECONDS;
   }
 
@@ -165,9 +165,10 @@
   }
 
   /** Whether a request that is sent now begins within some hundred milliseconds, as far as can be told. */
-  get beginsSoon(): boolean {
+  get startsPromptly(): boolean {
     const isPrompt = this.health.firstAnswerMilliseconds < PROMPT_MILLISECONDS;
-    const isFree = this.unread < MANY_UNREAD && this.load.estimate(this._clock.now()) < this.record.slots;
+    const isFree =
+      this.pendingPrompts < MANY_UNREAD && this.load.estimate(this._clock.now()) < this.record.slots;
     const mayReach = !this.agentSilent && !this.slowLink && !this.health.avoided;
     return mayReach && isPrompt && isFree;
   }
@@ -183,7 +184,7 @@
   }
 
   /** Bytes came from the server. */
-  heard(): void {
+  noteData(): void {
     this._heardAt = this._clock.now();
   }
 
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -7,7 +7,7 @@
 import { RequestAttempts } from '../src/serving/requestAttempts.js';
 import { RetryAllowance } from '../src/serving/retryAllowance.js';
 import type { ServerRequirements } from '../src/serving/serverRequirements.js';
-import type { ServerFound } from '../src/serving/serverPool.js';
+import type { ServerSelection } from '../src/serving/serverPool.js';
 import type { TrackedServer } from '../src/serving/trackedServer.js';
 import { VersionGate } from '../src/serving/versionGate.js';
 import { ManualClock } from '../src/utils/clock.js';
@@ -52,10 +52,10 @@
 });
 
 const SERVER = { record: { id: 'server-1' } } as TrackedServer;
-const FOUND: ServerFound = { kind: 'found', server: SERVER };
+const FOUND: ServerSelection = { kind: 'found', server: SERVER };
 
 interface Standing {
-  found?: ServerFound;
+  found?: ServerSelection;
   slack?: number;
   sent?: number;
   left?: number;
@@ -92,7 +92,7 @@
 }
 
 /** Attempts of a stream that has begun, the needs that they told the pool, and their clock. */
-function begunStream(found: ServerFound): {
+function begunStream(found: ServerSelection): {
   attempts: RequestAttempts;
   needs: ServerRequirements[];
   clock: ManualClock;
--- a/tests/serverChoice.spec.ts
+++ b/tests/serverChoice.spec.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Candidate } from '../src/serving/serverChoice.js';
-import { chooseServer, expectedCost, isInTime } from '../src/serving/serverChoice.js';
+import { chooseServer, expectedCost, canMeetObjective } from '../src/serving/serverChoice.js';
 import { VersionGate } from '../src/serving/versionGate.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { SeededRandom } from '../src/utils/random.js';
@@ -10,8 +10,8 @@
 const ENGINE = {
   serviceMilliseconds: 900,
   readMilliseconds: 30,
-  usualFirstMilliseconds: 180,
-  fullest: 1,
+  typicalFirstMilliseconds: 180,
+  maxFill: 1,
   batchSlowdown: 0,
   tieMilliseconds: 24,
 };
@@ -22,7 +22,7 @@
     sameDataCentre: true,
     slots: 16,
     load: 0,
-    unread: 0,
+    pendingPrompts: 0,
     failureRate: 0,
     firstAnswerMilliseconds: 100,
     slowLink: false,
@@ -35,7 +35,7 @@
 }
 
 test('should prefer the server with fewer prompts to read', () => {
-  expect(expectedCost(candidate('a', { unread: 3 }), ENGINE)).toBeGreaterThan(
+  expect(expectedCost(candidate('a', { pendingPrompts: 3 }), ENGINE)).toBeGreaterThan(
     expectedCost(candidate('b', { load: 4 }), ENGINE),
   );
 });
@@ -69,9 +69,9 @@
 });
 
 test('should send no more to a server than it answers in time', () => {
-  expect(isInTime(candidate('free', { load: 15, unread: 4 }), ENGINE, 400)).toEqual(true);
-  expect(isInTime(candidate('full', { load: 16 }), ENGINE, 400)).toEqual(false);
-  expect(isInTime(candidate('reading', { load: 10, unread: 9 }), ENGINE, 400)).toEqual(false);
+  expect(canMeetObjective(candidate('free', { load: 15, pendingPrompts: 4 }), ENGINE, 400)).toEqual(true);
+  expect(canMeetObjective(candidate('full', { load: 16 }), ENGINE, 400)).toEqual(false);
+  expect(canMeetObjective(candidate('reading', { load: 10, pendingPrompts: 9 }), ENGINE, 400)).toEqual(false);
 });
 
 test('should pass over a server whose link is narrow', () => {
--- a/tests/serverEligibility.spec.ts
+++ b/tests/serverEligibility.spec.ts
@@ -10,7 +10,13 @@
 }
 
 function server(name: string, version: number, changes: Partial<VersionedServer> = {}): NamedServer {
-  const well = { beginsSoon: true, switching: false, agentSilent: false, suspicious: false, slowLink: false };
+  const well = {
+    startsPromptly: true,
+    switching: false,
+    agentSilent: false,
+    suspicious: false,
+    slowLink: false,
+  };
   return { name, version: () => version, ...well, ...changes };
 }
 
@@ -43,7 +49,7 @@
 }
 
 test('should send nothing to an older version late before the bound, and sooner where requests wait', () => {
-  const servers = [server('old', 1), server('waiting', 1, { beginsSoon: false }), server('new', 2)];
+  const servers = [server('old', 1), server('waiting', 1, { startsPromptly: false }), server('new', 2)];
   expect(namesOf(servers, { minVersionIfSlow: 2 })).toEqual(['old', 'new']);
   expect(namesOf(servers, { minVersion: 2, minVersionIfSlow: 2 })).toEqual(['new']);
 });
--- a/tests/serverIncarnation.spec.ts
+++ b/tests/serverIncarnation.spec.ts
@@ -96,7 +96,7 @@
     signals: servingSignals(clock),
     service: () => undefined,
     entries: () => 1,
-    entriesNear: () => 1,
+    entriesInDataCentre: () => 1,
     isRouted: () => true,
   });
   return { pool, steps: noted.steps, server: (): TrackedServer => pool.all()[0] };
@@ -108,9 +108,9 @@
   pool.noteStatus(HOST, status(100, 2));
   const former = server();
   former.noteSent(3);
-  former.health.note('silent');
+  former.health.noteOutcome('silent');
   pool.noteStatus(HOST, status(200, 0));
-  expect([server().version('m'), server().unread, server().health.avoided]).toEqual([0, 0, false]);
+  expect([server().version('m'), server().pendingPrompts, server().health.avoided]).toEqual([0, 0, false]);
   expect(former.version('m')).toEqual(2);
   expect(steps().filter((step) => step === 'server.started-again').length).toEqual(1);
 });
@@ -165,7 +165,7 @@
 test('should use a server no longer whose entry cannot be understood, also while the list is doubtful', () => {
   const { pool } = poolFixture();
   pool.update([record(100), record(100, { id: 'i-2' })]);
-  pool.update([record(100, { id: 'i-2' })], { doubtful: true, unusable: new Set(['i-1']) });
+  pool.update([record(100, { id: 'i-2' })], { mayBeIncomplete: true, unusable: new Set(['i-1']) });
   expect(pool.all().map((server) => server.record.id)).toEqual(['i-2']);
 });
 
@@ -192,6 +192,6 @@
 test('should use a server no longer that is superseded, also while the list is doubtful', () => {
   const { pool } = poolFixture();
   pool.update([record(100)]);
-  pool.update([record(200, { id: 'i-2' })], { doubtful: true, unusable: new Set(['i-1']) });
+  pool.update([record(200, { id: 'i-2' })], { mayBeIncomplete: true, unusable: new Set(['i-1']) });
   expect(pool.all().map((server) => server.record.id)).toEqual(['i-2']);
 });
--- a/tests/serverPool.spec.ts
+++ b/tests/serverPool.spec.ts
@@ -37,7 +37,7 @@
     signals: servingSignals(clock),
     service: () => CHAT,
     entries: () => 1,
-    entriesNear: () => 1,
+    entriesInDataCentre: () => 1,
     isRouted: () => true,
     linkDelay: (host) => (host === '127.0.0.1' ? delayMilliseconds : 0),
   });
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -54,7 +54,7 @@
 test('should pass over a server that fails until its failures are old', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
-  for (let attempt = 0; attempt < 6; attempt++) health.note('failed');
+  for (let attempt = 0; attempt < 6; attempt++) health.noteOutcome('failed');
   expect(health.failureRate).toBeGreaterThan(0.5);
   clock.advance(15_000);
   expect(health.failureRate).toBeLessThan(0.05);
@@ -63,14 +63,14 @@
 test('should leave alone for a while a server whose address another one has', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
-  health.note('displaced');
+  health.noteOutcome('displaced');
   expect([health.avoided, health.failureRate]).toEqual([true, 0]);
 });
 
 test('should leave a silent server alone for a while', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
-  health.note('silent');
+  health.noteOutcome('silent');
   expect(health.avoided).toEqual(true);
   clock.advance(1_001);
   expect(health.avoided).toEqual(false);
@@ -79,23 +79,23 @@
 test('should leave alone for longer and longer a server that fails time after time, and try it with one request', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
-  health.note('failed');
+  health.noteOutcome('failed');
   expect(health.failing(3)).toEqual(false);
-  health.note('failed');
+  health.noteOutcome('failed');
   expect(health.failing(0)).toEqual(true);
   clock.advance(501);
   expect([health.failing(0), health.failing(1)]).toEqual([false, true]);
-  health.note('failed');
+  health.noteOutcome('failed');
   clock.advance(900);
   expect(health.failing(0)).toEqual(true);
   clock.advance(101);
-  health.note('succeeded');
+  health.noteOutcome('succeeded');
   expect(health.failing(5)).toEqual(false);
 });
 
 test('should not leave alone a server that fails now and then', () => {
   const health = new ServerHealth(new ManualClock());
-  for (const end of ['failed', 'succeeded', 'failed', 'succeeded'] as const) health.note(end);
+  for (const end of ['failed', 'succeeded', 'failed', 'succeeded'] as const) health.noteOutcome(end);
   expect(health.failing(5)).toEqual(false);
 });
 
--- a/tests/trackedServer.spec.ts
+++ b/tests/trackedServer.spec.ts
@@ -53,26 +53,26 @@
     model: 'model',
     slowLink: false,
   } as const;
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
   server.noteStatus({ ...status, queued: 0 });
-  expect(server.beginsSoon).toEqual(true);
+  expect(server.startsPromptly).toEqual(true);
   server.noteStatus({ ...status, queued: 5 });
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
   server.noteStatus({ ...status, running: 17, queued: 0 });
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
   server.noteStatus({ ...status, queued: 0, slowLink: true });
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
 });
 
 test('should take other entries to have sent as many prompts as this one', () => {
   const server = trackedServer(new ManualClock());
   server.noteSent(1);
   server.noteSent(1);
-  expect(server.unread).toEqual(6);
+  expect(server.pendingPrompts).toEqual(6);
   server.noteRead(1);
-  expect(server.unread).toEqual(3);
+  expect(server.pendingPrompts).toEqual(3);
   server.noteRead(1);
-  expect(server.unread).toEqual(0);
+  expect(server.pendingPrompts).toEqual(0);
 });
 
 test('should count what waits by the size of prompts, not by their number', () => {
@@ -80,9 +80,9 @@
   const small = trackedServer(new ManualClock());
   large.noteSent(4);
   for (const size of [0.1, 0.2, 0.3]) small.noteSent(size);
-  expect(large.unread).toBeGreaterThan(small.unread * 3);
+  expect(large.pendingPrompts).toBeGreaterThan(small.pendingPrompts * 3);
   for (const size of [0.3, 0.1, 0.2]) small.noteRead(size);
-  expect(small.unread).toEqual(0);
+  expect(small.pendingPrompts).toEqual(0);
 });
 
 test('should tell the size of a prompt from its tokens', () => {
@@ -99,9 +99,9 @@
   const server = trackedServer(clock);
   const status = { type: 'box-status', state: 'serving', version: 1, running: 4, slowLink: false } as const;
   server.noteStatus({ ...status, model: 'model', queued: 8 });
-  expect(server.unread).toEqual(8);
+  expect(server.pendingPrompts).toEqual(8);
   clock.advance(120);
-  expect(server.unread).toEqual(4);
+  expect(server.pendingPrompts).toEqual(4);
 });
 
 test('should call a link slow on which a probe has been waiting', () => {
@@ -109,7 +109,7 @@
   const server = trackedServer(new ManualClock(), [], () => delay);
   expect(server.slowLink).toEqual(false);
   delay = 401;
-  expect([server.slowLink, server.beginsSoon]).toEqual([true, false]);
+  expect([server.slowLink, server.startsPromptly]).toEqual([true, false]);
 });
 
 test('should not call a link slow for ever by the last word of a lost agent', () => {
