--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -28,7 +28,7 @@
 import type { HeaderNames } from './headerNames.js';
 import { addGatewayGauges } from './gatewayGauges.js';
 import { LinkProber } from './linkProber.js';
-import { NamedVersions } from './namedVersions.js';
+import { VersionUpdates } from './versionUpdates.js';
 import { PlatformFollowers } from './platformFollowers.js';
 import type { ServingPlatform } from './platformRecords.js';
 import { RequestAdmission } from './requestAdmission.js';
@@ -58,7 +58,7 @@
   private readonly _signals: ServerSignals;
   private readonly _pool: ServerPool;
   private readonly _gate: VersionGate;
-  private readonly _named: NamedVersions;
+  private readonly _named: VersionUpdates;
   private readonly _links: BoxLinks;
   private readonly _prober: LinkProber;
   private readonly _announcements: AgentAnnouncements;
@@ -101,7 +101,7 @@
     );
     this._links = this._createLinks(random);
     this._followers = this._createFollowers(random);
-    this._named = new NamedVersions(
+    this._named = new VersionUpdates(
       this._followers,
       parts.platform.reader,
       parts.platform.unreadable,
--- a/src/serving/platformRecords.ts
+++ b/src/serving/platformRecords.ts
@@ -7,7 +7,7 @@
 import type { ServingConfiguration } from './servingConfiguration.js';
 
 /** A version that an operator has named. */
-export interface NamedVersion {
+export interface TargetVersion {
   model: string;
   version: number;
 }
@@ -21,7 +21,7 @@
   readonly kinds: { configuration: string; servers: string; versions: string; suspicions: string };
   configuration(name: string, value: unknown): ReadRecord<ServingConfiguration>;
   server(name: string, value: unknown): ReadRecord<BackendServerRecord>;
-  version(name: string, value: unknown): ReadRecord<NamedVersion>;
+  version(name: string, value: unknown): ReadRecord<TargetVersion>;
 }
 
 /** The platform as a gateway sees it. */
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -67,14 +67,14 @@
   find(isHandover = false): ServerSelection {
     const { service, model } = this._request;
     const { gate, pool } = this._services;
-    const preferredVersion = gate.preferred(model);
+    const preferredVersion = gate.preferredMinVersion(model);
     // what is handed over late to a server of an older version would have to move again, and may begin there too late
     const lowestForHandover = isHandover ? preferredVersion : 0;
     const found = pool.find({
       service,
       model,
-      minVersion: Math.max(gate.lowest(model), lowestForHandover),
-      minVersionIfSlow: Math.max(gate.lowest(model, true), lowestForHandover),
+      minVersion: Math.max(gate.minVersionToSend(model), lowestForHandover),
+      minVersionIfSlow: Math.max(gate.minVersionToSend(model, true), lowestForHandover),
       preferredVersion,
       newestVersion: gate.newest(model),
       objectiveMilliseconds: this._objectiveMilliseconds(isHandover),
@@ -100,7 +100,7 @@
   mayBeginTooLate(server: TrackedServer): boolean {
     const { model } = this._request;
     const mayLie = server.slowLink || server.agentSilent;
-    return model !== '' && server.version(model) < this._services.gate.lowestToBegin(model, mayLie);
+    return model !== '' && server.version(model) < this._services.gate.minVersionToBegin(model, mayLie);
   }
 
   /** Counts an attempt. */
--- a/src/serving/versionGate.ts
+++ b/src/serving/versionGate.ts
@@ -54,7 +54,7 @@
    * start, nor after it was without word of the store for longer than that. If it took the bound for over, it would refuse
    * everything until the newer version has come, and take back the requests that it has just sent.
    */
-  note(model: string, version: number, lateMilliseconds: number): boolean {
+  noteTarget(model: string, version: number, lateMilliseconds: number): boolean {
     const now = this._clock.now();
     const contactSince = Number.isFinite(lateMilliseconds) ? now : this._startedAt;
     const knownAt = Math.max(now - lateMilliseconds, this._earliestThatCounts(contactSince));
@@ -68,7 +68,7 @@
   /**
    * Notes that some process has known of a version for `heardMilliseconds`; returns whether it was unknown here. The bound
    * counts from then, also where this process hears late, or of a newer version first: its own source may have missed one.
-   * What it hears long after the others, it is not held to at once, as in {@link VersionGate.note}.
+   * What it hears long after the others, it is not held to at once, as in {@link VersionGate.noteTarget}.
    */
   noteHeard({ model, version, heardMilliseconds }: HeardVersion): boolean {
     const now = this._clock.now();
@@ -96,7 +96,7 @@
    * The lowest version on which a request may begin that is sent now; 0 when any may. `slow` when it may take long to
    * begin.
    */
-  lowest(model: string, slow = false): number {
+  minVersionToSend(model: string, slow = false): number {
     const margin = slow ? SLOW_SEND_MARGIN_MILLISECONDS : LAST_SEND_MARGIN_MILLISECONDS;
     return this._dueAfter(model, this._bounds.switchMilliseconds - margin);
   }
@@ -105,13 +105,13 @@
    * The lowest version on which requests that have been sent may still begin; others have to be taken back. `slow` when
    * taking back may take long.
    */
-  lowestToBegin(model: string, slow = false): number {
+  minVersionToBegin(model: string, slow = false): number {
     const margin = slow ? SLOW_TAKE_BACK_MARGIN_MILLISECONDS : TAKE_BACK_MARGIN_MILLISECONDS;
     return this._dueAfter(model, this._bounds.switchMilliseconds - margin);
   }
 
   /** The lowest version that is not better avoided, since others may begin too late if their server goes dark. */
-  preferred(model: string): number {
+  preferredMinVersion(model: string): number {
     return this._dueAfter(model, this._bounds.switchMilliseconds - PREFERRED_MARGIN_MILLISECONDS);
   }
 
--- a/src/serving/namedVersions.ts
+++ b/src/serving/versionUpdates.ts
@@ -5,10 +5,10 @@
 import type { StoredObject } from '../records/watchableStore.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { PlatformFollowers } from './platformFollowers.js';
-import type { NamedVersion, RecordReader } from './platformRecords.js';
+import type { TargetVersion, RecordReader } from './platformRecords.js';
 import type { VersionGate } from './versionGate.js';
 
-export class NamedVersions {
+export class VersionUpdates {
   private readonly _followers: PlatformFollowers;
   private readonly _reader: RecordReader;
   private readonly _unreadable: UnreadableRecords;
@@ -37,7 +37,7 @@
     let changed = false;
     for (const object of this._followers.versions.objects.values()) {
       const named = this._read(object);
-      if (!named || !this._gate.note(named.model, named.version, lateMilliseconds)) continue;
+      if (!named || !this._gate.noteTarget(named.model, named.version, lateMilliseconds)) continue;
       this._log.state('version.named', { ...named, lateMilliseconds: Math.round(lateMilliseconds) });
       changed = true;
     }
@@ -58,7 +58,7 @@
     return unknown.length > 0;
   }
 
-  private _read(object: StoredObject): NamedVersion | undefined {
+  private _read(object: StoredObject): TargetVersion | undefined {
     const { kinds } = this._reader;
     return this._unreadable.valueOf(kinds.versions, object, this._reader.version(object.name, object.value));
   }
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -16,7 +16,7 @@
 test('should hand a stream over to no server of an older version late before the bound', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   const needs: ServerRequirements[] = [];
   const pool = {
     find: (need: ServerRequirements) => {
@@ -39,7 +39,7 @@
 test('should take a request back sooner from a server on whose link it may lie', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   const services = { clock, gate } as unknown as ForwardServices;
   const request = { service: 's', model: 'm', route: routeFixture() } as AdmittedRequest;
   const attempts = new RequestAttempts(services, request);
@@ -99,7 +99,7 @@
 } {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   const needs: ServerRequirements[] = [];
   const pool = { find: (need: ServerRequirements) => (needs.push(need), found) };
   const services = { clock, gate, pool } as unknown as ForwardServices;
--- a/tests/serverChoice.spec.ts
+++ b/tests/serverChoice.spec.ts
@@ -126,9 +126,9 @@
   expect(chosen?.id).toEqual('new');
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   clock.advance(4_900);
-  expect(gate.preferred('m')).toEqual(0);
+  expect(gate.preferredMinVersion('m')).toEqual(0);
   clock.advance(200);
-  expect(gate.preferred('m')).toEqual(2);
+  expect(gate.preferredMinVersion('m')).toEqual(2);
 });
--- a/tests/versionGate.spec.ts
+++ b/tests/versionGate.spec.ts
@@ -7,50 +7,50 @@
 test('should stop sending to an older version sooner where requests take long', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   clock.advance(6_600);
-  expect([gate.lowest('m'), gate.lowest('m', true)]).toEqual([0, 2]);
+  expect([gate.minVersionToSend('m'), gate.minVersionToSend('m', true)]).toEqual([0, 2]);
 });
 
 test('should let no request begin on an older version once the time is over', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  expect(gate.note('m', 2, 0)).toEqual(true);
-  expect(gate.note('m', 2, 0)).toEqual(false);
+  expect(gate.noteTarget('m', 2, 0)).toEqual(true);
+  expect(gate.noteTarget('m', 2, 0)).toEqual(false);
   clock.advance(6_900);
-  expect(gate.lowest('m')).toEqual(0);
+  expect(gate.minVersionToSend('m')).toEqual(0);
   clock.advance(200);
-  expect(gate.lowest('m')).toEqual(2);
+  expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
 test('should take back what has not begun on an older version just before the bound', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   clock.advance(7_450);
-  expect(gate.lowestToBegin('m')).toEqual(0);
+  expect(gate.minVersionToBegin('m')).toEqual(0);
   clock.advance(100);
-  expect(gate.lowestToBegin('m')).toEqual(2);
+  expect(gate.minVersionToBegin('m')).toEqual(2);
 });
 
 test('should count the bound of a version from the earliest time at which it may have been named', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 1_500);
+  gate.noteTarget('m', 2, 1_500);
   expect(gate.wanted('m').knownMilliseconds).toEqual(1_500);
   clock.advance(5_499);
-  expect(gate.lowest('m')).toEqual(0);
+  expect(gate.minVersionToSend('m')).toEqual(0);
   clock.advance(1);
-  expect(gate.lowest('m')).toEqual(2);
+  expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
 test('should not send to an older version at all when nothing was known of the versions since a start long ago', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   clock.advance(20_000);
-  gate.note('m', 2, Number.POSITIVE_INFINITY);
-  expect(gate.lowest('m')).toEqual(2);
+  gate.noteTarget('m', 2, Number.POSITIVE_INFINITY);
+  expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
 test('should serve older versions for a while after an outage in which a version may have been named long ago', () => {
@@ -58,11 +58,11 @@
     const clock = new ManualClock();
     const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
     clock.advance(20_000);
-    gate.note('m', 2, lateMilliseconds);
+    gate.noteTarget('m', 2, lateMilliseconds);
     clock.advance(1_999);
-    expect(gate.lowest('m')).toEqual(0);
+    expect(gate.minVersionToSend('m')).toEqual(0);
     clock.advance(1);
-    expect(gate.lowest('m')).toEqual(2);
+    expect(gate.minVersionToSend('m')).toEqual(2);
   }
 });
 
@@ -70,32 +70,32 @@
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   clock.advance(400);
-  gate.note('m', 2, Number.POSITIVE_INFINITY);
+  gate.noteTarget('m', 2, Number.POSITIVE_INFINITY);
   clock.advance(400);
-  gate.note('m', 3, Number.POSITIVE_INFINITY);
-  expect(gate.lowestToBegin('m')).toEqual(0);
+  gate.noteTarget('m', 3, Number.POSITIVE_INFINITY);
+  expect(gate.minVersionToBegin('m')).toEqual(0);
   clock.advance(2_100);
-  expect(gate.lowestToBegin('m')).toEqual(3);
+  expect(gate.minVersionToBegin('m')).toEqual(3);
 });
 
 test('should judge each version from its own naming', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   clock.advance(4_000);
-  gate.note('m', 3, 0);
+  gate.noteTarget('m', 3, 0);
   clock.advance(3_500);
-  expect(gate.lowest('m')).toEqual(2);
+  expect(gate.minVersionToSend('m')).toEqual(2);
   clock.advance(4_000);
-  expect(gate.lowest('m')).toEqual(3);
+  expect(gate.minVersionToSend('m')).toEqual(3);
 });
 
 test('should not trust the age of a version that it finds at its start', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, Number.POSITIVE_INFINITY);
+  gate.noteTarget('m', 2, Number.POSITIVE_INFINITY);
   clock.advance(2_400);
-  expect(gate.lowest('m')).toEqual(2);
+  expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
 test('should want the first version before any is named', () => {
@@ -117,25 +117,25 @@
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 3, 0);
-  gate.note('m', 2, 2_000);
+  gate.noteTarget('m', 3, 0);
+  gate.noteTarget('m', 2, 2_000);
   expect(gate.newest('m')).toEqual(3);
   clock.advance(5_001);
-  expect([gate.lowest('m'), gate.lowestToBegin('m')]).toEqual([2, 0]);
+  expect([gate.minVersionToSend('m'), gate.minVersionToBegin('m')]).toEqual([2, 0]);
   clock.advance(500);
-  expect(gate.lowestToBegin('m')).toEqual(2);
+  expect(gate.minVersionToBegin('m')).toEqual(2);
   clock.advance(1_500);
-  expect(gate.lowest('m')).toEqual(3);
+  expect(gate.minVersionToSend('m')).toEqual(3);
 });
 
 test('should count the bound from when any entry heard of a version', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   expect(gate.noteHeard({ model: 'm', version: 2, heardMilliseconds: 1_000 })).toEqual(false);
   clock.advance(6_001);
-  expect(gate.lowest('m')).toEqual(2);
+  expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
 test('should know of a version by the word of another entry alone', () => {
@@ -151,7 +151,7 @@
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 1_500);
+  gate.noteTarget('m', 2, 1_500);
   expect(gate.heard('m')[0]?.heardMilliseconds).toEqual(0);
 });
 
@@ -159,26 +159,26 @@
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteHeard({ model: 'm', version: 2, heardMilliseconds: 7_900 });
-  expect(gate.lowestToBegin('m')).toEqual(0);
+  expect(gate.minVersionToBegin('m')).toEqual(0);
   clock.advance(2_501);
-  expect(gate.lowestToBegin('m')).toEqual(2);
+  expect(gate.minVersionToBegin('m')).toEqual(2);
 });
 
 test('should take back sooner where the reset may lie on its way', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   clock.advance(6_100);
-  expect([gate.lowestToBegin('m'), gate.lowestToBegin('m', true)]).toEqual([0, 2]);
+  expect([gate.minVersionToBegin('m'), gate.minVersionToBegin('m', true)]).toEqual([0, 2]);
 });
 
 test('should not count a bound from earlier because a version that it knows is listed again', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   clock.advance(1_000);
-  expect(gate.note('m', 2, 6_000)).toEqual(false);
+  expect(gate.noteTarget('m', 2, 6_000)).toEqual(false);
   expect(gate.wanted('m').knownMilliseconds).toEqual(1_000);
 });
 
@@ -187,9 +187,9 @@
   clock.advance(60_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteHeard({ model: 'm', version: 2, heardMilliseconds: 7_900 });
-  expect(gate.lowestToBegin('m')).toEqual(0);
+  expect(gate.minVersionToBegin('m')).toEqual(0);
   clock.advance(2_501);
-  expect(gate.lowestToBegin('m')).toEqual(2);
+  expect(gate.minVersionToBegin('m')).toEqual(2);
 });
 
 test('should count from the earliest time by its own source, also where an agent tells it first', () => {
@@ -197,6 +197,6 @@
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteHeard({ model: 'm', version: 2, heardMilliseconds: 20 });
-  gate.note('m', 2, 1_500);
+  gate.noteTarget('m', 2, 1_500);
   expect(gate.wanted('m').knownMilliseconds).toEqual(1_500);
 });
