--- a/src/serving/agentReports.ts
+++ b/src/serving/agentReports.ts
@@ -34,19 +34,19 @@
   }
 
   /** The agent on `box` has been asked; what it told before, on whatever connection, no longer counts. */
-  ask(box: string, activity: AgentActivity): void {
+  subscribe(box: string, activity: AgentActivity): void {
     this._subscriptions.set(box, { activity, entries: undefined, heardAt: Number.NEGATIVE_INFINITY });
   }
 
   /** The agent is no longer asked or connected. Returns its activity if it had a report. */
-  end(box: string): AgentActivity | undefined {
+  unsubscribe(box: string): AgentActivity | undefined {
     const ended = this._subscriptions.get(box);
     this._subscriptions.delete(box);
     return ended?.entries && ended.activity;
   }
 
   /** Takes a list; one that nobody asked for, or that tells changes of a list that has not come, is passed over. */
-  take(box: string, { whole, entries, gone }: Omit<EntryList, 'type'>): boolean {
+  applyList(box: string, { whole, entries, gone }: Omit<EntryList, 'type'>): boolean {
     const subscription = this._subscriptions.get(box);
     if (!subscription) return false;
     if (whole) subscription.entries = new Map();
@@ -59,7 +59,7 @@
   }
 
   /** Boxes of the agents whose reports count now. */
-  counted(): string[] {
+  validAgents(): string[] {
     return [...this._subscriptions]
       .filter(([, subscription]) => this._counts(subscription))
       .map(([box]) => box);
--- a/src/serving/boxLinks.ts
+++ b/src/serving/boxLinks.ts
@@ -34,9 +34,9 @@
   onEntries: (agent: AgentAddress, list: EntryList) => void;
   onHeard: (agent: AgentAddress, versions: readonly HeardVersion[]) => void;
   /** The agent is asked from now on which entries are connected to it; its whole list follows on this connection. */
-  onAsked: (agent: AgentAddress, connection: ControlConnection) => void;
+  onSubscribed: (agent: AgentAddress, connection: ControlConnection) => void;
   /** The agent is no longer asked or connected. */
-  onNotAsked: (agent: AgentAddress) => void;
+  onUnsubscribed: (agent: AgentAddress) => void;
 }
 
 const GATHER_MILLISECONDS = 15;
@@ -49,7 +49,7 @@
   /** Whether the agent has asked this entry for the agents of its service. */
   wantsAgents: boolean;
   /** Whether the agent has been told to tell which entries are connected to it. */
-  isAsked: boolean;
+  isSubscribed: boolean;
   /** What was last sent on the connection, without what only ages. */
   sentPresence: string;
   sentAgents: string;
@@ -89,7 +89,7 @@
   }
 
   /** Keeps exactly these agents connected. */
-  want(agents: readonly AgentAddress[]): void {
+  setAgents(agents: readonly AgentAddress[]): void {
     const wanted = new Map(agents.map((agent) => [agent.box, agent]));
     for (const [box, link] of this._links) {
       if (wanted.has(box)) continue;
@@ -104,7 +104,7 @@
         stopped: new AbortController(),
         connection: undefined,
         wantsAgents: false,
-        isAsked: false,
+        isSubscribed: false,
         sentPresence: '',
         sentAgents: '',
         toldAgents: undefined,
@@ -126,11 +126,12 @@
 
   close(): void {
     this._announcement.cancel();
-    this.want([]);
+    this.setAgents([]);
   }
 
   private _tellAsked(message: Message): void {
-    for (const { connection, isAsked } of this._links.values()) if (isAsked) connection?.send(message);
+    for (const { connection, isSubscribed: isAsked } of this._links.values())
+      if (isAsked) connection?.send(message);
   }
 
   /** Sends what the agent has not been told yet. */
@@ -148,17 +149,17 @@
   /** Hands on that the agent begins or ceases to be asked for entries, as it has been told on this connection. */
   private _noteAsked(link: Link, connection: ControlConnection, isAsked: boolean, reason?: string): void {
     const { agent } = link;
-    if (link.isAsked === isAsked) return;
-    link.isAsked = isAsked;
+    if (link.isSubscribed === isAsked) return;
+    link.isSubscribed = isAsked;
     if (isAsked) {
       const notices = this._options.signals.notices();
       if (notices.length > 0) connection.send({ type: 'server-notices', notices });
       this._options.log.state('agent.asked', { agent: agent.box });
-      return this._options.onAsked(agent, connection);
+      return this._options.onSubscribed(agent, connection);
     }
     const silent = Math.round(connection.silentMilliseconds);
     this._options.log.state('agent.not-asked', { agent: agent.box, reason, silent });
-    this._options.onNotAsked(agent);
+    this._options.onUnsubscribed(agent);
   }
 
   private _tellAgents(link: Link, connection: ControlConnection): void {
--- a/src/serving/entryDirectory.ts
+++ b/src/serving/entryDirectory.ts
@@ -77,24 +77,24 @@
   }
 
   /** The agent on `box` is asked from now on; its whole list follows. */
-  ask(box: string, activity: AgentActivity): void {
-    this._reports.ask(box, activity);
+  subscribe(box: string, activity: AgentActivity): void {
+    this._reports.subscribe(box, activity);
     this._workOut();
   }
 
   /** The agent on `box` is no longer asked or connected: what it told no longer counts. */
-  endAsking(box: string): void {
+  unsubscribe(box: string): void {
     this._refresh();
-    const activity = this._reports.end(box);
-    const isLast = this._reports.counted().length === 0;
+    const activity = this._reports.unsubscribe(box);
+    const isLast = this._reports.validAgents().length === 0;
     const lastWordAt = activity && this._clock.now() - activity.silentMilliseconds;
     if (lastWordAt !== undefined && isLast) this._lastWordAt = Math.max(this._lastWordAt, lastWordAt);
     this._workOut();
   }
 
   /** Takes what the agent on `box` tells of the entries that it is connected to. */
-  report(box: string, list: Omit<EntryList, 'type'>): void {
-    if (this._reports.take(box, list)) this._workOut();
+  applyList(box: string, list: Omit<EntryList, 'type'>): void {
+    if (this._reports.applyList(box, list)) this._workOut();
   }
 
   /** This entry leaves: callers are not sent to it any more. */
@@ -135,7 +135,7 @@
   }
 
   /** How many of these stand in this one's data centre. */
-  countNear(): number {
+  countInOwnDataCentre(): number {
     return this._sharing.countIn(this._own.dataCentre);
   }
 
@@ -156,14 +156,14 @@
 
   /** The agents by whose word entries are live, or whether they are still remembered. */
   private _basis(): string {
-    const counted = this._reports.counted();
+    const counted = this._reports.validAgents();
     if (counted.length > 0) return counted.join();
     return this._clock.now() - this._lastWordAt <= REMEMBERED_MILLISECONDS ? 'remembered' : '';
   }
 
   private _workOut(): void {
     this._liveFor = this._basis();
-    if (this._reports.counted().length > 0) this._takeReports();
+    if (this._reports.validAgents().length > 0) this._takeReports();
     else this._known = this._withOwn(this._told);
     this._live = this._liveFor === '' ? this._withOwn([]) : this._known;
     this._liveLog.note(this._evidence());
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -228,7 +228,7 @@
       signals: this._signals,
       service: (name) => this._configuration.index?.service(name),
       entries: () => this._entries.count(),
-      entriesInDataCentre: () => this._entries.countNear(),
+      entriesInDataCentre: () => this._entries.countInOwnDataCentre(),
       isRouted: (host) => this._announcements.isRouted(host),
       linkDelay: (host) => this._links.delayMilliseconds(boxOfHost(host)),
     });
@@ -243,10 +243,10 @@
       presence: (agent) => this._announcements.presence(agent),
       agentList: (agent) => this._announcements.agentList(agent),
       onStatus: (agent, status) => this._pool.noteStatus(hostOf(agent.address), status),
-      onEntries: (agent, list) => this._entries.report(agent.box, list),
+      onEntries: (agent, list) => this._entries.applyList(agent.box, list),
       onHeard: (agent, versions) => this._named.onHeard(agent, versions) && this._links.announce(),
-      onAsked: (agent, connection) => this._entries.ask(agent.box, connection),
-      onNotAsked: (agent) => this._entries.endAsking(agent.box),
+      onSubscribed: (agent, connection) => this._entries.subscribe(agent.box, connection),
+      onUnsubscribed: (agent) => this._entries.unsubscribe(agent.box),
     });
   }
 
@@ -314,7 +314,7 @@
 
   private _wantAgents(): void {
     this._announcements.refresh();
-    this._links.want(this._announcements.selection().agents);
+    this._links.setAgents(this._announcements.selection().agents);
     this._links.announce();
   }
 }
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -59,10 +59,10 @@
 /** The same sequence as the directory alone sees it: the word of the agent that is no longer asked outlives all others. */
 test('should forget what an agent told when it is no longer asked', () => {
   const { directory } = asking('one', 'two');
-  directory.report('one', all('a', 'b'));
-  directory.report('two', all('a', 'b'));
-  directory.endAsking('one');
-  directory.report('two', change([], ['b']));
+  directory.applyList('one', all('a', 'b'));
+  directory.applyList('two', all('a', 'b'));
+  directory.unsubscribe('one');
+  directory.applyList('two', change([], ['b']));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
@@ -99,42 +99,42 @@
 
 test('should take no changes for a whole list', () => {
   const { directory } = asking('one');
-  directory.report('one', change(['b'], []));
+  directory.applyList('one', change(['b'], []));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
-  directory.report('one', all('a', 'c'));
+  directory.applyList('one', all('a', 'c'));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'c:80']);
 });
 
 test('should pass over a list that was on its way when the agent was told that it is no longer asked', () => {
   const { directory } = asking('one', 'two');
-  directory.report('two', all('a'));
-  directory.endAsking('one');
-  directory.report('one', all('a', 'b'));
+  directory.applyList('two', all('a'));
+  directory.unsubscribe('one');
+  directory.applyList('one', all('a', 'b'));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
 test('should wait for the whole list of an agent that is asked again', () => {
   const { directory, activity } = asking('one', 'two');
-  for (const agent of ['one', 'two']) directory.report(agent, all('a', 'b'));
-  directory.endAsking('one');
-  directory.ask('one', activity);
-  directory.report('one', change(['c'], []));
-  directory.report('two', change([], ['b']));
+  for (const agent of ['one', 'two']) directory.applyList(agent, all('a', 'b'));
+  directory.unsubscribe('one');
+  directory.subscribe('one', activity);
+  directory.applyList('one', change(['c'], []));
+  directory.applyList('two', change([], ['b']));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
 test('should count nothing that was told on an earlier connection', () => {
   const { directory, activity } = asking('one', 'two');
-  directory.report('one', all('a', 'b'));
-  directory.report('two', all('a'));
-  directory.ask('one', activity);
+  directory.applyList('one', all('a', 'b'));
+  directory.applyList('two', all('a'));
+  directory.subscribe('one', activity);
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
 test('should name what nobody confirms for a bounded time, and then only itself', () => {
   const { directory, clock } = asking('one');
-  directory.report('one', all('a', 'b'));
-  directory.endAsking('one');
+  directory.applyList('one', all('a', 'b'));
+  directory.unsubscribe('one');
   clock.advance(REMEMBERED_MILLISECONDS);
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
   clock.advance(1);
@@ -143,37 +143,37 @@
 
 test('should remember from the last word of the agent on, not from the end of its connection', () => {
   const { directory, activity } = asking('one');
-  directory.report('one', all('a', 'b'));
+  directory.applyList('one', all('a', 'b'));
   activity.silentMilliseconds = REMEMBERED_MILLISECONDS + 1;
-  directory.endAsking('one');
+  directory.unsubscribe('one');
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
 test('should share bounds with as many, and know the same sources of records, when nobody confirms them', () => {
   const { directory, clock } = asking('one');
-  directory.report('one', all('a', 'b', 'c'));
+  directory.applyList('one', all('a', 'b', 'c'));
   const sources = directory.recordSources();
-  directory.endAsking('one');
+  directory.unsubscribe('one');
   clock.advance(3_600_000);
   expect(directory.addressesFor('north')).toEqual(['a:80']);
-  expect([directory.count(), directory.countNear()]).toEqual([3, 3]);
+  expect([directory.count(), directory.countInOwnDataCentre()]).toEqual([3, 3]);
   expect(directory.recordSources()).toEqual(sources);
 });
 
 test('should share bounds with as many for a while when other agents know of fewer', () => {
   const { directory, clock, activity } = asking('one');
-  directory.report('one', all('a', 'b', 'c'));
-  directory.endAsking('one');
-  directory.ask('two', activity);
-  directory.report('two', all('a'));
-  expect([directory.count(), directory.countNear()]).toEqual([3, 3]);
+  directory.applyList('one', all('a', 'b', 'c'));
+  directory.unsubscribe('one');
+  directory.subscribe('two', activity);
+  directory.applyList('two', all('a'));
+  expect([directory.count(), directory.countInOwnDataCentre()]).toEqual([3, 3]);
   clock.advance(1_500);
-  expect([directory.count(), directory.countNear()]).toEqual([1, 1]);
+  expect([directory.count(), directory.countInOwnDataCentre()]).toEqual([1, 1]);
 });
 
 test('should name after a pause only what has been confirmed since', () => {
   const { directory, clock, activity } = asking('one');
-  directory.report('one', all('a', 'b'));
+  directory.applyList('one', all('a', 'b'));
   clock.advance(10_000);
   activity.silentMilliseconds = 10_000;
   expect(directory.addressesFor('north')).toEqual(['a:80']);
@@ -197,7 +197,7 @@
 
 test('should remember from the newest last word of several agents on', () => {
   const { directory, activity } = asking('one');
-  directory.ask('two', { silentMilliseconds: 0 });
+  directory.subscribe('two', { silentMilliseconds: 0 });
   const list = ['a', 'b'].map((box) => ({
     box,
     dataCentre: 'north',
@@ -205,10 +205,10 @@
     control: `${box}:81`,
     leaving: false,
   }));
-  for (const agent of ['one', 'two']) directory.report(agent, { whole: true, entries: list, gone: [] });
+  for (const agent of ['one', 'two']) directory.applyList(agent, { whole: true, entries: list, gone: [] });
   activity.silentMilliseconds = 2_300;
-  directory.endAsking('two');
+  directory.unsubscribe('two');
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
-  directory.endAsking('one');
+  directory.unsubscribe('one');
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -191,36 +191,36 @@
 
 test('should take what has changed since the last list', () => {
   const { directory } = asking('agent');
-  directory.report('agent', all([entry('b', 'north'), entry('c', 'north')]));
-  directory.report('agent', { whole: false, entries: [entry('d', 'north')], gone: ['b'] });
+  directory.applyList('agent', all([entry('b', 'north'), entry('c', 'north')]));
+  directory.applyList('agent', { whole: false, entries: [entry('d', 'north')], gone: ['b'] });
   expect(directory.addressesFor('north')).toEqual(['a:80', 'c:80', 'd:80']);
-  directory.report('agent', all([entry('b', 'north')]));
+  directory.applyList('agent', all([entry('b', 'north')]));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
 test('should assume that it shares bounds with many until it knows better', () => {
   const { directory } = asking('agent');
   expect(directory.count()).toEqual(16);
-  directory.report('agent', all([entry('a', 'north')]));
+  directory.applyList('agent', all([entry('a', 'north')]));
   expect(directory.count()).toEqual(1);
 });
 
 test("should name the live entries of the caller's data centre", () => {
   const { directory } = asking('agent');
-  directory.report('agent', all([entry('a', 'north'), entry('b', 'north'), entry('c', 'south')]));
+  directory.applyList('agent', all([entry('a', 'north'), entry('b', 'north'), entry('c', 'south')]));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
 test('should name an entry of another data centre rather than only one', () => {
   const { directory } = asking('agent');
-  directory.report('agent', all([entry('b', 'south'), entry('c', 'south')]));
+  directory.applyList('agent', all([entry('b', 'south'), entry('c', 'south')]));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
 test('should not name an entry that leaves, whoever says so', () => {
   const { directory } = asking('one', 'two');
-  directory.report('one', all([entry('b', 'north')]));
-  directory.report('two', all([entry('b', 'north', true)]));
+  directory.applyList('one', all([entry('b', 'north')]));
+  directory.applyList('two', all([entry('b', 'north', true)]));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
