--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -22,7 +22,7 @@
 import { DirectoryServer } from './directoryServer.js';
 import { EntryDirectory } from './entryDirectory.js';
 import { createEntrySignals } from './entrySignals.js';
-import { FollowedRecords } from './followedRecords.js';
+import { RecordApplier } from './recordApplier.js';
 import type { ForwardServices } from './forwardServices.js';
 import { ForwardedRequest } from './forwardedRequest.js';
 import type { HeaderNames } from './headerNames.js';
@@ -297,7 +297,7 @@
   private _follow(): void {
     const { versions } = this._followers;
     this._prober.start();
-    new FollowedRecords({
+    new RecordApplier({
       platform: this._parts.platform,
       followers: this._followers,
       configuration: this._configuration,
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -12,8 +12,8 @@
 import { generationOf } from '../records/storeRevision.js';
 import { StoreReader } from '../records/storeReader.js';
 import type { Random } from '../utils/random.js';
-import { DecodedServers } from './decodedServers.js';
-import { NumberedRollbackPolicy } from './numberedRollbackPolicy.js';
+import { ServerRecordDecoder } from './serverRecordDecoder.js';
+import { VersionRollbackPolicy } from './versionRollbackPolicy.js';
 import type { ServingPlatform } from './platformRecords.js';
 import { ServerRollbackPolicy } from './serverRollbackPolicy.js';
 
@@ -50,7 +50,7 @@
   readonly servers: RecordReplica;
   readonly versions: RecordReplica;
   readonly suspicions: Suspicions;
-  readonly decoded: DecodedServers;
+  readonly serverDecoder: ServerRecordDecoder;
   readonly relay: RecordRelay;
   private readonly _suspicions: RecordReplica;
   private readonly _state: RecordState;
@@ -60,28 +60,28 @@
   constructor(options: PlatformFollowersOptions) {
     const { platform, clock, log } = options;
     const { store, reader, unreadable } = platform;
-    this.decoded = new DecodedServers(reader, unreadable);
-    const weighServer: WeighChange = (before, after) => this.decoded.weigh(before, after);
+    this.serverDecoder = new ServerRecordDecoder(reader, unreadable);
+    const weighServer: WeighChange = (before, after) => this.serverDecoder.weighChange(before, after);
     const replicaOf = (kind: string, policy: RollbackPolicy, weigh?: WeighChange): RecordReplica =>
       new RecordReplica(
         kind,
         weigh,
-        new RetainedRecords({ kind, policy, mayHaveLapsed: () => this.isEchoing, clock, log }),
+        new RetainedRecords({ kind, policy, mayHaveLapsed: () => this.serversMayBeMissing, clock, log }),
       );
     this.configuration = replicaOf(
       reader.kinds.configuration,
-      new NumberedRollbackPolicy(
+      new VersionRollbackPolicy(
         ({ name, value }) => reader.configuration(name, value).unwrapOr(undefined)?.version,
       ),
     );
     this.servers = replicaOf(
       reader.kinds.servers,
-      new ServerRollbackPolicy((object) => this.decoded.of(object), options.heartbeatMilliseconds),
+      new ServerRollbackPolicy((object) => this.serverDecoder.decode(object), options.heartbeatMilliseconds),
       weighServer,
     );
     this.versions = replicaOf(
       reader.kinds.versions,
-      new NumberedRollbackPolicy(
+      new VersionRollbackPolicy(
         ({ name, value }) => reader.version(name, value).unwrapOr(undefined)?.version,
       ),
     );
@@ -113,12 +113,12 @@
    * Milliseconds in which a record that comes with a listing may have been made: since the copy was last confirmed, and at
    * least as long as it takes to notice that a reader has fallen behind. Changes that are watched come as they are made.
    */
-  get latestGap(): number {
+  get maxListingDelayMilliseconds(): number {
     return Math.max(LEAST_GAP_MILLISECONDS, this._state.unconfirmedFor);
   }
 
   /** Whether the store was regained so lately that servers may be missing though they run. */
-  get isEchoing(): boolean {
+  get serversMayBeMissing(): boolean {
     return this._state.regainedFor < OUTAGE_ECHO_MILLISECONDS;
   }
 
--- a/src/serving/platformRecords.ts
+++ b/src/serving/platformRecords.ts
@@ -13,15 +13,15 @@
 }
 
 /** A value as it was understood, or why it cannot be. */
-export type ReadRecord<T> = Result<T, string>;
+export type DecodeResult<T> = Result<T, string>;
 
 /** Reads the values of records. Anybody may write one: what is not as it should be is used for nothing. */
 export interface RecordReader {
   /** `suspicions` is a kind of our own, which nobody else uses. */
   readonly kinds: { configuration: string; servers: string; versions: string; suspicions: string };
-  configuration(name: string, value: unknown): ReadRecord<ServingConfiguration>;
-  server(name: string, value: unknown): ReadRecord<BackendServerRecord>;
-  version(name: string, value: unknown): ReadRecord<TargetVersion>;
+  configuration(name: string, value: unknown): DecodeResult<ServingConfiguration>;
+  server(name: string, value: unknown): DecodeResult<BackendServerRecord>;
+  version(name: string, value: unknown): DecodeResult<TargetVersion>;
 }
 
 /** The platform as a gateway sees it. */
--- a/src/serving/followedRecords.ts
+++ b/src/serving/recordApplier.ts
@@ -8,7 +8,7 @@
 import type { ServingConfiguration } from './servingConfiguration.js';
 
 /** What the records are taken from, and who takes them. */
-export interface FollowedRecordsOptions {
+export interface RecordApplierOptions {
   platform: ServingPlatform;
   followers: PlatformFollowers;
   configuration: ConfigurationHolder;
@@ -19,10 +19,10 @@
   onServers: () => void;
 }
 
-export class FollowedRecords {
-  private readonly _options: FollowedRecordsOptions;
+export class RecordApplier {
+  private readonly _options: RecordApplierOptions;
 
-  constructor(options: FollowedRecordsOptions) {
+  constructor(options: RecordApplierOptions) {
     this._options = options;
     const { followers } = options;
     followers.configuration.on('change', () => this._takeConfiguration());
@@ -42,11 +42,11 @@
 
   private _takeServers(): void {
     const { followers, pool, onServers } = this._options;
-    const { servers, decoded, isEchoing } = followers;
+    const { servers, serverDecoder: decoded, serversMayBeMissing: isEchoing } = followers;
     const listed: ListedServer[] = [];
     const unusable = new Set<string>();
     for (const object of servers.objects.values()) {
-      const record = decoded.of(object);
+      const record = decoded.decode(object);
       if (record) listed.push({ record, revision: object.revision });
       else unusable.add(object.name);
     }
--- a/src/serving/decodedServers.ts
+++ b/src/serving/serverRecordDecoder.ts
@@ -5,7 +5,7 @@
 import type { BackendServerRecord } from './backendServerRecord.js';
 import type { RecordReader } from './platformRecords.js';
 
-export class DecodedServers {
+export class ServerRecordDecoder {
   private readonly _reader: RecordReader;
   private readonly _unreadable: UnreadableRecords;
   private readonly _decoded = new WeakMap<StoredObject, { record: BackendServerRecord | undefined }>();
@@ -16,7 +16,7 @@
   }
 
   /** The record that an object holds; undefined if it cannot be understood. */
-  of(object: StoredObject): BackendServerRecord | undefined {
+  decode(object: StoredObject): BackendServerRecord | undefined {
     let decoded = this._decoded.get(object);
     if (!decoded) {
       decoded = { record: this._read(object) };
@@ -26,9 +26,9 @@
   }
 
   /** How much a change matters to those who choose servers: which version one serves is told sooner by its agent. */
-  weigh(before: StoredObject | undefined, after: StoredObject | undefined): ChangeWeight {
-    const old = before && this.of(before);
-    const next = after && this.of(after);
+  weighChange(before: StoredObject | undefined, after: StoredObject | undefined): ChangeWeight {
+    const old = before && this.decode(before);
+    const next = after && this.decode(after);
     if (!old || !next) return old === next ? 'none' : 'urgent';
     const { models: oldModels, ...oldPlace } = old;
     const { models: nextModels, ...nextPlace } = next;
--- a/src/serving/numberedRollbackPolicy.ts
+++ b/src/serving/versionRollbackPolicy.ts
@@ -2,7 +2,7 @@
 import type { RollbackPolicy } from '../records/rollbackPolicy.js';
 import type { StoredObject } from '../records/watchableStore.js';
 
-export class NumberedRollbackPolicy implements RollbackPolicy {
+export class VersionRollbackPolicy implements RollbackPolicy {
   private readonly _numberOf: (object: StoredObject) => number | undefined;
 
   /** `numberOf` reads the operator's version of an object; undefined where that is invalid. */
--- a/src/serving/versionUpdates.ts
+++ b/src/serving/versionUpdates.ts
@@ -66,6 +66,6 @@
   /** How long before now a version may have been named that comes with a change. */
   private _lateMilliseconds(whole: boolean): number {
     if (!this._listed) return Number.POSITIVE_INFINITY;
-    return whole ? this._followers.latestGap : 0;
+    return whole ? this._followers.maxListingDelayMilliseconds : 0;
   }
 }
--- a/tests/recordReplica.spec.ts
+++ b/tests/recordReplica.spec.ts
@@ -7,7 +7,7 @@
 import type { ObjectChange, StoredObject } from '../src/records/watchableStore.js';
 import { UnreadableRecords } from '../src/records/unreadableRecords.js';
 import type { BackendServerRecord } from '../src/serving/backendServerRecord.js';
-import { DecodedServers } from '../src/serving/decodedServers.js';
+import { ServerRecordDecoder } from '../src/serving/serverRecordDecoder.js';
 import type { RecordReader } from '../src/serving/platformRecords.js';
 import { quietLog } from './fixtures/quietLog.js';
 
@@ -113,13 +113,13 @@
     server: (_name, value) => ok(value as BackendServerRecord),
     version: () => err('not used'),
   };
-  const decoded = new DecodedServers(reader, new UnreadableRecords(quietLog()));
+  const decoded = new ServerRecordDecoder(reader, new UnreadableRecords(quietLog()));
   const before = object('a', 1, record);
   const changed = (changes: Partial<BackendServerRecord>): StoredObject =>
     object('a', 2, { ...record, ...changes });
-  expect(decoded.weigh(before, changed({}))).toEqual('none');
-  expect(decoded.weigh(before, changed({ models: [{ name: 'm', version: 2 }] }))).toEqual('minor');
-  expect(decoded.weigh(before, changed({ draining: true }))).toEqual('urgent');
-  expect(decoded.weigh(before, undefined)).toEqual('urgent');
-  expect(decoded.weigh(undefined, before)).toEqual('urgent');
+  expect(decoded.weighChange(before, changed({}))).toEqual('none');
+  expect(decoded.weighChange(before, changed({ models: [{ name: 'm', version: 2 }] }))).toEqual('minor');
+  expect(decoded.weighChange(before, changed({ draining: true }))).toEqual('urgent');
+  expect(decoded.weighChange(before, undefined)).toEqual('urgent');
+  expect(decoded.weighChange(undefined, before)).toEqual('urgent');
 });
--- a/tests/rollbackPolicies.spec.ts
+++ b/tests/rollbackPolicies.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 import type { StoredObject } from '../src/records/watchableStore.js';
 import type { BackendServerRecord } from '../src/serving/backendServerRecord.js';
-import { NumberedRollbackPolicy } from '../src/serving/numberedRollbackPolicy.js';
+import { VersionRollbackPolicy } from '../src/serving/versionRollbackPolicy.js';
 import { ServerRollbackPolicy } from '../src/serving/serverRollbackPolicy.js';
 
 const HEARTBEAT = 1_000;
@@ -14,7 +14,7 @@
   ({ value }) => (value === undefined ? undefined : ({ startedAt: 0, ...value } as BackendServerRecord)),
   HEARTBEAT,
 );
-const numbers = new NumberedRollbackPolicy(({ value }) => value as number | undefined);
+const numbers = new VersionRollbackPolicy(({ value }) => value as number | undefined);
 
 function object(value: unknown): StoredObject {
   return { name: 'x', revision: 1, value };
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -205,7 +205,7 @@
   const readers = entries.filter((entry) => entry.followers.isReading);
   await until(() => readers.every(({ lines }) => lines.some((line) => line.includes('store.rolled-back'))));
   // servers may only have lapsed where the store was lost, as it may be beside load
-  await all((entry) => hasRolledBack(entry) && !entry.followers.isEchoing);
+  await all((entry) => hasRolledBack(entry) && !entry.followers.serversMayBeMissing);
   const copy = copyThenWrite();
   standin.remove('servers', 'b');
   await all((entry) => serversAt(entry).join() === 'a ready');
