--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -6,7 +6,7 @@
 import { REMEMBERED_MILLISECONDS } from '../src/serving/entryDirectory.js';
 import { gatewaySettingsSchema } from '../src/settings/gatewaySettings.js';
 import { LONGEST_GATHER_MILLISECONDS } from '../src/staging/connectedEntries.js';
-import { PEER_TIMEOUT_MILLISECONDS, asking } from './fixtures/askingDirectory.js';
+import { PEER_TIMEOUT_MILLISECONDS, subscribedDirectory } from './fixtures/subscribedDirectory.js';
 import { DirectoryFixture } from './fixtures/directoryFixture.js';
 import { HoldingRelay } from './fixtures/holdingRelay.js';
 import { until } from './fixtures/until.js';
@@ -46,19 +46,19 @@
   const [own, lost] = [fixture.addEntry('a'), fixture.addEntry('b')];
   const before = await fixture.addAgents(9);
   for (const each of [own, lost]) each.select(before);
-  await until(() => own.names('b'));
+  await until(() => own.listsEntry('b'));
   const asked = own.selection.directory;
   const after = await fixture.addAgents(6);
   for (const each of [own, lost]) each.select(after);
   expect([...asked].some((box) => !own.selection.directory.has(box))).toEqual(true);
   await until(() => own.noted.steps().includes('agent.not-asked'));
   lost.close();
-  await until(() => !own.names('b'));
+  await until(() => !own.listsEntry('b'));
 });
 
 /** The same sequence as the directory alone sees it: the word of the agent that is no longer asked outlives all others. */
 test('should forget what an agent told when it is no longer asked', () => {
-  const { directory } = asking('one', 'two');
+  const { directory } = subscribedDirectory('one', 'two');
   directory.applyList('one', all('a', 'b'));
   directory.applyList('two', all('a', 'b'));
   directory.unsubscribe('one');
@@ -76,9 +76,9 @@
   try {
     for (const each of [own, live]) each.select(agents);
     silent.select(agents.map((agent, index) => ({ ...agent, address: ways[index] })));
-    await until(() => own.names('b') && own.names('c') && silent.links.connected === agents.length);
+    await until(() => own.listsEntry('b') && own.listsEntry('c') && silent.links.connected === agents.length);
     for (const relay of relays) relay.hold();
-    await until(() => !own.names('b') && own.names('c'));
+    await until(() => !own.listsEntry('b') && own.listsEntry('c'));
   } finally {
     short.stop();
     for (const relay of relays) relay.close();
@@ -89,16 +89,16 @@
   const [own, other] = [fixture.addEntry('a'), fixture.addEntry('b')];
   const agents = await fixture.addAgents(9);
   for (const each of [own, other]) each.select(agents);
-  await until(() => own.names('b'));
-  own.pass(own.selection.directory);
+  await until(() => own.listsEntry('b'));
+  own.unsubscribeFrom(own.selection.directory);
   own.select(agents);
   own.links.announceNow();
   expect(own.noted.steps()).not.toInclude('agent.not-asked');
-  expect(own.names('b')).toEqual(true);
+  expect(own.listsEntry('b')).toEqual(true);
 });
 
 test('should take no changes for a whole list', () => {
-  const { directory } = asking('one');
+  const { directory } = subscribedDirectory('one');
   directory.applyList('one', change(['b'], []));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
   directory.applyList('one', all('a', 'c'));
@@ -106,7 +106,7 @@
 });
 
 test('should pass over a list that was on its way when the agent was told that it is no longer asked', () => {
-  const { directory } = asking('one', 'two');
+  const { directory } = subscribedDirectory('one', 'two');
   directory.applyList('two', all('a'));
   directory.unsubscribe('one');
   directory.applyList('one', all('a', 'b'));
@@ -114,7 +114,7 @@
 });
 
 test('should wait for the whole list of an agent that is asked again', () => {
-  const { directory, activity } = asking('one', 'two');
+  const { directory, activity } = subscribedDirectory('one', 'two');
   for (const agent of ['one', 'two']) directory.applyList(agent, all('a', 'b'));
   directory.unsubscribe('one');
   directory.subscribe('one', activity);
@@ -124,7 +124,7 @@
 });
 
 test('should count nothing that was told on an earlier connection', () => {
-  const { directory, activity } = asking('one', 'two');
+  const { directory, activity } = subscribedDirectory('one', 'two');
   directory.applyList('one', all('a', 'b'));
   directory.applyList('two', all('a'));
   directory.subscribe('one', activity);
@@ -132,7 +132,7 @@
 });
 
 test('should name what nobody confirms for a bounded time, and then only itself', () => {
-  const { directory, clock } = asking('one');
+  const { directory, clock } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b'));
   directory.unsubscribe('one');
   clock.advance(REMEMBERED_MILLISECONDS);
@@ -142,7 +142,7 @@
 });
 
 test('should remember from the last word of the agent on, not from the end of its connection', () => {
-  const { directory, activity } = asking('one');
+  const { directory, activity } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b'));
   activity.silentMilliseconds = REMEMBERED_MILLISECONDS + 1;
   directory.unsubscribe('one');
@@ -150,7 +150,7 @@
 });
 
 test('should share bounds with as many, and know the same sources of records, when nobody confirms them', () => {
-  const { directory, clock } = asking('one');
+  const { directory, clock } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b', 'c'));
   const sources = directory.recordSources();
   directory.unsubscribe('one');
@@ -161,7 +161,7 @@
 });
 
 test('should share bounds with as many for a while when other agents know of fewer', () => {
-  const { directory, clock, activity } = asking('one');
+  const { directory, clock, activity } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b', 'c'));
   directory.unsubscribe('one');
   directory.subscribe('two', activity);
@@ -172,7 +172,7 @@
 });
 
 test('should name after a pause only what has been confirmed since', () => {
-  const { directory, clock, activity } = asking('one');
+  const { directory, clock, activity } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b'));
   clock.advance(10_000);
   activity.silentMilliseconds = 10_000;
@@ -196,7 +196,7 @@
 });
 
 test('should remember from the newest last word of several agents on', () => {
-  const { directory, activity } = asking('one');
+  const { directory, activity } = subscribedDirectory('one');
   directory.subscribe('two', { silentMilliseconds: 0 });
   const list = ['a', 'b'].map((box) => ({
     box,
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -11,7 +11,7 @@
 import { retryAfter } from '../src/serving/retryAdvice.js';
 import { ServerHealth } from '../src/serving/serverHealth.js';
 import { ManualClock } from '../src/utils/clock.js';
-import { asking } from './fixtures/askingDirectory.js';
+import { subscribedDirectory } from './fixtures/subscribedDirectory.js';
 import { routeFixture, servingConfiguration } from './fixtures/servingFixture.js';
 
 test('should find the route with the longest prefix of the path', () => {
@@ -190,7 +190,7 @@
 }
 
 test('should take what has changed since the last list', () => {
-  const { directory } = asking('agent');
+  const { directory } = subscribedDirectory('agent');
   directory.applyList('agent', all([entry('b', 'north'), entry('c', 'north')]));
   directory.applyList('agent', { whole: false, entries: [entry('d', 'north')], gone: ['b'] });
   expect(directory.addressesFor('north')).toEqual(['a:80', 'c:80', 'd:80']);
@@ -199,26 +199,26 @@
 });
 
 test('should assume that it shares bounds with many until it knows better', () => {
-  const { directory } = asking('agent');
+  const { directory } = subscribedDirectory('agent');
   expect(directory.count()).toEqual(16);
   directory.applyList('agent', all([entry('a', 'north')]));
   expect(directory.count()).toEqual(1);
 });
 
 test("should name the live entries of the caller's data centre", () => {
-  const { directory } = asking('agent');
+  const { directory } = subscribedDirectory('agent');
   directory.applyList('agent', all([entry('a', 'north'), entry('b', 'north'), entry('c', 'south')]));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
 test('should name an entry of another data centre rather than only one', () => {
-  const { directory } = asking('agent');
+  const { directory } = subscribedDirectory('agent');
   directory.applyList('agent', all([entry('b', 'south'), entry('c', 'south')]));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
 test('should not name an entry that leaves, whoever says so', () => {
-  const { directory } = asking('one', 'two');
+  const { directory } = subscribedDirectory('one', 'two');
   directory.applyList('one', all([entry('b', 'north')]));
   directory.applyList('two', all([entry('b', 'north', true)]));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
