--- a/src/backpressure/limitShare.ts
+++ b/src/backpressure/limitShare.ts
@@ -1,44 +1,52 @@
-/** This entry's part of the requests that a backend server takes from all entries together. Pure. */
+/** Computes this entry's share of a backend server's request limit. No state, no I/O. */
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 
-/** What an entry may send of a limit. */
+/** The share of a limit that one entry may use. */
 export interface LimitShare {
-  /** Requests a second; 0 for an entry that leaves the server to others. */
+  /** Requests per second; 0 when only other entries send to the server. */
   perSecond: number;
-  /** How many entries there are. */
+  /** Number of live entries. */
   entries: number;
 }
 
-/** A limit, and those that share it. */
+/** A limit and the entries that share it. */
 export interface SharedLimit {
   /** Id of the server. */
   server: string;
-  /** Where the server stands. */
+  /** Data centre of the server. */
   dataCentre: string;
-  /** Requests a second of all entries. */
+  /** Requests per second from all entries together. */
   perSecond: number;
   /** Box of this entry. */
   own: string;
-  /** All entries, this one included; undefined while they are not known. */
+  /** All entries including this one; undefined until they are known. */
   entries: readonly PlacedBox[] | undefined;
 }
 
-/** Entries that share a limit of less than one request a second. Each may send one at any moment: more would come to a burst. */
-const FEWEST_HOLDERS = 2;
-/** After a start, so that entries that start together do not each take the whole. */
+/**
+ * Number of entries that share a limit below one request per second. Each holder can send one request at any time,
+ * so more holders could send a burst.
+ */
+const MIN_HOLDERS = 2;
+/** Assumed while the entries are unknown, so that entries that start together do not each take the whole limit. */
 const ASSUMED_ENTRIES = 16;
 
 /**
- * The part of this entry. Few entries hold a share, so that each is worth something: those of the server's data
- * centre, as far as there are any, in an order that all entries work out alike.
+ * Returns the share of this entry. Only a few entries hold a share, so that each share is large enough to be useful.
+ * The holders are taken from the server's data centre if it has entries, in a rendezvous order that is the same on
+ * every entry.
  */
 export function limitShare(limit: SharedLimit): LimitShare {
   const { server, dataCentre, perSecond, own, entries } = limit;
   if (!entries) return { perSecond: perSecond / ASSUMED_ENTRIES, entries: ASSUMED_ENTRIES };
-  const near = entries.filter((entry) => entry.dataCentre === dataCentre);
-  const ranked = rendezvousOrder(server, near.length > 0 ? near : entries, ({ box }) => box);
-  const holders = ranked.slice(0, FEWEST_HOLDERS + Math.floor(perSecond));
-  const holds = holders.some(({ box }) => box === own);
-  return { perSecond: holds ? perSecond / holders.length : 0, entries: entries.length };
+  const sameDataCentre = entries.filter((entry) => entry.dataCentre === dataCentre);
+  const ranked = rendezvousOrder(
+    server,
+    sameDataCentre.length > 0 ? sameDataCentre : entries,
+    ({ box }) => box,
+  );
+  const holders = ranked.slice(0, MIN_HOLDERS + Math.floor(perSecond));
+  const isHolder = holders.some(({ box }) => box === own);
+  return { perSecond: isHolder ? perSecond / holders.length : 0, entries: entries.length };
 }
--- a/src/backpressure/probeSlot.ts
+++ b/src/backpressure/probeSlot.ts
@@ -1,26 +1,26 @@
-/** When an entry without a share of a limit may ask the server whether it still holds. Pure. */
+/** Schedules when an entry without a share of a limit may probe whether the limit still applies. No state, no I/O. */
 
-/** How long an entry may ask, at most once. */
+/** Length of an entry's time slot; it may send one probe within it. */
 const SLOT_MILLISECONDS = 2_000;
-/** Of so many milliseconds for each entry: of all entries without a share few may ask at the same time, whoever has callers. */
+/** The period grows by this much per entry, so that few entries probe at the same time. */
 const MILLISECONDS_PER_ENTRY = 8_000;
 
 export interface ProbeSchedule {
   /** Monotonic milliseconds. */
   now: number;
-  /** How many entries there are. */
+  /** Number of live entries. */
   entries: number;
-  /** Where in the turn of all this entry stands, from 0 up to 1. */
+  /** Position of this entry's slot within the period, from 0 to 1 (exclusive). */
   phase: number;
-  /** Monotonic milliseconds at which it asked last. */
-  askedAt: number;
+  /** Monotonic milliseconds of the last request that this entry sent to the server. */
+  probedAt: number;
 }
 
-/** Milliseconds until the entry may ask, 0 when it may now. */
-export function millisecondsUntilProbe({ now, entries, phase, askedAt }: ProbeSchedule): number {
+/** Milliseconds until the entry may probe; 0 when it may probe now. */
+export function millisecondsUntilProbe({ now, entries, phase, probedAt }: ProbeSchedule): number {
   const period = MILLISECONDS_PER_ENTRY * Math.max(1, entries);
   const position = (now + phase * period) % period;
   const isInSlot = position < SLOT_MILLISECONDS;
-  const hasAsked = now - askedAt < SLOT_MILLISECONDS;
-  return isInSlot && !hasAsked ? 0 : period - position;
+  const hasProbed = now - probedAt < SLOT_MILLISECONDS;
+  return isInSlot && !hasProbed ? 0 : period - position;
 }
--- a/src/backpressure/serverBackpressure.ts
+++ b/src/backpressure/serverBackpressure.ts
@@ -1,4 +1,4 @@
-/** What one life of a backend server asks of those that send it requests, as its answers have told. */
+/** Tracks the limit, shutdown and Retry-After signals of one incarnation of a backend server. */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import type { AnswerSignals } from './answerSignals.js';
@@ -7,34 +7,33 @@
 import { TokenBucket } from './tokenBucket.js';
 import { ServerLimit } from './serverLimit.js';
 
-/** How often all entries are told that a limit still holds. */
-const CONFIRM_MILLISECONDS = 10_000;
-/** After so long without such a notice nobody sends to the server, or nobody can tell. */
-const STALE_MILLISECONDS = 15_000;
+/** How often the other entries are notified that a limit still applies. */
+const CONFIRM_INTERVAL_MILLISECONDS = 10_000;
+/** Without a notice for this long, no entry sends to the server, or those that do cannot notify the others. */
+const STALE_NOTICE_MILLISECONDS = 15_000;
 
-/** What is known of a server beside its answers. */
 export interface BackpressureOptions {
   /** Id of the server. */
   server: string;
   clock: Clock;
   log: EventLog;
-  /** This entry's part of the requests a second that the server takes from all entries. */
+  /** Returns this entry's share of the requests per second that the server accepts from all entries. */
   share: (perSecond: number) => LimitShare;
-  /** Where this entry stands among those that ask a server in turn whether its limit still holds, from 0 up to 1. */
+  /** Position of this entry in the probe schedule, from 0 to 1 (exclusive). */
   phase: number;
-  /** An answer to this entry has changed what the server asks of all entries. */
+  /** Called when a response to this entry changes the shared state, or confirms a limit after a while. */
   onChange: () => void;
 }
 
-/** What a server asks of all entries. */
+/** The state of a server that applies to all entries and is shared between them. */
 export interface SharedBackpressure {
   limitPerSecond: number | undefined;
   leaving: boolean;
-  /** Monotonic milliseconds of the answer that told it. */
+  /** Monotonic milliseconds of the response that carried it. */
   heardAt: number;
 }
 
-/** Who told it: an answer to this entry, or another entry. */
+/** Where a signal came from: a response to this entry, or another entry. */
 type SignalSource = 'answer' | 'entry';
 
 export class ServerBackpressure {
@@ -46,14 +45,14 @@
   private readonly _phase: number;
   private readonly _onChange: () => void;
   private readonly _limit: ServerLimit;
-  /** What this entry may send while a limit holds, or has ended just now. */
-  private _allowance: TokenBucket;
+  /** Limits this entry's requests while a limit applies or ramps up after its end. */
+  private _bucket: TokenBucket;
   private _isLeaving = false;
   private _leavingHeardAt = Number.NEGATIVE_INFINITY;
   private _backoffUntil = Number.NEGATIVE_INFINITY;
   private _hasLoggedUnreadable = false;
   private _sentAt = Number.NEGATIVE_INFINITY;
-  /** Monotonic milliseconds of the answer by which all entries have last been told of the limit. */
+  /** Monotonic milliseconds of the last limit notice, sent by this entry or received from another. */
   private _sharedAt = Number.NEGATIVE_INFINITY;
 
   constructor({ server, clock, log, share, phase, onChange }: BackpressureOptions) {
@@ -64,115 +63,118 @@
     this._phase = phase;
     this._onChange = onChange;
     this._limit = new ServerLimit(clock);
-    this._allowance = new TokenBucket(clock);
+    this._bucket = new TokenBucket(clock);
   }
 
-  /** Whether the server names a limit. */
+  /** Whether the server advertises a limit. */
   get isLimited(): boolean {
     return this._limit.advertised !== undefined;
   }
 
-  /** Whether the server has said that it leaves; it does not come back in this life. */
+  /** Whether the server has announced its shutdown; this is final for the incarnation. */
   get isLeaving(): boolean {
     return this._isLeaving;
   }
 
-  /** Whether the server wants no request from this entry now. */
+  /** Whether the server has asked this entry, by Retry-After, to send no requests now. */
   get isBackingOff(): boolean {
     return this._backoffMilliseconds > 0;
   }
 
-  /** Milliseconds until this entry may send a request, 0 when it may now; infinite when others are to. */
+  /** Milliseconds until this entry may send a request; 0 when it may send now. */
   get waitMilliseconds(): number {
-    return Math.max(this._backoffMilliseconds, this._limitMilliseconds);
+    return Math.max(this._backoffMilliseconds, this._limitWaitMilliseconds);
   }
 
-  /** Whether a request is not to be sent any more that has waited for its connection. */
+  /** Whether a request that waited for its connection must no longer be sent. */
   get isClosed(): boolean {
     return this._isLeaving || this.isBackingOff;
   }
 
-  /** A request is sent to the server. */
+  /** Records that a request is being sent to the server. */
   noteSent(): void {
     this._sentAt = this._clock.now();
-    if (this._limit.allowed !== undefined) this._allowance.take();
+    if (this._limit.allowed !== undefined) this._bucket.take();
   }
 
-  /** What the server asks of all entries. */
+  /** State to share with the other entries. */
   get sharedState(): SharedBackpressure {
     const { advertised: limitPerSecond, heardAt } = this._limit;
     return { limitPerSecond, leaving: this._isLeaving, heardAt: Math.max(heardAt, this._leavingHeardAt) };
   }
 
-  /** Takes what an answer to this entry says. */
+  /** Applies the signals of a response to this entry. */
   applySignals(signals: AnswerSignals): void {
     const { limitPerSecond, leaving, retryAfterMilliseconds, unreadable } = signals;
     const now = this._clock.now();
     if (unreadable !== undefined) this._noteUnreadable(unreadable);
     const hasLimitChanged =
-      limitPerSecond === undefined ? this._passOver() : this._name(limitPerSecond, now, 'answer');
-    const isNewlyLeaving = leaving && this._leave(now, 'answer');
+      limitPerSecond === undefined ? this._noteNoLimit() : this._setLimit(limitPerSecond, now, 'answer');
+    const isNewlyLeaving = leaving && this._markLeaving(now, 'answer');
     if (retryAfterMilliseconds > 0) this._backOff(retryAfterMilliseconds);
-    const isConfirmed = limitPerSecond !== undefined && now - this._sharedAt >= CONFIRM_MILLISECONDS;
-    if (hasLimitChanged || isNewlyLeaving || isConfirmed) this._tell(now);
+    const isConfirmed = limitPerSecond !== undefined && now - this._sharedAt >= CONFIRM_INTERVAL_MILLISECONDS;
+    if (hasLimitChanged || isNewlyLeaving || isConfirmed) this._notify(now);
   }
 
-  /** Takes what another entry has heard. What is known here from a later answer stays. */
+  /** Applies a notice from another entry. State from a later response takes precedence. */
   applyNotice({ limitPerSecond, leaving, heardAt }: SharedBackpressure): void {
-    if (leaving) this._leave(heardAt, 'entry');
+    if (leaving) this._markLeaving(heardAt, 'entry');
     if (heardAt <= this._limit.heardAt) return;
     this._sharedAt = heardAt;
-    if (limitPerSecond === undefined) this._end(heardAt, 'entry');
-    else this._name(limitPerSecond, heardAt, 'entry');
+    if (limitPerSecond === undefined) this._endLimit(heardAt, 'entry');
+    else this._setLimit(limitPerSecond, heardAt, 'entry');
   }
 
   private get _backoffMilliseconds(): number {
     return Math.max(0, this._backoffUntil - this._clock.now());
   }
 
-  private get _limitMilliseconds(): number {
+  private get _limitWaitMilliseconds(): number {
     const allowed = this._limit.allowed;
     if (allowed === undefined) return 0;
     const { perSecond, entries } = this._share(allowed);
-    this._allowance.setRate(perSecond);
-    return perSecond > 0 ? this._allowance.waitMilliseconds : this._probeMilliseconds(entries);
+    this._bucket.setRate(perSecond);
+    return perSecond > 0 ? this._bucket.waitMilliseconds : this._probeWaitMilliseconds(entries);
   }
 
-  /** Others send to the server; where none of them has told of it lately, this entry asks in its turn whether the limit still holds. */
-  private _probeMilliseconds(entries: number): number {
+  /**
+   * Other entries hold the shares of the limit. If none of them has confirmed it lately, this entry probes in its
+   * slot whether the limit still applies.
+   */
+  private _probeWaitMilliseconds(entries: number): number {
     const now = this._clock.now();
-    const freshMilliseconds = this._limit.heardAt + STALE_MILLISECONDS - now;
+    const freshMilliseconds = this._limit.heardAt + STALE_NOTICE_MILLISECONDS - now;
     if (freshMilliseconds > 0) return freshMilliseconds;
-    return millisecondsUntilProbe({ now, entries, phase: this._phase, askedAt: this._sentAt });
+    return millisecondsUntilProbe({ now, entries, phase: this._phase, probedAt: this._sentAt });
   }
 
-  private _tell(now: number): void {
+  private _notify(now: number): void {
     this._sharedAt = now;
     this._onChange();
   }
 
-  private _name(perSecond: number, heardAt: number, source: SignalSource): boolean {
+  private _setLimit(perSecond: number, heardAt: number, source: SignalSource): boolean {
     const former = this._limit.advertised;
-    if (this._limit.allowed === undefined) this._allowance = new TokenBucket(this._clock);
-    const isOther = this._limit.update(perSecond, heardAt);
-    if (isOther) this._log.state('server.limited', { server: this.server, perSecond, former, source });
-    return isOther;
+    if (this._limit.allowed === undefined) this._bucket = new TokenBucket(this._clock);
+    const hasChanged = this._limit.update(perSecond, heardAt);
+    if (hasChanged) this._log.state('server.limited', { server: this.server, perSecond, former, source });
+    return hasChanged;
   }
 
-  /** An answer names no limit; returns whether one ends by that. */
-  private _passOver(): boolean {
+  /** Handles a response without a limit header; returns whether that ends a limit. */
+  private _noteNoLimit(): boolean {
     if (!this._limit.canEnd) return false;
-    this._end(this._clock.now(), 'answer');
+    this._endLimit(this._clock.now(), 'answer');
     return true;
   }
 
-  private _end(heardAt: number, source: SignalSource): void {
+  private _endLimit(heardAt: number, source: SignalSource): void {
     const former = this._limit.advertised;
     this._limit.end(heardAt);
     if (former !== undefined) this._log.state('server.limit-ended', { server: this.server, former, source });
   }
 
-  private _leave(heardAt: number, source: SignalSource): boolean {
+  private _markLeaving(heardAt: number, source: SignalSource): boolean {
     if (this._isLeaving) return false;
     this._isLeaving = true;
     this._leavingHeardAt = heardAt;
--- a/src/backpressure/serverLimit.ts
+++ b/src/backpressure/serverLimit.ts
@@ -1,64 +1,67 @@
-/** The limit of one backend server, as it is believed from answer to answer. */
+/** Tracks the request limit that one backend server advertises in its responses. */
 import type { Clock } from '../utils/clock.js';
 
-/** Answers that name no limit end it only so long after the last one that did: the two may have overtaken each other. */
-const END_MILLISECONDS = 1_000;
-/** After the end of a limit what may be sent doubles so often, so that all entries do not send their load back at once. */
+/**
+ * A response without a limit ends the limit only after this time since the last response with one, because responses
+ * can arrive out of order.
+ */
+const MIN_AGE_TO_END_MILLISECONDS = 1_000;
+/** After a limit ends, the allowed rate doubles at this interval, so that the load does not return all at once. */
 const DOUBLING_MILLISECONDS = 500;
-/** By then it has grown to more than a server's usual share. */
+/** Duration of the ramp, after which the rate exceeds a server's usual load and is no longer limited. */
 const RAMP_MILLISECONDS = 3_000;
-/** Requests a second that are sent whatever the limit: only an answer tells of its end. */
-const LEAST_PER_SECOND = 0.25;
+/** Minimum requests per second whatever the limit is: only a response can show that the limit has ended. */
+const MIN_PER_SECOND = 0.25;
 
 export class ServerLimit {
   private readonly _clock: Clock;
-  /** Undefined while no limit holds. */
+  /** Requests per second of the current limit, or of the ended one during the ramp. */
   private _perSecond: number | undefined;
-  /** Monotonic milliseconds of the latest answer that anybody has told of it. */
+  /** Monotonic milliseconds of the latest response, received by any entry, that set or ended the limit. */
   private _heardAt = Number.NEGATIVE_INFINITY;
-  /** Monotonic milliseconds; undefined while the server names its limit. */
+  /** Monotonic milliseconds of the end of the limit; undefined while it applies. */
   private _endedAt: number | undefined;
 
   constructor(clock: Clock) {
     this._clock = clock;
   }
 
-  /** Requests a second as the server named them; undefined when it names no limit. */
+  /** Requests per second that the server advertises; undefined when it advertises no limit. */
   get advertised(): number | undefined {
     return this._endedAt === undefined ? this._perSecond : undefined;
   }
 
-  /** Requests a second that all entries together may send now; undefined when there is no bound. */
+  /** Requests per second that all entries together may send now; undefined when unlimited. */
   get allowed(): number | undefined {
     if (this._perSecond === undefined) return undefined;
-    const least = Math.max(this._perSecond, LEAST_PER_SECOND);
-    if (this._endedAt === undefined) return least;
+    const perSecond = Math.max(this._perSecond, MIN_PER_SECOND);
+    if (this._endedAt === undefined) return perSecond;
     const sinceEnd = this._clock.now() - this._endedAt;
-    if (sinceEnd < RAMP_MILLISECONDS) return least * 2 ** (sinceEnd / DOUBLING_MILLISECONDS);
+    if (sinceEnd < RAMP_MILLISECONDS) return perSecond * 2 ** (sinceEnd / DOUBLING_MILLISECONDS);
     this._perSecond = undefined;
     return undefined;
   }
 
-  /** Monotonic milliseconds of the answer by which the limit was last named or ended; -infinity when there was none. */
+  /** Monotonic milliseconds of the response that last set or ended the limit; -Infinity if there was none. */
   get heardAt(): number {
     return this._heardAt;
   }
 
-  /** The server has named a limit in an answer of that time. Returns whether it is another one. */
+  /** Sets the limit from a response received at `heardAt`. Returns whether the limit changed. */
   update(perSecond: number, heardAt: number): boolean {
-    const isOther = this.advertised !== perSecond;
+    const hasChanged = this.advertised !== perSecond;
     this._perSecond = perSecond;
     this._heardAt = heardAt;
     this._endedAt = undefined;
-    return isOther;
+    return hasChanged;
   }
 
-  /** Whether an answer that names none ends the limit. */
+  /** Whether a response without a limit header ends the limit. */
   get canEnd(): boolean {
-    return this.advertised !== undefined && this._clock.now() - this._heardAt >= END_MILLISECONDS;
+    return this.advertised !== undefined && this._clock.now() - this._heardAt >= MIN_AGE_TO_END_MILLISECONDS;
   }
 
-  /** The limit has ended, by an answer of that time. */
+  /** Ends the limit because of a response received at `heardAt`. */
   end(heardAt: number): void {
     if (this.advertised !== undefined) this._endedAt = this._clock.now();
     this._heardAt = heardAt;
--- a/src/backpressure/serverSignals.ts
+++ b/src/backpressure/serverSignals.ts
@@ -1,4 +1,4 @@
-/** What all backend servers ask of those that send them requests. */
+/** Keeps the backpressure state of all backend servers and shares it with other entries. */
 import { EventEmitter } from 'node:events';
 import { LRUCache } from 'lru-cache';
 import type { ServerNotice } from '../protocol/boxMessages.js';
@@ -9,46 +9,48 @@
 import type { LimitShare } from './limitShare.js';
 import { ServerBackpressure } from './serverBackpressure.js';
 
-/** What the signals work with. */
 export interface ServerSignalsOptions {
   clock: Clock;
   log: EventLog;
-  /** This entry. */
+  /** Box of this entry. */
   box: string;
-  /** This entry's part of the requests a second that a server of a data centre takes from all entries. */
+  /** Returns this entry's share of the requests per second that a server accepts from all entries. */
   share: (server: string, dataCentre: string, perSecond: number) => LimitShare;
 }
 
-/** What is known of a server while service discovery lists it or not. */
+/** State of a server, kept whether or not service discovery lists it at the moment. */
 interface KnownServer {
   dataCentre: string;
-  /** When it started, in Unix milliseconds by its own clock; 0 while that is not known. */
+  /** When the process started, in Unix milliseconds by its own clock; 0 while unknown. */
   startedAt: number;
   backpressure: ServerBackpressure;
 }
 
-/** Servers that are remembered. Their ids are their own, so that one that has left and is listed again is known. */
-const MOST_SERVERS = 10_000;
-/** Changes of so long a time are told together: a limit that changes with each answer costs no message for each. */
-const GATHER_MILLISECONDS = 100;
-/** For so long after it an entry that connects is told of the end of a limit. */
-const ENDED_MILLISECONDS = 60_000;
-const HASHES = 2 ** 32;
+/** Maximum number of servers whose state is kept. Ids are unique, so a server that is listed again is recognised. */
+const MAX_SERVERS = 10_000;
+/**
+ * Changes are batched for this long, so that a limit that changes with every response does not cause a message
+ * each.
+ */
+const BATCH_MILLISECONDS = 100;
+/** The end of a limit is reported to newly connected entries for this long. */
+const REPORT_ENDED_MILLISECONDS = 60_000;
+const HASH_RANGE = 2 ** 32;
 
 interface ServerSignalsEvents {
-  /** Answers to this entry have changed what servers ask of all entries. */
+  /** Responses to this entry have changed the shared state of servers. */
   change: [ServerNotice[]];
 }
 
 export class ServerSignals extends EventEmitter<ServerSignalsEvents> {
   private readonly _options: ServerSignalsOptions;
-  /** By server id; kept when a server is gone from service discovery, which may lose its record for a while. */
-  private readonly _byServer = new LRUCache<string, KnownServer>({ max: MOST_SERVERS });
-  /** Servers whose notice is to be told. */
+  /** By server id. Kept when a server is not listed, because service discovery can lose its record for a while. */
+  private readonly _byServer = new LRUCache<string, KnownServer>({ max: MAX_SERVERS });
+  /** Servers with a notice to send. */
   private readonly _changed = new Set<string>();
-  private readonly _telling = new Gathered(
-    () => GATHER_MILLISECONDS,
-    () => this._tell(),
+  private readonly _pendingChanges = new Gathered(
+    () => BATCH_MILLISECONDS,
+    () => this._emitChanges(),
   );
 
   constructor(options: ServerSignalsOptions) {
@@ -56,39 +58,39 @@
     this._options = options;
   }
 
-  /** What the life of a server asks for that began at `startedAt`, 0 where that is not known. */
+  /** Returns the state of the server incarnation that started at `startedAt`; 0 when the start is unknown. */
   backpressureOf(server: string, dataCentre: string, startedAt: number): ServerBackpressure {
-    const known = this._livesAt(server, startedAt) ?? this._add(server);
+    const known = this._findIncarnation(server, startedAt) ?? this._add(server);
     known.dataCentre = dataCentre;
     known.startedAt = startedAt || known.startedAt;
     return known.backpressure;
   }
 
-  /** Takes what other entries have heard from servers. */
+  /** Applies notices from other entries. */
   applyNotices(notices: readonly ServerNotice[]): void {
-    for (const notice of notices) this._takeOne(notice);
+    for (const notice of notices) this._applyNotice(notice);
   }
 
-  /** What servers ask of all entries now, for those that have not heard it. */
+  /** Returns the current notices, for an entry that has not received them. */
   notices(): ServerNotice[] {
     return [...this._byServer.keys()].flatMap((server) => {
       const { backpressure } = this._byServer.peek(server)!;
-      const { isLimited, isLeaving, sharedState: demand } = backpressure;
-      const isNew = this._options.clock.now() - demand.heardAt < ENDED_MILLISECONDS;
-      return isLimited || isLeaving || isNew ? [this._noticeOf(server)] : [];
+      const { isLimited, isLeaving, sharedState } = backpressure;
+      const isRecent = this._options.clock.now() - sharedState.heardAt < REPORT_ENDED_MILLISECONDS;
+      return isLimited || isLeaving || isRecent ? [this._noticeOf(server)] : [];
     });
   }
 
   close(): void {
-    this._telling.cancel();
+    this._pendingChanges.cancel();
   }
 
-  /** The server has started again: nothing that its former life asked for holds. */
+  /** Drops the state of a server that has restarted: signals of the former incarnation no longer apply. */
   forgetServer(server: string): void {
     this._byServer.delete(server);
   }
 
-  /** Servers that name a limit, leave, or want no request from this entry for a while. */
+  /** Numbers of servers that advertise a limit, are shutting down, or have asked this entry to back off. */
   get counts(): { limited: number; leaving: number; backingOff: number } {
     const all = [...this._byServer.values()].map(({ backpressure }) => backpressure);
     return {
@@ -98,11 +100,14 @@
     };
   }
 
-  /** What is known of the server, unless of another life than the one that began at `startedAt`; 0 says nothing. */
-  private _livesAt(server: string, startedAt: number): KnownServer | undefined {
+  /**
+   * Returns the known state of the server, unless it belongs to a different incarnation. An unknown start matches
+   * any.
+   */
+  private _findIncarnation(server: string, startedAt: number): KnownServer | undefined {
     const known = this._byServer.get(server);
-    const isOther = known && startedAt > 0 && known.startedAt > 0 && startedAt !== known.startedAt;
-    return isOther ? undefined : known;
+    const isAnother = known && startedAt > 0 && known.startedAt > 0 && startedAt !== known.startedAt;
+    return isAnother ? undefined : known;
   }
 
   private _add(server: string): KnownServer {
@@ -115,7 +120,7 @@
         clock,
         log,
         share: (perSecond) => this._options.share(server, known.dataCentre, perSecond),
-        phase: placementHash(server, box) / HASHES,
+        phase: placementHash(server, box) / HASH_RANGE,
         onChange: () => this._onChange(server),
       }),
     };
@@ -125,10 +130,10 @@
 
   private _onChange(server: string): void {
     this._changed.add(server);
-    this._telling.call();
+    this._pendingChanges.call();
   }
 
-  private _tell(): void {
+  private _emitChanges(): void {
     const changed = [...this._changed].filter((server) => this._byServer.has(server));
     this._changed.clear();
     if (changed.length === 0) return;
@@ -138,9 +143,15 @@
     );
   }
 
-  /** A notice of another life says nothing of the present one. */
-  private _takeOne({ server, startedAt, limitPerSecond, leaving, heardMilliseconds }: ServerNotice): void {
-    const known = this._byServer.has(server) ? this._livesAt(server, startedAt) : this._add(server);
+  /** Applies a notice, unless it is about a different incarnation than the known one. */
+  private _applyNotice({
+    server,
+    startedAt,
+    limitPerSecond,
+    leaving,
+    heardMilliseconds,
+  }: ServerNotice): void {
+    const known = this._byServer.has(server) ? this._findIncarnation(server, startedAt) : this._add(server);
     if (!known) return;
     known.startedAt ||= startedAt;
     known.backpressure.applyNotice({
--- a/src/backpressure/tokenBucket.ts
+++ b/src/backpressure/tokenBucket.ts
@@ -1,50 +1,50 @@
-/** A token bucket for the requests that this entry may send to one server. */
+/** Limits the requests that this entry sends to one server. */
 import type { Clock } from '../utils/clock.js';
 
-/** Most tokens, as the rate of so long a time. */
+/** Capacity of the bucket, as seconds of the configured rate. */
 const BURST_SECONDS = 0.5;
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Begins empty: entries that are told of a limit at one moment, or that start again, do not each send a burst. */
+/** Starts empty, so that entries that learn a limit at the same time, or restart, do not each send a burst. */
 export class TokenBucket {
   private readonly _clock: Clock;
   private _perSecond = 0;
   private _tokens = 0;
-  private _countedAt: number;
+  private _refilledAt: number;
 
   constructor(clock: Clock) {
     this._clock = clock;
-    this._countedAt = clock.now();
+    this._refilledAt = clock.now();
   }
 
-  /** From now on so many requests a second are allowed. */
+  /** Sets the allowed requests per second. */
   setRate(perSecond: number): void {
-    this._count();
+    this._refill();
     this._perSecond = perSecond;
-    this._tokens = Math.min(this._tokens, this._most);
+    this._tokens = Math.min(this._tokens, this._capacity);
   }
 
-  /** Milliseconds until a request may be sent, 0 when it may be now. */
+  /** Milliseconds until a request may be sent; 0 when it may be sent now. */
   get waitMilliseconds(): number {
-    this._count();
+    this._refill();
     if (this._tokens >= 1) return 0;
-    return ((1 - this._tokens) / this._perSecond) * MILLISECONDS;
+    return ((1 - this._tokens) / this._perSecond) * MILLISECONDS_PER_SECOND;
   }
 
-  /** A request is sent, be it out of turn. */
+  /** Consumes a token for a request, also when the bucket had none left. */
   take(): void {
-    this._count();
+    this._refill();
     this._tokens = Math.max(0, this._tokens - 1);
   }
 
-  private get _most(): number {
+  private get _capacity(): number {
     return Math.max(1, this._perSecond * BURST_SECONDS);
   }
 
-  private _count(): void {
+  private _refill(): void {
     const now = this._clock.now();
-    const gained = ((now - this._countedAt) / MILLISECONDS) * this._perSecond;
-    this._tokens = Math.min(this._most, this._tokens + gained);
-    this._countedAt = now;
+    const gained = ((now - this._refilledAt) / MILLISECONDS_PER_SECOND) * this._perSecond;
+    this._tokens = Math.min(this._capacity, this._tokens + gained);
+    this._refilledAt = now;
   }
 }
--- a/src/serving/agentAnnouncements.ts
+++ b/src/serving/agentAnnouncements.ts
@@ -1,4 +1,7 @@
-/** What this entry tells the agents beside backend servers: itself, the wanted versions, and who their peers are. */
+/**
+ * Builds the messages that this entry sends to agents: its presence, the wanted versions, and the list of their
+ * peers.
+ */
 import type { AgentAddress, AgentList, EntryAddress, EntryPresence } from '../protocol/boxMessages.js';
 import type { AgentSelection } from './agentSelection.js';
 import { selectAgents } from './agentSelection.js';
@@ -7,10 +10,9 @@
 import type { ServiceDescription } from './servingConfiguration.js';
 import type { VersionGate } from './versionGate.js';
 
-/** What the announcements are made from. */
 export interface AgentAnnouncementsOptions {
   own: EntryAddress;
-  /** Control port of agents. */
+  /** Control port of all agents. */
   agentPort: number;
   configuration: ConfigurationHolder;
   pool: ServerPool;
@@ -21,7 +23,7 @@
 
 export class AgentAnnouncements {
   private readonly _options: AgentAnnouncementsOptions;
-  /** Worked out from the servers and services of the moment, until {@link AgentAnnouncements.refresh}. */
+  /** Agents by service, cached until {@link AgentAnnouncements.refresh}. */
   private readonly _agents = new Map<string, AgentAddress[]>();
   private _serviceByBox: Map<string, string> | undefined;
   private _selection: AgentSelection | undefined;
@@ -30,14 +32,14 @@
     this._options = options;
   }
 
-  /** Servers or services have changed. */
+  /** Clears the caches after a change of servers or services. */
   refresh(): void {
     this._agents.clear();
     this._serviceByBox = undefined;
     this._selection = undefined;
   }
 
-  /** The agents that this entry keeps connected. */
+  /** The agents that this entry stays connected to. */
   selection(): AgentSelection {
     this._selection ??= selectAgents(
       this._options.own,
@@ -46,10 +48,13 @@
     return this._selection;
   }
 
-  /** Whether this entry sends requests to the backend server at `host`: to those without an agent, and to selected ones. */
+  /**
+   * Whether this entry sends requests to the backend server at `host`: true without an agent, or with a selected
+   * one.
+   */
   isRouted(host: string): boolean {
     const box = boxOfHost(host);
-    return !this._servicesByBox().has(box) || this.selection().routed.has(box);
+    return !this._serviceIndex().has(box) || this.selection().routed.has(box);
   }
 
   presence(agent: AgentAddress): EntryPresence {
@@ -70,7 +75,7 @@
     };
   }
 
-  /** The agents of the service of an agent. */
+  /** All agents of the service that `agent` belongs to. */
   agentList(agent: AgentAddress): AgentList {
     const agents = this._agentsOf(this._serviceOf(agent.box));
     return { type: 'agent-list', revision: this._options.revision(), agents };
@@ -80,17 +85,17 @@
     return this._options.configuration.index?.services() ?? [];
   }
 
-  /** The service of the agent on `box`, '' when there is none. */
+  /** The service of the agent on `box`; '' when there is none. */
   private _serviceOf(box: string): string {
-    return this._servicesByBox().get(box) ?? '';
+    return this._serviceIndex().get(box) ?? '';
   }
 
-  private _servicesByBox(): Map<string, string> {
-    this._serviceByBox ??= this._findServices();
+  private _serviceIndex(): Map<string, string> {
+    this._serviceByBox ??= this._indexServices();
     return this._serviceByBox;
   }
 
-  private _findServices(): Map<string, string> {
+  private _indexServices(): Map<string, string> {
     const found = new Map<string, string>();
     for (const { name } of this._services()) {
       for (const { box } of this._agentsOf(name)) found.set(box, name);
@@ -98,17 +103,17 @@
     return found;
   }
 
-  /** Agents stand beside the backend servers of services that have a model engine. */
+  /** Only services with a model engine have agents, one on each box with a backend server. */
   private _agentsOf(service: string): AgentAddress[] {
     let agents = this._agents.get(service);
     if (!agents) {
-      agents = this._find(service);
+      agents = this._findAgents(service);
       this._agents.set(service, agents);
     }
     return agents;
   }
 
-  private _find(service: string): AgentAddress[] {
+  private _findAgents(service: string): AgentAddress[] {
     const { pool, configuration, agentPort } = this._options;
     if (!configuration.index?.service(service)?.engine) return [];
     const agents = new Map<string, AgentAddress>();
@@ -121,7 +126,7 @@
   }
 }
 
-/** The name that all processes give the box at an IPv4 address. */
+/** Box name for an IPv4 address, the same in all processes. */
 export function boxOfHost(host: string): string {
   return host.replaceAll('.', '-');
 }
--- a/src/serving/agentReports.ts
+++ b/src/serving/agentReports.ts
@@ -1,51 +1,54 @@
-/** What the agents that this entry asks tell of the entries that are connected to them. */
+/** Collects the entry lists that agents report to this entry: which entries are connected to each agent. */
 import type { EntryAddress, EntryList } from '../protocol/boxMessages.js';
 import { noticedWithin } from '../protocol/silence.js';
 import type { Clock } from '../utils/clock.js';
 import type { LivenessEvidence } from './liveEntryLog.js';
 
-/** The connection to an agent, as far as the age of its word is concerned. */
+/** Activity of the connection to an agent, used to judge whether its report is current. */
 export interface AgentActivity {
-  /** Milliseconds since anything came from the agent. */
+  /** Milliseconds since the last data from the agent. */
   readonly silentMilliseconds: number;
 }
 
 interface Subscription {
   activity: AgentActivity;
-  /** Entries by box; undefined until the whole list has come. */
+  /** Entries by box; undefined until the complete list has arrived. */
   entries: Map<string, EntryAddress> | undefined;
-  /** Monotonic milliseconds of the last list. */
+  /** Monotonic milliseconds of the last update. */
   heardAt: number;
 }
 
 /**
- * A report begins with the whole list that follows the question, and ends with the subscription or the connection. While an agent
- * is silent for longer than a connection may be, its report does not count, so that after a pause of this process nothing counts
- * that has not been confirmed since.
+ * A report starts with the complete list that follows a subscription, and ends with the subscription or the
+ * connection. A report is invalid while its agent is silent for longer than the peer time-out allows, so that after
+ * a pause of this process no report is used until its agent has been heard again.
  */
 export class AgentReports {
   private readonly _clock: Clock;
-  private readonly _longestSilence: number;
+  private readonly _maxSilenceMilliseconds: number;
   private readonly _subscriptions = new Map<string, Subscription>();
 
   constructor(clock: Clock, peerTimeoutMilliseconds: number) {
     this._clock = clock;
-    this._longestSilence = noticedWithin(peerTimeoutMilliseconds);
+    this._maxSilenceMilliseconds = noticedWithin(peerTimeoutMilliseconds);
   }
 
-  /** The agent on `box` has been asked; what it told before, on whatever connection, no longer counts. */
+  /** Starts a subscription to the agent on `box` and drops its earlier report, from whichever connection it came. */
   subscribe(box: string, activity: AgentActivity): void {
     this._subscriptions.set(box, { activity, entries: undefined, heardAt: Number.NEGATIVE_INFINITY });
   }
 
-  /** The agent is no longer asked or connected. Returns its activity if it had a report. */
+  /** Ends the subscription to an agent. Returns the activity of the connection if the agent had a report. */
   unsubscribe(box: string): AgentActivity | undefined {
     const ended = this._subscriptions.get(box);
     this._subscriptions.delete(box);
     return ended?.entries && ended.activity;
   }
 
-  /** Takes a list; one that nobody asked for, or that tells changes of a list that has not come, is passed over. */
+  /**
+   * Applies a list; returns false if it was ignored. Lists without a subscription, and changes that arrive before the
+   * complete list, are ignored.
+   */
   applyList(box: string, { whole, entries, gone }: Omit<EntryList, 'type'>): boolean {
     const subscription = this._subscriptions.get(box);
     if (!subscription) return false;
@@ -58,17 +61,17 @@
     return true;
   }
 
-  /** Boxes of the agents whose reports count now. */
+  /** Boxes of the agents whose reports are valid now. */
   validAgents(): string[] {
     return [...this._subscriptions]
-      .filter(([, subscription]) => this._counts(subscription))
+      .filter(([, subscription]) => this._isValid(subscription))
       .map(([box]) => box);
   }
 
-  /** All entries that are named by a report that counts; one that leaves by any of them is marked so. */
+  /** All entries in valid reports; an entry that any of them marks as leaving is leaving. */
   entries(): EntryAddress[] {
     const found = new Map<string, EntryAddress>();
-    for (const { entries } of this._countedSubscriptions()) {
+    for (const { entries } of this._validSubscriptions()) {
       for (const entry of entries?.values() ?? []) {
         if (!found.get(entry.box)?.leaving) found.set(entry.box, entry);
       }
@@ -76,22 +79,22 @@
     return [...found.values()];
   }
 
-  /** Which reports name the entry on `box`. */
+  /** The valid reports that list the entry on `box`. */
   evidenceOf(box: string): LivenessEvidence {
-    const naming = [...this._subscriptions].filter(
-      ([, subscription]) => this._counts(subscription) && subscription.entries?.has(box),
+    const listing = [...this._subscriptions].filter(
+      ([, subscription]) => this._isValid(subscription) && subscription.entries?.has(box),
     );
     return {
-      agents: naming.map(([agent]) => agent),
-      heardAt: Math.max(...naming.map(([, { heardAt }]) => heardAt)),
+      agents: listing.map(([agent]) => agent),
+      heardAt: Math.max(...listing.map(([, { heardAt }]) => heardAt)),
     };
   }
 
-  private _countedSubscriptions(): Subscription[] {
-    return [...this._subscriptions.values()].filter((subscription) => this._counts(subscription));
+  private _validSubscriptions(): Subscription[] {
+    return [...this._subscriptions.values()].filter((subscription) => this._isValid(subscription));
   }
 
-  private _counts({ entries, activity }: Subscription): boolean {
-    return entries !== undefined && activity.silentMilliseconds <= this._longestSilence;
+  private _isValid({ entries, activity }: Subscription): boolean {
+    return entries !== undefined && activity.silentMilliseconds <= this._maxSilenceMilliseconds;
   }
 }
--- a/src/serving/agentSelection.ts
+++ b/src/serving/agentSelection.ts
@@ -1,33 +1,39 @@
-/** Which agents an entry keeps connections to, so that a fleet of any size costs an entry the same. Pure. */
+/** Selects the agents that an entry connects to, so that its cost does not grow with the fleet. No state, no I/O. */
 import type { AgentAddress } from '../protocol/boxMessages.js';
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import { orderAcrossDataCentres } from '../utils/dataCentreOrder.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 
-/** Up to so many agents of a service, an entry is connected to all of them. */
-const MOST_AGENTS_FOR_ALL = 40;
+/** An entry connects to all agents of a service up to this number. */
+const MAX_AGENTS_FOR_ALL = 40;
 /**
- * Agents of its own data centre that an entry is connected to. With 29 servers and 20 entries in a data centre, a server
- * tells its load to 8 of them, and an entry sends to each of its servers often enough that connections stay open.
+ * Number of agents in its own data centre that an entry connects to. With 29 servers and 20 entries in a data
+ * centre, a server reports its load to 8 entries, and an entry sends to each of its servers often enough to keep
+ * connections open.
+ */
+const MAX_OWN_DATA_CENTRE_AGENTS = 12;
+/** Number of agents in other data centres whose servers get requests when the own data centre is full. */
+const OTHER_DATA_CENTRE_AGENTS = 4;
+/**
+ * Number of agents that report entries to each other: enough for redundancy, and more would repeat the same lists.
  */
-const MOST_NEAR_AGENTS = 12;
-/** Agents of other data centres that an entry sends requests beside, for when its own data centre is full. */
-const FAR_AGENTS = 4;
-/** Agents that tell entries of each other: any of them may be lost, and more would only repeat it. */
 const DIRECTORY_AGENTS = 4;
 const DIRECTORY_KEY = 'entry-directory';
 
-/** The agents of one entry. */
+/** The agents that one entry uses. */
 export interface AgentSelection {
-  /** All agents to be connected to. */
+  /** All agents to connect to. */
   agents: AgentAddress[];
-  /** Boxes whose backend servers this entry sends requests to, and whose status it hears. */
+  /** Boxes whose backend servers this entry sends requests to, and whose status it receives. */
   routed: ReadonlySet<string>;
-  /** Boxes whose agents tell entries of each other: the same ones at every entry, so that each knows all others. */
+  /**
+   * Boxes whose agents report the connected entries. They are the same at every entry, so that each learns all
+   * others.
+   */
   directory: ReadonlySet<string>;
 }
 
-/** Selects the agents of the entry `own` from those of each service. */
+/** Selects the agents of the entry `own` from the agents of each service. */
 export function selectAgents(own: PlacedBox, services: readonly (readonly AgentAddress[])[]): AgentSelection {
   const all = services.flat();
   const directory = orderAcrossDataCentres(DIRECTORY_KEY, all).slice(0, DIRECTORY_AGENTS);
@@ -40,12 +46,15 @@
   };
 }
 
-/** Those of the own data centre, and a few others that differ from entry to entry. */
+/** Selects agents in the own data centre and a few in others; the choice differs from entry to entry. */
 function routedAgents(own: PlacedBox, agents: readonly AgentAddress[]): readonly AgentAddress[] {
-  if (agents.length <= MOST_AGENTS_FOR_ALL) return agents;
-  const near = agents.filter((agent) => agent.dataCentre === own.dataCentre);
-  const far = agents.filter((agent) => agent.dataCentre !== own.dataCentre);
-  const nearest = rendezvousOrder(own.box, near, ({ box }) => box).slice(0, MOST_NEAR_AGENTS);
-  const wantedFar = MOST_NEAR_AGENTS - nearest.length + FAR_AGENTS;
-  return [...nearest, ...orderAcrossDataCentres(own.box, far).slice(0, wantedFar)];
+  if (agents.length <= MAX_AGENTS_FOR_ALL) return agents;
+  const ownDataCentre = agents.filter((agent) => agent.dataCentre === own.dataCentre);
+  const otherDataCentres = agents.filter((agent) => agent.dataCentre !== own.dataCentre);
+  const selected = rendezvousOrder(own.box, ownDataCentre, ({ box }) => box).slice(
+    0,
+    MAX_OWN_DATA_CENTRE_AGENTS,
+  );
+  const otherCount = MAX_OWN_DATA_CENTRE_AGENTS - selected.length + OTHER_DATA_CENTRE_AGENTS;
+  return [...selected, ...orderAcrossDataCentres(own.box, otherDataCentres).slice(0, otherCount)];
 }
--- a/src/serving/backendServerRecord.ts
+++ b/src/serving/backendServerRecord.ts
@@ -1,16 +1,16 @@
-/** A backend server as service discovery tells it. */
+/** A backend server as listed by service discovery. */
 
-/** A version of a model in service. */
+/** A model and the version of it that is being served. */
 export interface ServedModel {
   name: string;
   version: number;
 }
 
-/** A backend server process as it says of itself. */
+/** The record that a backend server process publishes about itself. */
 export interface BackendServerRecord {
-  /** Unique among the servers; one that starts again may keep it. */
+  /** Unique among the servers; a server may keep it across restarts. */
   id: string;
-  /** When the process started, in Unix milliseconds by its own clock: another life has another. 0 where it is not told. */
+  /** Start of the process in Unix milliseconds by its own clock, which identifies the incarnation; 0 when unknown. */
   startedAt: number;
   service: string;
   /** host:port. */
--- a/src/serving/boxLinks.ts
+++ b/src/serving/boxLinks.ts
@@ -1,4 +1,4 @@
-/** Control connections from an entry to the agents beside backend servers. */
+/** Control connections from an entry to the agents on the boxes of backend servers. */
 import type { ServerSignals } from '../backpressure/serverSignals.js';
 import type {
   AgentAddress,
@@ -19,76 +19,75 @@
 import { errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 
-/** What the links work with. */
 export interface BoxLinksOptions {
   control: ControlOptions;
   random: Random;
   log: EventLog;
-  /** What servers ask for, which entries tell each other by way of the agents that they ask for entries. */
+  /** Backpressure signals, which entries exchange through the agents that they subscribe to. */
   signals: ServerSignals;
-  /** What this entry tells the agent on a box of itself. */
+  /** Builds the presence message for an agent. */
   presence: (agent: AgentAddress) => EntryPresence;
-  /** The agents that the agent on a box should know. */
+  /** Builds the list of the other agents that an agent should know. */
   agentList: (agent: AgentAddress) => AgentList;
   onStatus: (agent: AgentAddress, status: BoxStatus) => void;
   onEntries: (agent: AgentAddress, list: EntryList) => void;
   onHeard: (agent: AgentAddress, versions: readonly HeardVersion[]) => void;
-  /** The agent is asked from now on which entries are connected to it; its whole list follows on this connection. */
+  /** Called when the entry list of an agent is subscribed to; the complete list follows on this connection. */
   onSubscribed: (agent: AgentAddress, connection: ControlConnection) => void;
-  /** The agent is no longer asked or connected. */
+  /** Called when the subscription or the connection to an agent ends. */
   onUnsubscribed: (agent: AgentAddress) => void;
 }
 
-const GATHER_MILLISECONDS = 15;
-const REDIAL = { firstMilliseconds: 200, longestMilliseconds: 1_500 };
+const BATCH_MILLISECONDS = 15;
+const RECONNECT_BACKOFF = { firstMilliseconds: 200, longestMilliseconds: 1_500 };
 
 interface Link {
   agent: AgentAddress;
   stopped: AbortController;
   connection: ControlConnection | undefined;
-  /** Whether the agent has asked this entry for the agents of its service. */
+  /** Whether the agent has requested the agents of its service from this entry. */
   wantsAgents: boolean;
-  /** Whether the agent has been told to tell which entries are connected to it. */
+  /** Whether this entry has subscribed to the entry list of the agent. */
   isSubscribed: boolean;
-  /** What was last sent on the connection, without what only ages. */
+  /** The presence last sent on the connection, without the ages in it. */
   sentPresence: string;
   sentAgents: string;
-  /** The list that {@link Link.sentAgents} was made from. */
-  toldAgents: readonly AgentAddress[] | undefined;
+  /** The list that {@link Link.sentAgents} was serialised from, to skip unchanged lists. */
+  sentAgentList: readonly AgentAddress[] | undefined;
 }
 
-/** Keeps one connection to every wanted agent. */
+/** Keeps one connection to every selected agent. */
 export class BoxLinks {
   private readonly _options: BoxLinksOptions;
   private readonly _links = new Map<string, Link>();
   private readonly _announcement = new Gathered(
-    () => GATHER_MILLISECONDS,
+    () => BATCH_MILLISECONDS,
     () => {
-      for (const link of this._links.values()) this._tell(link);
+      for (const link of this._links.values()) this._sendUpdates(link);
     },
   );
 
   constructor(options: BoxLinksOptions) {
     this._options = options;
-    options.signals.on('change', (notices) => this._tellAsked({ type: 'server-notices', notices }));
+    options.signals.on('change', (notices) => this._sendToSubscribed({ type: 'server-notices', notices }));
   }
 
-  /** Agents that are connected now. */
+  /** Number of connected agents. */
   get connected(): number {
     return [...this._links.values()].filter((link) => link.connection !== undefined).length;
   }
 
-  /** Measures a round trip to the agents on these boxes. */
+  /** Sends a probe to the agents on these boxes to measure the round trip. */
   probe(boxes: Iterable<string>): void {
     for (const box of boxes) this._links.get(box)?.connection?.probe();
   }
 
-  /** How long a round trip to the agent on `box` takes at the least, in milliseconds; 0 while that is not measured. */
+  /** Lower bound for the round trip to the agent on `box`, in milliseconds; 0 while it is not measured. */
   delayMilliseconds(box: string): number {
     return this._links.get(box)?.connection?.delayMilliseconds ?? 0;
   }
 
-  /** Keeps exactly these agents connected. */
+  /** Connects to exactly these agents and closes all other connections. */
   setAgents(agents: readonly AgentAddress[]): void {
     const wanted = new Map(agents.map((agent) => [agent.box, agent]));
     for (const [box, link] of this._links) {
@@ -107,19 +106,19 @@
         isSubscribed: false,
         sentPresence: '',
         sentAgents: '',
-        toldAgents: undefined,
+        sentAgentList: undefined,
       };
       this._links.set(agent.box, link);
       void this._keepConnected(link);
     }
   }
 
-  /** Tells the agents what has changed, together with other changes of these milliseconds. */
+  /** Sends changes to the agents, batched with others that follow within a few milliseconds. */
   announce(): void {
     this._announcement.call();
   }
 
-  /** Tells the agents what has changed. */
+  /** Sends changes to the agents without waiting. */
   announceNow(): void {
     this._announcement.now();
   }
@@ -129,29 +128,34 @@
     this.setAgents([]);
   }
 
-  private _tellAsked(message: Message): void {
-    for (const { connection, isSubscribed: isAsked } of this._links.values())
-      if (isAsked) connection?.send(message);
+  private _sendToSubscribed(message: Message): void {
+    for (const { connection, isSubscribed } of this._links.values())
+      if (isSubscribed) connection?.send(message);
   }
 
-  /** Sends what the agent has not been told yet. */
-  private _tell(link: Link): void {
+  /** Sends the presence and the agent list if they differ from the last ones sent. */
+  private _sendUpdates(link: Link): void {
     const { connection, agent } = link;
     if (!connection) return;
     const presence = this._options.presence(agent);
-    const text = presenceText(presence);
+    const text = serialisePresence(presence);
     if (text !== link.sentPresence) connection.send(presence);
     link.sentPresence = text;
-    this._noteAsked(link, connection, presence.hearsEntries);
-    if (link.wantsAgents) this._tellAgents(link, connection);
+    this._setSubscribed(link, connection, presence.hearsEntries);
+    if (link.wantsAgents) this._sendAgents(link, connection);
   }
 
-  /** Hands on that the agent begins or ceases to be asked for entries, as it has been told on this connection. */
-  private _noteAsked(link: Link, connection: ControlConnection, isAsked: boolean, reason?: string): void {
+  /** Handles the start or end of the subscription to an agent, after the presence message has announced it. */
+  private _setSubscribed(
+    link: Link,
+    connection: ControlConnection,
+    isSubscribed: boolean,
+    reason?: string,
+  ): void {
     const { agent } = link;
-    if (link.isSubscribed === isAsked) return;
-    link.isSubscribed = isAsked;
-    if (isAsked) {
+    if (link.isSubscribed === isSubscribed) return;
+    link.isSubscribed = isSubscribed;
+    if (isSubscribed) {
       const notices = this._options.signals.notices();
       if (notices.length > 0) connection.send({ type: 'server-notices', notices });
       this._options.log.state('agent.asked', { agent: agent.box });
@@ -162,17 +166,17 @@
     this._options.onUnsubscribed(agent);
   }
 
-  private _tellAgents(link: Link, connection: ControlConnection): void {
+  private _sendAgents(link: Link, connection: ControlConnection): void {
     const list = this._options.agentList(link.agent);
-    if (list.agents === link.toldAgents) return;
-    link.toldAgents = list.agents;
+    if (list.agents === link.sentAgentList) return;
+    link.sentAgentList = list.agents;
     const agents = JSON.stringify(list.agents);
     if (agents !== link.sentAgents) connection.send(list);
     link.sentAgents = agents;
   }
 
   private async _keepConnected(link: Link): Promise<void> {
-    const backoff = new Backoff(REDIAL, this._options.random);
+    const backoff = new Backoff(RECONNECT_BACKOFF, this._options.random);
     while (!link.stopped.signal.aborted) {
       try {
         await this._connectOnce(link);
@@ -184,7 +188,7 @@
     }
   }
 
-  /** Resolves when the connection has been lost. */
+  /** Connects to the agent; resolves when the connection is lost. */
   private async _connectOnce(link: Link): Promise<void> {
     const { agent } = link;
     const [host, port] = splitAddress(agent.address);
@@ -195,17 +199,17 @@
     const closed = new Promise<string>((resolve) => connection.once('close', resolve));
     connection.on('message', (message) => this._onMessage(link, message));
     connection.start();
-    // measured once while the link is idle: only a peer that has answered a probe is known to answer them
+    // Probe once while the link is idle: a peer is known to support probes only after it has answered one.
     connection.probe();
     link.wantsAgents = false;
     link.sentPresence = '';
     link.sentAgents = '';
-    link.toldAgents = undefined;
-    this._tell(link);
+    link.sentAgentList = undefined;
+    this._sendUpdates(link);
     const reason = await closed;
     link.connection = undefined;
     this._options.log.state('agent.lost', { agent: agent.box, reason });
-    this._noteAsked(link, connection, false, reason);
+    this._setSubscribed(link, connection, false, reason);
   }
 
   private _onMessage(link: Link, message: Message): void {
@@ -215,12 +219,12 @@
     if (message.type === 'server-notices') this._options.signals.applyNotices(message.notices);
     if (message.type !== 'agent-list-query') return;
     link.wantsAgents = message.wanted;
-    this._tell(link);
+    this._sendUpdates(link);
   }
 }
 
-/** All of a presence but the ages in it, which change without an event. */
-function presenceText({ wanted, heard, ...rest }: EntryPresence): string {
+/** Serialises a presence without the ages in it, which change all the time. */
+function serialisePresence({ wanted, heard, ...rest }: EntryPresence): string {
   const versions = [...wanted, ...(heard ?? [])];
   return JSON.stringify([rest, versions.map(({ model, version }) => [model, version])]);
 }
--- a/src/serving/configurationHolder.ts
+++ b/src/serving/configurationHolder.ts
@@ -1,4 +1,4 @@
-/** The configuration in force in this process: only ever a newer one. */
+/** Holds the active configuration of this process and replaces it only by a newer one. */
 import type { EventLog } from '../telemetry/eventLog.js';
 import { RouteIndex } from './routeIndex.js';
 import type { ServingConfiguration } from './servingConfiguration.js';
@@ -11,7 +11,7 @@
     this._log = log;
   }
 
-  /** Undefined until the first configuration has come. */
+  /** Undefined until the first configuration has been applied. */
   get index(): RouteIndex | undefined {
     return this._index;
   }
@@ -20,7 +20,7 @@
     return this._index?.configuration.version ?? -1;
   }
 
-  /** Takes a configuration if it is newer than the one in force; returns whether it was. */
+  /** Applies a configuration if it is newer than the active one; returns whether it was applied. */
   offer(configuration: ServingConfiguration, source: string): boolean {
     if (configuration.version <= this.version) return false;
     const previous = this.version;
--- a/src/serving/directoryServer.ts
+++ b/src/serving/directoryServer.ts
@@ -1,21 +1,20 @@
-/** Answers where callers should connect, and whether this entry is ready. */
+/** HTTP server for the directory of entries and the readiness check. */
 import http from 'node:http';
 import { answerJson } from '../utils/httpBody.js';
 import { splitAddress } from '../utils/hostPort.js';
 import { closeHttp, listenHttp } from '../utils/httpServer.js';
 import type { EntryDirectory } from './entryDirectory.js';
 
-/** Paths that the directory and readiness are asked for at, and how a directory answer is written. */
+/** Paths of the HTTP endpoints and the format of directory requests and responses. */
 export interface DirectoryPaths {
   ready: string;
   directory: string;
   metrics: string;
-  /** The data centre that a directory request names. */
+  /** The data centre in the query of a directory request. */
   dataCentreOf(query: URLSearchParams): string;
   directoryAnswer(addresses: readonly string[], keepSeconds: number): unknown;
 }
 
-/** What the server works with. */
 export interface DirectoryServerOptions {
   paths: DirectoryPaths;
   keepSeconds: number;
@@ -23,7 +22,7 @@
   isReady: () => boolean;
 }
 
-/** One handler on several addresses, since each of them may be asked anything. */
+/** Serves all endpoints on each of its addresses. */
 export class DirectoryServer {
   private readonly _options: DirectoryServerOptions;
   private readonly _servers: http.Server[] = [];
--- a/src/serving/entryDirectory.ts
+++ b/src/serving/entryDirectory.ts
@@ -1,12 +1,12 @@
 /**
- * Which entries callers may use. Learnt from a few agents, to which every live entry is connected.
+ * Tracks the live entries that callers may use, as reported by a few agents that every live entry connects to.
  *
- * An entry that has gone off without a word is named for at most the sum of these times:
- * 1. `noticedWithin` the time-out of peers: the agents find that the entry is silent;
- * 2. `LONGEST_GATHER_MILLISECONDS`: the agents gather what they tell;
- * 3. only where an agent falls silent as well before it could tell, `noticedWithin` once more, after which its report counts no
- *    longer; or, where no report is left, `REMEMBERED_MILLISECONDS` since the last word of the agent that had one. These overlap,
- *    so that the longer of them counts.
+ * An entry that disappears without notice is listed for at most the sum of these times:
+ * 1. `noticedWithin` the peer time-out: the agents detect that the entry is silent;
+ * 2. `LONGEST_GATHER_MILLISECONDS`: the agents batch their changes;
+ * 3. only if an agent also falls silent before it reports the loss: another `noticedWithin`, after which its report
+ *    is invalid; or, if no valid report is left, `REMEMBERED_MILLISECONDS` after the agent was last heard. These
+ *    two overlap, so only the longer one counts.
  */
 import type { EntryAddress, EntryList } from '../protocol/boxMessages.js';
 import type { RecordSource } from '../records/sourceChoice.js';
@@ -21,32 +21,32 @@
 import { SharingEntries } from './sharingEntries.js';
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 
-/** What a directory works with. */
 export interface EntryDirectoryOptions {
   own: EntryAddress;
   clock: Clock;
   log: EventLog;
-  /** Silence after which an agent counts as gone. */
+  /** Silence after which an agent is considered lost. */
   peerTimeoutMilliseconds: number;
 }
 
-/** Fewest entries to name, as long as there are so many. */
-const FEWEST_ENTRIES = 2;
-const MOST_ENTRIES = 64;
+/** Minimum number of entries in a directory response, if there are as many. */
+const MIN_ENTRIES = 2;
+const MAX_ENTRIES = 64;
 const RECORDS_KEY = 'record-sources';
 /**
- * How long entries are named that no report confirms, from the last word of an agent on: where all agents are exchanged, or their
- * connections reset, the next lists come sooner. Silence takes longer to be noticed, so that it adds nothing to the sum above.
+ * How long entries stay listed without a valid report, counted from when the last agent was heard. It covers the
+ * time until new lists arrive after all agents have been replaced or their connections reset. Detecting silence
+ * takes longer, so this adds nothing to the sum above.
  */
 export const REMEMBERED_MILLISECONDS = 2_000;
 
 /**
- * How long an entry that is lost holds its share of the limits that servers name. It may go on sending where agents cannot be reached,
- * and one that starts again is back within this time.
+ * How long a lost entry keeps its share of server limits. It may go on sending while it cannot reach agents, and an
+ * entry that restarts is back within this time.
  */
-const LIMIT_HOLD_MILLISECONDS = 10_000;
+const KEEP_LIMIT_SHARE_MILLISECONDS = 10_000;
 
-/** An entry is live while any agent that is asked and connected names it. */
+/** An entry is live while any connected agent that this entry subscribes to lists it. */
 export class EntryDirectory {
   private readonly _own: EntryAddress;
   private readonly _clock: Clock;
@@ -54,15 +54,18 @@
   private readonly _sharing: SharingEntries;
   private readonly _limitSharing: SharingEntries;
   private readonly _liveLog: LiveEntryLog;
-  /** Entries as the reports told them while there were any, this one not always included. */
-  private _told: readonly EntryAddress[] = [];
-  /** Monotonic milliseconds of the last word behind {@link EntryDirectory._told}, once no report is left; -infinity before. */
-  private _lastWordAt = Number.NEGATIVE_INFINITY;
-  /** All of {@link EntryDirectory._told} and this one, those that leave excluded. */
+  /** Entries of the last valid reports; this entry is not always included. */
+  private _reported: readonly EntryAddress[] = [];
+  /**
+   * Monotonic milliseconds at which the last agent behind {@link EntryDirectory._reported} was heard; -Infinity while
+   * there are valid reports.
+   */
+  private _lastHeardAt = Number.NEGATIVE_INFINITY;
+  /** {@link EntryDirectory._reported} and this entry, without leaving entries. */
   private _known: readonly EntryAddress[] = [];
   private _live: readonly EntryAddress[] = [];
-  /** What {@link EntryDirectory._live} was worked out from. */
-  private _liveFor = '';
+  /** The value of {@link EntryDirectory._basis} for which {@link EntryDirectory._live} was computed. */
+  private _liveBasis = '';
   private _ranked: readonly RecordSource[] = [];
   private _rankedFor: readonly EntryAddress[] | undefined;
 
@@ -71,48 +74,48 @@
     this._clock = clock;
     this._reports = new AgentReports(clock, peerTimeoutMilliseconds);
     this._sharing = new SharingEntries(own, clock);
-    this._limitSharing = new SharingEntries(own, clock, LIMIT_HOLD_MILLISECONDS);
+    this._limitSharing = new SharingEntries(own, clock, KEEP_LIMIT_SHARE_MILLISECONDS);
     this._liveLog = new LiveEntryLog(clock, log);
-    this._workOut();
+    this._recompute();
   }
 
-  /** The agent on `box` is asked from now on; its whole list follows. */
+  /** Subscribes to the agent on `box`; its complete list follows. */
   subscribe(box: string, activity: AgentActivity): void {
     this._reports.subscribe(box, activity);
-    this._workOut();
+    this._recompute();
   }
 
-  /** The agent on `box` is no longer asked or connected: what it told no longer counts. */
+  /** Ends the subscription to the agent on `box` and drops its report. */
   unsubscribe(box: string): void {
     this._refresh();
     const activity = this._reports.unsubscribe(box);
     const isLast = this._reports.validAgents().length === 0;
-    const lastWordAt = activity && this._clock.now() - activity.silentMilliseconds;
-    if (lastWordAt !== undefined && isLast) this._lastWordAt = Math.max(this._lastWordAt, lastWordAt);
-    this._workOut();
+    const lastHeardAt = activity && this._clock.now() - activity.silentMilliseconds;
+    if (lastHeardAt !== undefined && isLast) this._lastHeardAt = Math.max(this._lastHeardAt, lastHeardAt);
+    this._recompute();
   }
 
-  /** Takes what the agent on `box` tells of the entries that it is connected to. */
+  /** Applies an entry list from the agent on `box`. */
   applyList(box: string, list: Omit<EntryList, 'type'>): void {
-    if (this._reports.applyList(box, list)) this._workOut();
+    if (this._reports.applyList(box, list)) this._recompute();
   }
 
-  /** This entry leaves: callers are not sent to it any more. */
+  /** Marks this entry as leaving, so that the directory no longer lists it. */
   leave(): void {
     this._own.leaving = true;
-    this._workOut();
+    this._recompute();
   }
 
-  /** All live entries, this one included, those that leave excluded. Without word of any agent, only this one. */
+  /** Live entries including this one, without leaving ones. Only this one without a valid or remembered report. */
   live(): readonly EntryAddress[] {
     this._refresh();
     return this._live;
   }
 
   /**
-   * The entries in the order in which they are asked for records of the store, as all of them work out alike. Here entries stay
-   * that nobody confirms: each source proves itself on its own connection within a second, so that a dead one does little harm,
-   * while without any source every entry that has lost its agents would read the store itself.
+   * The entries in the order in which they serve as sources of store records; the order is the same on all entries.
+   * Unconfirmed entries are included: a dead source is detected on its own connection within a second, whereas
+   * without any source every entry that has lost its agents would read the store itself.
    */
   recordSources(): readonly RecordSource[] {
     this._refresh();
@@ -124,67 +127,72 @@
     return this._ranked;
   }
 
-  /** Entries that share the limits of servers; undefined until they are known. */
+  /** Entries that share the limits of servers; undefined until the entries are known. */
   limitSharers(): readonly PlacedBox[] | undefined {
     return this._limitSharing.all();
   }
 
-  /** How many entries share the bounds of the whole system; no fewer when nobody confirms them, and many until it is known. */
+  /**
+   * Number of entries that share system-wide bounds. It does not fall when reports are lost, and is a high assumed
+   * number until the entries are known.
+   */
   count(): number {
     return this._sharing.count();
   }
 
-  /** How many of these stand in this one's data centre. */
+  /** Number of these entries in this entry's data centre. */
   countInOwnDataCentre(): number {
     return this._sharing.countIn(this._own.dataCentre);
   }
 
-  /** Addresses for a caller in `data centre`: its own data centre's entries, and others where that has too few. */
+  /** Addresses for a caller in `dataCentre`: the entries there, and others if these are too few. */
   addressesFor(dataCentre: string): string[] {
     const live = this.live();
-    const near = live.filter((entry) => entry.dataCentre === dataCentre);
-    const far = live.filter((entry) => entry.dataCentre !== dataCentre);
+    const ownDataCentre = live.filter((entry) => entry.dataCentre === dataCentre);
+    const otherDataCentres = live.filter((entry) => entry.dataCentre !== dataCentre);
     const chosen =
-      near.length >= FEWEST_ENTRIES ? near : [...near, ...far.slice(0, FEWEST_ENTRIES - near.length)];
-    return chosen.slice(0, MOST_ENTRIES).map((entry) => entry.address);
+      ownDataCentre.length >= MIN_ENTRIES
+        ? ownDataCentre
+        : [...ownDataCentre, ...otherDataCentres.slice(0, MIN_ENTRIES - ownDataCentre.length)];
+    return chosen.slice(0, MAX_ENTRIES).map((entry) => entry.address);
   }
 
-  /** Time alone may end what counts. */
+  /** Recomputes the live entries if reports have become valid or invalid with time. */
   private _refresh(): void {
-    if (this._basis() !== this._liveFor) this._workOut();
+    if (this._basis() !== this._liveBasis) this._recompute();
   }
 
-  /** The agents by whose word entries are live, or whether they are still remembered. */
+  /** Identifies what the live entries are based on: agents with valid reports, remembered entries, or nothing. */
   private _basis(): string {
     const counted = this._reports.validAgents();
     if (counted.length > 0) return counted.join();
-    return this._clock.now() - this._lastWordAt <= REMEMBERED_MILLISECONDS ? 'remembered' : '';
+    return this._clock.now() - this._lastHeardAt <= REMEMBERED_MILLISECONDS ? 'remembered' : '';
   }
 
-  private _workOut(): void {
-    this._liveFor = this._basis();
-    if (this._reports.validAgents().length > 0) this._takeReports();
-    else this._known = this._withOwn(this._told);
-    this._live = this._liveFor === '' ? this._withOwn([]) : this._known;
+  private _recompute(): void {
+    this._liveBasis = this._basis();
+    if (this._reports.validAgents().length > 0) this._applyReports();
+    else this._known = this._withOwn(this._reported);
+    this._live = this._liveBasis === '' ? this._withOwn([]) : this._known;
     this._liveLog.note(this._evidence());
   }
 
-  private _takeReports(): void {
-    this._told = this._reports.entries();
-    this._lastWordAt = Number.NEGATIVE_INFINITY;
-    this._known = this._withOwn(this._told);
+  private _applyReports(): void {
+    this._reported = this._reports.entries();
+    this._lastHeardAt = Number.NEGATIVE_INFINITY;
+    this._known = this._withOwn(this._reported);
     this._sharing.note(this._known);
     this._limitSharing.note(this._known);
   }
 
-  /** These entries and this one, those that leave excluded. */
+  /** `entries` and this entry, without leaving entries, sorted by box. */
   private _withOwn(entries: readonly EntryAddress[]): readonly EntryAddress[] {
     const others = entries.filter(({ box }) => box !== this._own.box);
     const staying = [...others, this._own].filter(({ leaving }) => !leaving);
     return staying.sort((a, b) => compareText(a.box, b.box));
   }
 
-  /** Why each live entry is held for live, this one excluded. */
+  /** The evidence for each live entry except this one. */
   private _evidence(): Map<string, LivenessEvidence> {
     const others = this._live.filter(({ box }) => box !== this._own.box);
     return new Map(others.map(({ box }) => [box, this._reports.evidenceOf(box)]));
--- a/src/serving/entrySignals.ts
+++ b/src/serving/entrySignals.ts
@@ -1,4 +1,4 @@
-/** What servers ask for, with this entry's part of what they ask of all entries. */
+/** Creates the backpressure signals of an entry, with limits shared among the known entries. */
 import { limitShare } from '../backpressure/limitShare.js';
 import { ServerSignals } from '../backpressure/serverSignals.js';
 import type { EntryAddress } from '../protocol/boxMessages.js';
@@ -6,7 +6,6 @@
 import type { Clock } from '../utils/clock.js';
 import type { EntryDirectory } from './entryDirectory.js';
 
-/** What the signals are made from. */
 export interface EntrySignalsOptions {
   own: EntryAddress;
   entries: EntryDirectory;
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -1,4 +1,4 @@
-/** An entry that reaches backend servers directly: everything it is made of, put together. */
+/** An entry that connects directly to backend servers; creates its components and runs them. */
 import type http from 'node:http';
 import type { ServerSignals } from '../backpressure/serverSignals.js';
 import type { EntryAddress } from '../protocol/boxMessages.js';
@@ -37,7 +37,7 @@
 import { ServingMetrics } from '../telemetry/servingMetrics.js';
 import { VersionGate } from './versionGate.js';
 
-/** What a gateway is built from beside its settings. */
+/** Dependencies of a gateway besides its settings. */
 export interface GatewayParts {
   platform: ServingPlatform;
   names: HeaderNames;
@@ -58,7 +58,7 @@
   private readonly _signals: ServerSignals;
   private readonly _pool: ServerPool;
   private readonly _gate: VersionGate;
-  private readonly _named: VersionUpdates;
+  private readonly _versionUpdates: VersionUpdates;
   private readonly _links: BoxLinks;
   private readonly _prober: LinkProber;
   private readonly _announcements: AgentAnnouncements;
@@ -101,7 +101,7 @@
     );
     this._links = this._createLinks(random);
     this._followers = this._createFollowers(random);
-    this._named = new VersionUpdates(
+    this._versionUpdates = new VersionUpdates(
       this._followers,
       parts.platform.reader,
       parts.platform.unreadable,
@@ -133,7 +133,7 @@
       log: parts.log,
       metrics: this._metrics,
     };
-    this._callers = new CallerServer((request, response) => void this._serve(request, response));
+    this._callers = new CallerServer((request, response) => void this._handleRequest(request, response));
     this._metricsServer = new MetricsServer(this._metrics, parts.paths.metrics);
     this._directory = new DirectoryServer({
       paths: parts.paths,
@@ -159,14 +159,14 @@
       log: this._log,
     });
     await this._control.listen(...splitAddress(controlAddress));
-    this._follow();
+    this._followRecords();
     await this._callers.listen(...splitAddress(callerAddress));
     await this._directory.listen(new Set([readyAddress, directoryAddress]));
     await this._metricsServer.listen(...splitAddress(metricsAddress));
     this._log.state('gateway.started', { address: callerAddress });
   }
 
-  /** Leaves the directory, lets requests in flight end, then closes. */
+  /** Leaves the directory, waits for requests in flight, then closes. */
   async stop(): Promise<void> {
     if (this._own.leaving) return;
     const drained = {
@@ -184,12 +184,12 @@
     this._log.state('gateway.stopped', { running: this._running });
   }
 
-  /** Notes that the settings may have changed; all of them hold from a start to a stop, so that nothing is cut. */
+  /** Only logs the request: settings are fixed until a restart, so that no request in flight is interrupted. */
   reload(): void {
     this._log.state('gateway.reload', { applied: 'nothing that holds while the process runs' });
   }
 
-  /** Closes at once. */
+  /** Closes immediately. */
   close(): void {
     this._prober.stop();
     this._followers.stop();
@@ -202,7 +202,7 @@
     this._metricsServer.close();
   }
 
-  private async _serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
+  private async _handleRequest(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     try {
       const admitted = await this._admission.admit(request, response);
       if (!admitted) return;
@@ -244,7 +244,7 @@
       agentList: (agent) => this._announcements.agentList(agent),
       onStatus: (agent, status) => this._pool.noteStatus(hostOf(agent.address), status),
       onEntries: (agent, list) => this._entries.applyList(agent.box, list),
-      onHeard: (agent, versions) => this._named.onHeard(agent, versions) && this._links.announce(),
+      onHeard: (agent, versions) => this._versionUpdates.onHeard(agent, versions) && this._links.announce(),
       onSubscribed: (agent, connection) => this._entries.subscribe(agent.box, connection),
       onUnsubscribed: (agent) => this._entries.unsubscribe(agent.box),
     });
@@ -294,7 +294,7 @@
     });
   }
 
-  private _follow(): void {
+  private _followRecords(): void {
     const { versions } = this._followers;
     this._prober.start();
     new RecordApplier({
@@ -304,15 +304,15 @@
       pool: this._pool,
       onConfiguration: ({ limits }) => {
         this._callers.applyLimits(limits);
-        this._wantAgents();
+        this._updateAgents();
       },
-      onServers: () => this._wantAgents(),
+      onServers: () => this._updateAgents(),
     });
-    versions.on('change', (change) => this._named.onChange(change) && this._links.announce());
+    versions.on('change', (change) => this._versionUpdates.onChange(change) && this._links.announce());
     this._followers.start();
   }
 
-  private _wantAgents(): void {
+  private _updateAgents(): void {
     this._announcements.refresh();
     this._links.setAgents(this._announcements.selection().agents);
     this._links.announce();
--- a/src/serving/gatewayGauges.ts
+++ b/src/serving/gatewayGauges.ts
@@ -1,4 +1,4 @@
-/** The gauges of a gateway. */
+/** Gauges of a gateway's metrics. */
 import type { ServerSignals } from '../backpressure/serverSignals.js';
 import { addControlGauges } from '../protocol/controlGauges.js';
 import type { UnreadableRecords } from '../records/unreadableRecords.js';
@@ -10,10 +10,10 @@
 import type { EntryDirectory } from './entryDirectory.js';
 import type { PlatformFollowers } from './platformFollowers.js';
 
-/** What the gauges are read from. */
+/** Sources of the gauges. */
 export interface GatewayGaugesOptions {
   metrics: ServingMetrics;
-  /** Requests that have been admitted and have not ended. */
+  /** Number of requests that have been admitted and have not ended. */
   running: () => number;
   callers: CallerServer;
   configuration: ConfigurationHolder;
@@ -25,7 +25,7 @@
   log: EventLog;
 }
 
-/** Adds them to the metrics; each is read when it is asked for. */
+/** Registers the gauges; each value is read when the metrics are requested. */
 export function addGatewayGauges(options: GatewayGaugesOptions): void {
   const { metrics, running, callers, configuration, links, entries, followers, signals, unreadable, log } =
     options;
--- a/src/serving/linkProber.ts
+++ b/src/serving/linkProber.ts
@@ -1,4 +1,7 @@
-/** Measures how long requests may lie on their way to servers of older versions, while that decides whether they are sent. */
+/**
+ * Measures the round trip to boxes with servers of older versions, since a request that is delayed on the way could
+ * begin on such a server after its version has expired.
+ */
 import type { EventLog } from '../telemetry/eventLog.js';
 import { boxOfHost } from './agentAnnouncements.js';
 import type { BoxLinks } from './boxLinks.js';
@@ -6,7 +9,6 @@
 import { SLOW_LINK_MILLISECONDS } from './trackedServer.js';
 import type { VersionGate } from './versionGate.js';
 
-/** What the prober works with. */
 export interface LinkProberOptions {
   pool: Pick<ServerPool, 'all'>;
   gate: Pick<VersionGate, 'newest'>;
@@ -14,7 +16,7 @@
   log: EventLog;
 }
 
-/** Several times within the half second after which a link counts as one on which requests lie. */
+/** Shorter than {@link SLOW_LINK_MILLISECONDS}, so that a slow link is noticed soon. */
 const INTERVAL_MILLISECONDS = 200;
 
 export class LinkProber {
@@ -36,15 +38,15 @@
     clearInterval(this._timer);
   }
 
-  /** Notes what the last probes have shown, and sends the next ones. */
+  /** Evaluates the results of the last probes and sends the next ones. */
   probe(): void {
     const boxes = this.boxes();
     for (const box of this._slow) if (!boxes.has(box)) this._slow.delete(box);
-    for (const box of boxes) this._noteDelay(box);
+    for (const box of boxes) this._updateSlowLink(box);
     this._options.links.probe(boxes);
   }
 
-  /** Boxes whose servers hold an older version than the newest: at all other times probes would only cost. */
+  /** Boxes with a server below the newest version; only these are probed, to avoid needless traffic. */
   boxes(): Set<string> {
     const { pool, gate } = this._options;
     const outdated = pool
@@ -53,7 +55,7 @@
     return new Set(outdated.map(({ host }) => boxOfHost(host)));
   }
 
-  private _noteDelay(box: string): void {
+  private _updateSlowLink(box: string): void {
     const { links, log } = this._options;
     const delayMilliseconds = Math.round(links.delayMilliseconds(box));
     const isSlow = delayMilliseconds > SLOW_LINK_MILLISECONDS;
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -1,4 +1,4 @@
-/** The records of the platform that a gateway follows, and whether it can trust its copies. */
+/** Follows the platform records that a gateway needs, and tells whether its copies are current. */
 import { Suspicions } from '../crashes/suspicions.js';
 import { RetainedRecords } from '../records/retainedRecords.js';
 import { KindFollower } from '../records/kindFollower.js';
@@ -17,33 +17,34 @@
 import type { ServingPlatform } from './platformRecords.js';
 import { ServerRollbackPolicy } from './serverRollbackPolicy.js';
 
-/** What the followers work with. */
 export interface PlatformFollowersOptions extends Omit<
   RecordSourcesOptions,
   'state' | 'reader' | 'relay' | 'store'
 > {
   platform: ServingPlatform;
   random: Random;
-  /** How often a backend server renews its entry. */
+  /** Interval at which a backend server renews its record. */
   heartbeatMilliseconds: number;
 }
 
 /**
- * A copy that has not been confirmed for so long is not trusted to be the newest: one that comes from another entry is
- * confirmed every 500 ms there and stamped every 300 ms, and a lost probe takes 600 ms.
+ * A copy that has not been confirmed for this long is no longer considered current. A copy from another entry is
+ * confirmed there every 500 ms and stamped every 300 ms, and a lost probe takes 600 ms.
  */
-const STALE_MILLISECONDS = 1_700;
-/** Calls to the store have their price, and servers change many at a time: when they start, switch and leave. */
-const GATHER_SERVERS_MILLISECONDS = 250;
-/** Many servers change only what they hold while they load or switch, which their agents tell as well. */
-const GATHER_MINOR_MILLISECONDS = 500;
-const GATHER_MILLISECONDS = 60;
-/** Each that is known late may cost a server. */
-const GATHER_SUSPICIONS_MILLISECONDS = 15;
-/** The longest lag of a copy (1,000), a stamp (300), and a round of reading, as `LagWatch` and `RecordRelay` have them. */
-const LEAST_GAP_MILLISECONDS = 1_500;
-/** How long after an outage of the store backend servers may be missing that only could not renew their entries. */
-const OUTAGE_ECHO_MILLISECONDS = 1_500;
+const STALE_COPY_MILLISECONDS = 1_700;
+/** Batches changes to limit store calls: many servers change together when they start, switch and leave. */
+const BATCH_SERVERS_MILLISECONDS = 250;
+/** For changes of models only: many servers load or switch together, and their agents report the same. */
+const BATCH_MINOR_MILLISECONDS = 500;
+const BATCH_MILLISECONDS = 60;
+/** Short, because a suspicion that is known late can cost another server. */
+const BATCH_SUSPICIONS_MILLISECONDS = 15;
+/**
+ * Sum of the maximum lag of a copy (1,000), a stamp interval (300) and a read, as in `LagWatch` and `RecordRelay`.
+ */
+const MIN_LISTING_DELAY_MILLISECONDS = 1_500;
+/** Running servers may be missing for this long after a store outage, since they could not renew their records. */
+const OUTAGE_RECOVERY_MILLISECONDS = 1_500;
 
 export class PlatformFollowers {
   readonly configuration: RecordReplica;
@@ -104,30 +105,30 @@
     this.suspicions = this._createSuspicions(options);
   }
 
-  /** Whether the configuration can be trusted to be the newest. */
+  /** Whether the copy of the configuration is confirmed to be current. */
   get isCurrent(): boolean {
-    return this._state.unconfirmedFor < STALE_MILLISECONDS;
+    return this._state.unconfirmedFor < STALE_COPY_MILLISECONDS;
   }
 
   /**
-   * Milliseconds in which a record that comes with a listing may have been made: since the copy was last confirmed, and at
-   * least as long as it takes to notice that a reader has fallen behind. Changes that are watched come as they are made.
+   * Upper bound for the age of a record that arrives with a listing: the time since the copy was last confirmed,
+   * but no less than it takes to notice that a reader has fallen behind. Watched changes arrive as they are made.
    */
   get maxListingDelayMilliseconds(): number {
-    return Math.max(LEAST_GAP_MILLISECONDS, this._state.unconfirmedFor);
+    return Math.max(MIN_LISTING_DELAY_MILLISECONDS, this._state.unconfirmedFor);
   }
 
-  /** Whether the store was regained so lately that servers may be missing though they run. */
+  /** Whether the store was regained so recently that running servers may be missing from the list. */
   get serversMayBeMissing(): boolean {
-    return this._state.regainedFor < OUTAGE_ECHO_MILLISECONDS;
+    return this._state.regainedFor < OUTAGE_RECOVERY_MILLISECONDS;
   }
 
-  /** The latest generation of the store that this process knows of. */
+  /** The latest store generation that this process has seen. */
   get generation(): number {
     return generationOf(Math.max(...this._state.replicas.map(({ revision }) => revision)));
   }
 
-  /** How many records stay in force that a rollback of the store has lost. */
+  /** Number of records that are retained although a rollback of the store has lost them. */
   get retainedRecords(): number {
     return this._state.replicas.reduce((sum, { retained }) => sum + retained.length, 0);
   }
@@ -163,7 +164,7 @@
     replica: RecordReplica,
     { platform, random, log }: PlatformFollowersOptions,
   ): KindFollower {
-    const [gatherMilliseconds, gatherMinorMilliseconds] = this._gatherTimes(replica);
+    const [gatherMilliseconds, gatherMinorMilliseconds] = this._batchTimes(replica);
     return new KindFollower({
       replica,
       store: platform.store,
@@ -174,10 +175,10 @@
     });
   }
 
-  /** How long changes are gathered after an urgent one, and after a minor one. */
-  private _gatherTimes(replica: RecordReplica): [number, number] {
-    if (replica === this.servers) return [GATHER_SERVERS_MILLISECONDS, GATHER_MINOR_MILLISECONDS];
-    const gather = replica === this._suspicions ? GATHER_SUSPICIONS_MILLISECONDS : GATHER_MILLISECONDS;
-    return [gather, gather];
+  /** Batching times for urgent and for minor changes. */
+  private _batchTimes(replica: RecordReplica): [number, number] {
+    if (replica === this.servers) return [BATCH_SERVERS_MILLISECONDS, BATCH_MINOR_MILLISECONDS];
+    const batch = replica === this._suspicions ? BATCH_SUSPICIONS_MILLISECONDS : BATCH_MILLISECONDS;
+    return [batch, batch];
   }
 }
--- a/src/serving/platformRecords.ts
+++ b/src/serving/platformRecords.ts
@@ -1,4 +1,4 @@
-/** The kinds of records that a gateway follows, and how the values of those are read that others write. */
+/** The record kinds that a gateway follows, and the interface that decodes their values. */
 import type { Result } from 'neverthrow';
 import type { UnreadableRecords } from '../records/unreadableRecords.js';
 import type { WatchableStore } from '../records/watchableStore.js';
@@ -6,28 +6,28 @@
 import type { BackendServerRecord } from './backendServerRecord.js';
 import type { ServingConfiguration } from './servingConfiguration.js';
 
-/** A version that an operator has named. */
+/** The version of a model that the operator wants to be served. */
 export interface TargetVersion {
   model: string;
   version: number;
 }
 
-/** A value as it was understood, or why it cannot be. */
+/** A decoded value, or the reason why it is invalid. */
 export type DecodeResult<T> = Result<T, string>;
 
-/** Reads the values of records. Anybody may write one: what is not as it should be is used for nothing. */
+/** Decodes record values. Others write these records, so invalid values are expected and ignored. */
 export interface RecordReader {
-  /** `suspicions` is a kind of our own, which nobody else uses. */
+  /** Names of the record kinds. Only entries read and write `suspicions`. */
   readonly kinds: { configuration: string; servers: string; versions: string; suspicions: string };
   configuration(name: string, value: unknown): DecodeResult<ServingConfiguration>;
   server(name: string, value: unknown): DecodeResult<BackendServerRecord>;
   version(name: string, value: unknown): DecodeResult<TargetVersion>;
 }
 
-/** The platform as a gateway sees it. */
+/** Access of a gateway to the platform's records. */
 export interface ServingPlatform {
   store: WatchableStore & WritableStore;
   reader: RecordReader;
-  /** Hears of what the reader cannot understand. */
+  /** Counts and logs records that the reader cannot decode. */
   unreadable: UnreadableRecords;
 }
--- a/src/serving/recordApplier.ts
+++ b/src/serving/recordApplier.ts
@@ -1,4 +1,4 @@
-/** Takes over what the followed records of the platform say: the configuration in force, and the servers there are. */
+/** Applies changed platform records: updates the active configuration and the server pool. */
 import type { ConfigurationHolder } from './configurationHolder.js';
 import type { PlatformFollowers } from './platformFollowers.js';
 import type { ServingPlatform } from './platformRecords.js';
@@ -7,15 +7,14 @@
 import type { ServerPool } from './serverPool.js';
 import type { ServingConfiguration } from './servingConfiguration.js';
 
-/** What the records are taken from, and who takes them. */
 export interface RecordApplierOptions {
   platform: ServingPlatform;
   followers: PlatformFollowers;
   configuration: ConfigurationHolder;
   pool: ServerPool;
-  /** A newer configuration is in force. */
+  /** Called after a newer configuration has become active. */
   onConfiguration: (configuration: ServingConfiguration) => void;
-  /** Other servers are there, or say something else of themselves. */
+  /** Called after the pool has been updated from the server records. */
   onServers: () => void;
 }
 
@@ -25,12 +24,12 @@
   constructor(options: RecordApplierOptions) {
     this._options = options;
     const { followers } = options;
-    followers.configuration.on('change', () => this._takeConfiguration());
-    followers.servers.on('change', () => this._takeServers());
+    followers.configuration.on('change', () => this._applyConfiguration());
+    followers.servers.on('change', () => this._applyServers());
   }
 
-  /** A configuration that cannot be understood is not taken: the one in force holds. */
-  private _takeConfiguration(): void {
+  /** Applies the configuration record; an invalid one is ignored and the active one stays. */
+  private _applyConfiguration(): void {
     const { platform, followers, configuration, onConfiguration } = this._options;
     const { reader, unreadable } = platform;
     for (const object of followers.configuration.objects.values()) {
@@ -40,19 +39,19 @@
     }
   }
 
-  private _takeServers(): void {
+  private _applyServers(): void {
     const { followers, pool, onServers } = this._options;
-    const { servers, serverDecoder: decoded, serversMayBeMissing: isEchoing } = followers;
+    const { servers, serverDecoder, serversMayBeMissing } = followers;
     const listed: ListedServer[] = [];
     const unusable = new Set<string>();
     for (const object of servers.objects.values()) {
-      const record = decoded.decode(object);
+      const record = serverDecoder.decode(object);
       if (record) listed.push({ record, revision: object.revision });
       else unusable.add(object.name);
     }
     for (const id of supersededServers(listed)) unusable.add(id);
     const records = listed.map(({ record }) => record).filter(({ id }) => !unusable.has(id));
-    pool.update(records, { mayBeIncomplete: isEchoing, unusable });
+    pool.update(records, { mayBeIncomplete: serversMayBeMissing, unusable });
     onServers();
   }
 }
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -1,69 +1,73 @@
-/** Chooses the backend server for a request: the lowest expected cost. Pure but for randomness. */
+/**
+ * Chooses the backend server with the lowest expected cost for a request. No state or I/O besides the random
+ * source.
+ */
 import type { Random } from '../utils/random.js';
 import { shuffled } from '../utils/random.js';
 
-/** A backend server as a choice sees it. */
+/** Properties of a backend server that its choice depends on. */
 export interface Candidate {
   id: string;
   sameDataCentre: boolean;
   slots: number;
-  /** Requests on the server, running or queued, over all entries. */
+  /** Running and queued requests on the server, from all entries. */
   load: number;
-  /** Prompts on the server that it has yet to read. */
+  /** Prompts that the server has accepted but not read (prefilled) yet. */
   pendingPrompts: number;
-  /** Part of recent attempts that failed, from 0 to 1. */
+  /** Share of recent attempts that failed, from 0 to 1. */
   failureRate: number;
-  /** Recent time to the first answer, in milliseconds. */
+  /** Recent time to the first byte of a response or the first event of a stream, in milliseconds. */
   firstAnswerMilliseconds: number;
-  /** Whether the link of its box is narrow. */
+  /** Whether the link of its box is slow. */
   slowLink: boolean;
-  /** Whether it serves an older version than the newest, some time after that was named. */
+  /** Whether it still serves an older version some time after a newer one was announced. */
   outdated: boolean;
-  /** Whether it is about to change its version, so that its streams have to be handed over soon. */
+  /** Whether it is about to switch versions, so that its streams have to be handed over soon. */
   preparing: boolean;
-  /** Whether to use it only when no other one has room. */
+  /** Whether to use it only when no other server has room. */
   avoided: boolean;
-  /** Whether it fails time after time, so that it is used only when there is no other. */
+  /** Whether it fails repeatedly, so that it is used only when there is no other server. */
   failing: boolean;
 }
 
-/** How a service's requests weigh on a server. */
+/** Cost parameters of the requests of a service. */
 export interface ServiceCost {
-  /** Mean time that a request holds a slot, in milliseconds. */
+  /** Mean time that a request occupies a slot, in milliseconds. */
   serviceMilliseconds: number;
-  /** Mean time that a server needs to read a prompt, in milliseconds; 0 where there are none. */
+  /** Mean time that a server needs to read a prompt, in milliseconds; 0 for services without prompts. */
   readMilliseconds: number;
-  /** Time to the first answer of a server that is well, in milliseconds. */
+  /** Time to the first byte or event from a healthy server, in milliseconds. */
   typicalFirstMilliseconds: number;
-  /** Requests on a server, in parts of its slots, beyond which no more are sent. */
+  /** Load above which nothing more is sent to a server, as a multiple of its slots. */
   maxFill: number;
   /**
-   * How much slower a full server is than an empty one, in parts of the service time. Engines write a token for all
-   * running requests in one step: there it is next to nothing, and what makes a request wait are prompts before its own.
+   * How much slower a full server is than an empty one, as a share of the service time. Engines write a token for
+   * all running requests in one step, so for them it is close to 0 and requests wait only for the prompts before
+   * their own.
    */
   batchSlowdown: number;
-  /** Differences of cost that say nothing, since load is told with a lag, in milliseconds. */
+  /** Cost differences below this are ignored because load reports lag, in milliseconds. */
   tieMilliseconds: number;
 }
 
-/** What another data centre costs: the way there and back, and bytes between data centres. */
+/** Cost of another data centre: the round trip, and traffic between data centres. */
 const OTHER_DATA_CENTRE_MILLISECONDS = 20;
-/** What a narrow link costs: requests and events wait behind chunks. */
+/** Cost of a slow link: requests and events queue behind chunks. */
 const SLOW_LINK_MILLISECONDS = 400;
-/** What an older version costs late before its bound: a request may begin there too late if anything holds it up. */
+/** Cost of an older version shortly before its deadline: a delayed request could begin there too late. */
 const OUTDATED_MILLISECONDS = 60;
-/** What a server costs that is about to change its version: half of what is sent to it has to be read again elsewhere. */
+/** Cost of a server that is about to switch versions: half of its prompts have to be read again elsewhere. */
 const PREPARING_MILLISECONDS = 100;
-/** What a failed attempt costs. */
+/** Cost of a failed attempt. */
 const FAILURE_MILLISECONDS = 1_500;
-/** Failures that every server has now and then. */
-const USUAL_FAILURE_RATE = 0.12;
-/** What the last place costs: the next request has to wait for one to end. The first places cost next to nothing. */
-const LAST_PLACE_MILLISECONDS = 100;
+/** Failure rate of a healthy server, which costs nothing. */
+const NORMAL_FAILURE_RATE = 0.12;
+/** Cost of the last free slot, after which the next request has to wait. The first slots cost almost nothing. */
+const LAST_SLOT_MILLISECONDS = 100;
 const CROWDING_POWER = 4;
-/** Servers that are compared, and how many of them stand in the own data centre. */
-const DRAWN = 4;
-const NEAR_DRAWN = 3;
+/** Number of servers that are sampled and compared, and how many of them are in the own data centre. */
+const SAMPLE_SIZE = 4;
+const OWN_DATA_CENTRE_SAMPLE = 3;
 
 /** Expected cost of sending a request to `candidate`, in milliseconds. */
 export function expectedCost(candidate: Candidate, service: ServiceCost): number {
@@ -71,7 +75,7 @@
   const filled = Math.min(1, candidate.load / candidate.slots);
   const ahead = Math.max(0, candidate.load + 1 - candidate.slots);
   const waiting = (ahead / candidate.slots) * serviceMilliseconds;
-  const failing = Math.max(0, candidate.failureRate - USUAL_FAILURE_RATE) * FAILURE_MILLISECONDS;
+  const failing = Math.max(0, candidate.failureRate - NORMAL_FAILURE_RATE) * FAILURE_MILLISECONDS;
   const distance = candidate.sameDataCentre ? 0 : OTHER_DATA_CENTRE_MILLISECONDS;
   const reading = candidate.pendingPrompts * readMilliseconds;
   const link = candidate.slowLink ? SLOW_LINK_MILLISECONDS : 0;
@@ -79,16 +83,16 @@
   const outdated = candidate.outdated ? OUTDATED_MILLISECONDS : 0;
   const preparing = candidate.preparing ? PREPARING_MILLISECONDS : 0;
   const busy = filled * service.batchSlowdown * serviceMilliseconds;
-  const crowded = filled ** CROWDING_POWER * LAST_PLACE_MILLISECONDS;
+  const crowded = filled ** CROWDING_POWER * LAST_SLOT_MILLISECONDS;
   return busy + crowded + reading + waiting + failing + slow + link + distance + outdated + preparing;
 }
 
-/** Time to the first answer beside what waits, in parts of the objective. */
+/** Share of the objective that is needed besides the waiting time. */
 const BASE_SHARE = 0.4;
 
 /**
- * Whether a request sent to `candidate` is likely to get its first answer within its objective. Where none is, the
- * request is better refused at once: more work on a full server makes all of it late.
+ * Whether a request sent to `candidate` is likely to get its first byte or event within its objective. If no
+ * candidate qualifies, the request is refused, because more work on a full server would delay all of its requests.
  */
 export function canMeetObjective(
   candidate: Candidate,
@@ -101,11 +105,13 @@
 }
 
 /**
- * The best of a few candidates drawn at random, of those that are likely to answer within the objective. A server that resets
- * or swallows requests always has room, and as a place for what others have no room for it would take the most: those that
- * fail time after time count only where there is no other, full or not. All entries decide on the same load reports, which
- * lag: if each took the best of all, all would take the same one, such as a server that has just come into service and is
- * empty.
+ * Samples a few of the candidates that are likely to meet the objective, and returns the cheapest of them.
+ *
+ * Repeatedly failing servers are considered only if there are no others, even when the others are full: a server
+ * that resets or drops requests always looks free and would attract all the overflow.
+ *
+ * Sampling avoids herding: all entries decide on the same lagging load reports, and without it they would all
+ * choose the same server, such as an empty one that has just started.
  */
 export function chooseServer<T extends Candidate>(
   candidates: readonly T[],
@@ -113,26 +119,29 @@
   objectiveMilliseconds: number,
   random: Random,
 ): T | undefined {
-  const sound = candidates.filter((candidate) => !candidate.failing);
-  const timely = (sound.length > 0 ? sound : candidates).filter((candidate) =>
+  const healthy = candidates.filter((candidate) => !candidate.failing);
+  const timely = (healthy.length > 0 ? healthy : candidates).filter((candidate) =>
     canMeetObjective(candidate, service, objectiveMilliseconds),
   );
-  const fit = timely.filter((candidate) => !candidate.avoided);
-  const usable = fit.length > 0 ? fit : timely;
-  const near = shuffled(
+  const preferred = timely.filter((candidate) => !candidate.avoided);
+  const usable = preferred.length > 0 ? preferred : timely;
+  const ownDataCentre = shuffled(
     usable.filter((candidate) => candidate.sameDataCentre),
     random,
   );
-  const far = shuffled(
+  const otherDataCentres = shuffled(
     usable.filter((candidate) => !candidate.sameDataCentre),
     random,
   );
-  const nearDrawn = near.slice(0, Math.max(NEAR_DRAWN, DRAWN - far.length));
-  const drawn = [...nearDrawn, ...far.slice(0, DRAWN - nearDrawn.length)];
-  return cheapest(drawn, service);
+  const ownSample = ownDataCentre.slice(
+    0,
+    Math.max(OWN_DATA_CENTRE_SAMPLE, SAMPLE_SIZE - otherDataCentres.length),
+  );
+  const sample = [...ownSample, ...otherDataCentres.slice(0, SAMPLE_SIZE - ownSample.length)];
+  return cheapest(sample, service);
 }
 
-/** The first candidate, unless a later one is clearly cheaper. */
+/** Returns the first candidate unless a later one is cheaper by more than the tie margin. */
 function cheapest<T extends Candidate>(candidates: readonly T[], service: ServiceCost): T | undefined {
   let best: T | undefined;
   let bestCost = Number.POSITIVE_INFINITY;
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -1,34 +1,35 @@
-/** Which backend servers a request may be sent to, as far as versions are concerned. Pure. */
+/** Selects the backend servers whose model version allows them to take a request. No state, no I/O. */
 import type { ServerRequirements } from './serverRequirements.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** What eligibility depends on. */
+/** Properties of a server that its eligibility depends on. */
 export type VersionedServer = Pick<
   TrackedServer,
   'version' | 'startsPromptly' | 'switching' | 'agentSilent' | 'suspicious' | 'slowLink'
 >;
 
 /**
- * The servers that hold a version on which the request may begin and are not changing it. A server of an older version
- * that nothing has been heard of may be frozen or cut off, and begin the request only when it is back, after the bound
- * for its version; on a narrow link a request may be on its way for as long. Such a server is left out as long as there
- * is any other, and late in the time of its version altogether: no request is sent whose time on the way nobody knows.
+ * Returns the servers that serve a version on which the request may begin and are not switching versions.
+ *
+ * A silent server of an older version may be frozen or unreachable, and begin the request only after the deadline
+ * of its version; on a slow link the request may be delayed as much. Such a server is used only if there is no
+ * other, and not at all close to the deadline, when a delay of unknown length cannot be accepted.
  */
 export function eligibleServers<Server extends VersionedServer>(
   servers: readonly Server[],
   need: ServerRequirements,
 ): Server[] {
   if (need.model === '') return [...servers];
-  const able = servers.filter((server) => isAble(server, need));
-  const sure = able.filter((server) => !mayBeginTooLate(server, need));
-  if (sure.length > 0) return sure;
-  return able.filter((server) => server.version(need.model) >= need.preferredVersion);
+  const eligible = servers.filter((server) => isEligible(server, need));
+  const safe = eligible.filter((server) => !mayBeginTooLate(server, need));
+  if (safe.length > 0) return safe;
+  return eligible.filter((server) => server.version(need.model) >= need.preferredVersion);
 }
 
-function isAble(server: VersionedServer, need: ServerRequirements): boolean {
+function isEligible(server: VersionedServer, need: ServerRequirements): boolean {
   const version = server.version(need.model);
-  const lowest = server.startsPromptly ? need.minVersion : need.minVersionIfSlow;
-  return version > 0 && version >= lowest && !server.switching;
+  const minVersion = server.startsPromptly ? need.minVersion : need.minVersionIfSlow;
+  return version > 0 && version >= minVersion && !server.switching;
 }
 
 function mayBeginTooLate(server: VersionedServer, need: ServerRequirements): boolean {
--- a/src/serving/serverHealth.ts
+++ b/src/serving/serverHealth.ts
@@ -1,116 +1,120 @@
-/** How a backend server has answered lately. */
+/** Tracks the recent responses and failures of a backend server. */
 import type { Clock } from '../utils/clock.js';
 
-/** How one attempt ended, seen from the server's health; `displaced`: another server answered at its address. */
+/** Outcome of one attempt; `displaced` means that a different server answered at its address. */
 export type AttemptOutcome = 'succeeded' | 'failed' | 'rejected' | 'displaced' | 'silent';
 
-/** Time after which what was seen counts half. */
+/** Half-life of the attempt counts and of the measured time. */
 const HALF_LIFE_MILLISECONDS = 2_500;
-/** Attempts that an unseen server is taken to have succeeded in. */
+/** Successful attempts assumed for every server, so that one failure does not dominate the rate. */
 const PRIOR_SUCCESSES = 4;
-/** Weight of the newest time to the first answer. */
+/** Weight of the newest measurement in the moving average. */
 const NEWEST_WEIGHT = 0.3;
 const REJECTION_WEIGHT = 0.5;
 const SILENCE_WEIGHT = 3;
-/** Pause after a rejection, after silence, and after a failed connection. */
-const REJECTED_PAUSE_MILLISECONDS = 150;
-const SILENT_PAUSE_MILLISECONDS = 1_000;
-const DISPLACED_PAUSE_MILLISECONDS = 1_500;
-const UNREACHABLE_PAUSE_MILLISECONDS = 700;
-/** Failures in a row, with no success between them, that say more than the failures that every server has now and then. */
-const FAILURES_IN_ROW = 2;
+/** How long to avoid the server after each kind of failure. */
+const REJECTED_AVOID_MILLISECONDS = 150;
+const SILENT_AVOID_MILLISECONDS = 1_000;
+const DISPLACED_AVOID_MILLISECONDS = 1_500;
+const UNREACHABLE_AVOID_MILLISECONDS = 700;
+/** Consecutive failures after which a server is considered failing; healthy servers have single ones. */
+const MIN_CONSECUTIVE_FAILURES = 2;
 /**
- * Pause after so many failures in a row; each further one doubles it up to the longest. Then one request at a time tries the
- * server. Without pauses a server that reset every connection for 6 s took 248 of 1,500 requests where others were full.
+ * Backoff after that many consecutive failures; each further failure doubles it up to the maximum. After the
+ * backoff, one request at a time is sent to the server. Without it, a server that reset every connection for 6 s
+ * received 248 of 1,500 requests while the others were full.
  */
-const FAILED_PAUSE_MILLISECONDS = 500;
-const LONGEST_FAILED_PAUSE_MILLISECONDS = 2_000;
+const FAILED_BACKOFF_MILLISECONDS = 500;
+const MAX_FAILED_BACKOFF_MILLISECONDS = 2_000;
 
-/** Counts attempts, the newer the more. One per backend server. */
+/** Keeps exponentially decaying counts of attempts. One instance per backend server. */
 export class ServerHealth {
   private readonly _clock: Clock;
   private _successes = 0;
   private _failures = 0;
-  private _failuresInRow = 0;
-  private _countedAt: number;
+  private _consecutiveFailures = 0;
+  private _decayedAt: number;
   private _avoidedUntil = 0;
   private _firstAnswer = 0;
   private _firstAnswerAt = 0;
 
   constructor(clock: Clock) {
     this._clock = clock;
-    this._countedAt = clock.now();
+    this._decayedAt = clock.now();
   }
 
-  /** Part of recent attempts that failed, from 0 to 1. */
+  /** Share of recent attempts that failed, from 0 to 1. */
   get failureRate(): number {
-    this._age();
+    this._decay();
     return this._failures / (this._failures + this._successes + PRIOR_SUCCESSES);
   }
 
-  /** Recent time to the first answer, in milliseconds; fades while nothing is measured, so that the server is tried again. */
+  /**
+   * Recent time to the first byte or event, in milliseconds. Decays without new measurements, so that the server is
+   * retried.
+   */
   get firstAnswerMilliseconds(): number {
     const age = this._clock.now() - this._firstAnswerAt;
     return this._firstAnswer * 0.5 ** (age / HALF_LIFE_MILLISECONDS);
   }
 
-  /** Notes how long an attempt waited for its first answer. */
+  /** Records the time that an attempt waited for its first byte or event. */
   noteFirstAnswer(milliseconds: number): void {
     this._firstAnswer += (milliseconds - this._firstAnswer) * NEWEST_WEIGHT;
     this._firstAnswerAt = this._clock.now();
   }
 
-  /** Whether to pass over the server for now. */
+  /** Whether to avoid the server for now. */
   get avoided(): boolean {
     return this._clock.now() < this._avoidedUntil;
   }
 
-  /** Whether it fails time after time and is not to be tried while it has `outstanding` requests of this process. */
+  /** Whether it fails repeatedly and must not be retried yet, given its `outstanding` requests from this process. */
   failing(outstanding: number): boolean {
-    return this._failuresInRow >= FAILURES_IN_ROW && (this.avoided || outstanding > 0);
+    return this._consecutiveFailures >= MIN_CONSECUTIVE_FAILURES && (this.avoided || outstanding > 0);
   }
 
-  noteOutcome(end: AttemptOutcome): void {
-    this._age();
-    if (end === 'succeeded') {
+  noteOutcome(outcome: AttemptOutcome): void {
+    this._decay();
+    if (outcome === 'succeeded') {
       this._successes++;
-      this._failuresInRow = 0;
-    } else if (end === 'failed') this._noteFailure();
-    else if (end === 'rejected') {
+      this._consecutiveFailures = 0;
+    } else if (outcome === 'failed') this._noteFailure();
+    else if (outcome === 'rejected') {
       this._failures += REJECTION_WEIGHT;
-      this._avoid(REJECTED_PAUSE_MILLISECONDS);
-    } else if (end === 'displaced') this._avoid(DISPLACED_PAUSE_MILLISECONDS);
+      this._avoid(REJECTED_AVOID_MILLISECONDS);
+    } else if (outcome === 'displaced') this._avoid(DISPLACED_AVOID_MILLISECONDS);
     else {
       this._failures += SILENCE_WEIGHT;
-      this._failuresInRow++;
-      this._avoid(SILENT_PAUSE_MILLISECONDS);
+      this._consecutiveFailures++;
+      this._avoid(SILENT_AVOID_MILLISECONDS);
     }
   }
 
-  /** A connection could not be opened. */
+  /** Records that no connection could be opened. */
   noteUnreachable(): void {
-    this._age();
+    this._decay();
     this._noteFailure();
-    this._avoid(UNREACHABLE_PAUSE_MILLISECONDS);
+    this._avoid(UNREACHABLE_AVOID_MILLISECONDS);
   }
 
   private _noteFailure(): void {
     this._failures++;
-    this._failuresInRow++;
-    const doublings = this._failuresInRow - FAILURES_IN_ROW;
+    this._consecutiveFailures++;
+    const doublings = this._consecutiveFailures - MIN_CONSECUTIVE_FAILURES;
     if (doublings < 0) return;
-    this._avoid(Math.min(FAILED_PAUSE_MILLISECONDS * 2 ** doublings, LONGEST_FAILED_PAUSE_MILLISECONDS));
+    this._avoid(Math.min(FAILED_BACKOFF_MILLISECONDS * 2 ** doublings, MAX_FAILED_BACKOFF_MILLISECONDS));
   }
 
   private _avoid(milliseconds: number): void {
     this._avoidedUntil = Math.max(this._avoidedUntil, this._clock.now() + milliseconds);
   }
 
-  private _age(): void {
+  private _decay(): void {
     const now = this._clock.now();
-    const factor = 0.5 ** ((now - this._countedAt) / HALF_LIFE_MILLISECONDS);
+    const factor = 0.5 ** ((now - this._decayedAt) / HALF_LIFE_MILLISECONDS);
     this._successes *= factor;
     this._failures *= factor;
-    this._countedAt = now;
+    this._decayedAt = now;
   }
 }
--- a/src/serving/serverIncarnation.ts
+++ b/src/serving/serverIncarnation.ts
@@ -1,49 +1,47 @@
-/** Which life of a backend server a word of somebody is about: one that starts again keeps its id, and nothing else. */
+/** Tells incarnations of a backend server apart: a restarted server may keep its id, but nothing else. */
 import type { BackendServerRecord } from './backendServerRecord.js';
 
-/** Who tells when a server started: its entry in service discovery, or the agent beside it. */
+/** Where the start of a server was reported: its service discovery record, or the agent on its box. */
 export type IncarnationSource = 'discovery' | 'agent';
 
-/** What a word is about; `former`: a life that is known to have ended. */
+/** Which incarnation a report is about; `former` is one that is known to have ended. */
 export type IncarnationMatch = 'same' | 'another' | 'former';
 
-/** A start that is not told. */
+/** Value of a start time that is not reported. */
 export const UNKNOWN_START = 0;
 
-/** What is known when a start is told; all in Unix milliseconds by the server's clock, 0 where there is none. */
+/** A reported start and what was known before; all in Unix milliseconds by the server's clock, 0 when unknown. */
 export interface StartReport {
-  /** The start of the life that is believed in. */
+  /** Start of the current incarnation. */
   current: number;
-  /** What the same source told before. */
+  /** The previous report of the same source. */
   previouslyReported: number;
   reported: number;
 }
 
 /**
- * Each source tells in order, but one may be seconds behind the other. So a source that repeats itself while the other has
- * told of something newer is late, and one that had told of the present life and tells of another knows better, also where the
- * server's clock was set back between the two starts.
+ * Compares a reported start with the current incarnation. Each source reports in order, but one may lag seconds
+ * behind the other. So a source that repeats its report after the other has reported a newer start is late, while a
+ * source that had reported the current incarnation and now reports a different start is newer, even if the server's
+ * clock was set back between the two starts.
  */
-export function matchIncarnation({
-  current,
-  previouslyReported: toldBefore,
-  reported: told,
-}: StartReport): IncarnationMatch {
-  if (told === UNKNOWN_START || current === UNKNOWN_START || told === current) return 'same';
-  if (toldBefore === current) return 'another';
-  return toldBefore !== told && told > current ? 'another' : 'former';
+export function matchIncarnation({ current, previouslyReported, reported }: StartReport): IncarnationMatch {
+  if (reported === UNKNOWN_START || current === UNKNOWN_START || reported === current) return 'same';
+  if (previouslyReported === current) return 'another';
+  return previouslyReported !== reported && reported > current ? 'another' : 'former';
 }
 
-/** An entry of service discovery, and the revision of the store at which it last changed. */
+/** A service discovery record and the store revision at which it last changed. */
 export interface ListedServer {
   record: BackendServerRecord;
   revision: number;
 }
 
 /**
- * The servers at whose address a later life listens, by their ids: one process listens at an address. A server that lost its
- * power cannot say that it leaves, and its entry stays for seconds beside that of the life that has taken its place under
- * another id; where starts are not told, an entry changes no more once its server has ended.
+ * Returns the ids of servers whose address is now used by a later process, since only one process can listen at an
+ * address. A server that lost power cannot withdraw its record, which stays for seconds beside that of its
+ * successor, even if the successor has a different id. If the starts are unknown, the record that changed last is
+ * the later one, because the record of an ended server no longer changes.
  */
 export function supersededServers(listed: readonly ListedServer[]): string[] {
   const latest = new Map<string, ListedServer>();
@@ -58,32 +56,32 @@
 }
 
 function isLater(a: ListedServer, b: ListedServer): boolean {
-  const areTold = a.record.startedAt !== UNKNOWN_START && b.record.startedAt !== UNKNOWN_START;
-  if (areTold && a.record.startedAt !== b.record.startedAt) return a.record.startedAt > b.record.startedAt;
+  const areKnown = a.record.startedAt !== UNKNOWN_START && b.record.startedAt !== UNKNOWN_START;
+  if (areKnown && a.record.startedAt !== b.record.startedAt) return a.record.startedAt > b.record.startedAt;
   return a.revision > b.revision;
 }
 
-/** What has been told of the lives of one server. */
+/** Tracks the current incarnation of one server from the reports of both sources. */
 export class ServerIncarnation {
-  private readonly _told = new Map<IncarnationSource, number>();
+  private readonly _reported = new Map<IncarnationSource, number>();
   private _startedAt = UNKNOWN_START;
 
-  /** Start of the present life, in Unix milliseconds by the server's clock; 0 while unknown. */
+  /** Start of the current incarnation, in Unix milliseconds by the server's clock; 0 while unknown. */
   get startedAt(): number {
     return this._startedAt;
   }
 
-  /** Takes a word of `source`; returns what it is about. */
-  noteStart(source: IncarnationSource, told: number): IncarnationMatch {
-    const toldBefore = this._told.get(source) ?? UNKNOWN_START;
-    const judgement = matchIncarnation({
+  /** Records the start reported by `source`; returns which incarnation the report is about. */
+  noteStart(source: IncarnationSource, reported: number): IncarnationMatch {
+    const previouslyReported = this._reported.get(source) ?? UNKNOWN_START;
+    const match = matchIncarnation({
       current: this._startedAt,
-      previouslyReported: toldBefore,
-      reported: told,
+      previouslyReported,
+      reported,
     });
-    if (told === UNKNOWN_START) return judgement;
-    this._told.set(source, told);
-    if (judgement !== 'former') this._startedAt = told;
-    return judgement;
+    if (reported === UNKNOWN_START) return match;
+    this._reported.set(source, reported);
+    if (match !== 'former') this._startedAt = reported;
+    return match;
   }
 }
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -1,4 +1,4 @@
-/** All backend servers that service discovery knows, and the choice among them. */
+/** Keeps all backend servers listed by service discovery and selects one for each request. */
 import type { ServerSignals } from '../backpressure/serverSignals.js';
 import type { BoxStatus } from '../protocol/boxMessages.js';
 import type { EventLog } from '../telemetry/eventLog.js';
@@ -16,48 +16,50 @@
 import type { ServiceDescription } from './servingConfiguration.js';
 import { TrackedServer } from './trackedServer.js';
 
-/** What the pool works with. */
 export interface ServerPoolOptions {
   dataCentre: string;
   clock: Clock;
   random: Random;
   log: EventLog;
-  /** What servers ask for in their answers. */
+  /** Backpressure signals from the responses of servers. */
   signals: ServerSignals;
   service: (name: string) => ServiceDescription | undefined;
-  /** How many entries share the connections to each server. */
+  /** Number of entries that share the connections to each server. */
   entries: () => number;
-  /** How many of these stand in this data centre. */
+  /** Number of these entries in this data centre. */
   entriesInDataCentre: () => number;
-  /** Whether this entry hears of the load of the backend server at `host`, or nobody does. */
+  /** Whether this entry may send to the server at `host`: it receives the server's load reports, or no entry does. */
   isRouted: (host: string) => boolean;
-  /** How long a round trip to the box at `host` takes at the least, in milliseconds; 0 while that is not measured. */
+  /** Lower bound for the round trip to the box at `host`, in milliseconds; 0 while it is not measured. */
   linkDelay?: (host: string) => number;
 }
 
-/** What is known of a list of service discovery beside what stands in it. */
+/** Properties of a service discovery list besides its records. */
 export interface ServerListState {
-  /** Whether servers may be missing that run. */
+  /** Whether running servers may be missing from the list. */
   mayBeIncomplete?: boolean;
-  /** Servers that are listed and not to be used: nobody can read their entries, or a later life listens at their address. */
+  /**
+   * Ids of listed servers that must not be used: their record is invalid, or a later process listens at their
+   * address.
+   */
   unusable?: ReadonlySet<string>;
 }
 
-/** A chosen server, or how the service stands when there is none. */
+/** The selected server, or the reason why there is none. */
 export type ServerSelection =
   | { kind: 'found'; server: TrackedServer }
   | { kind: 'none'; reason: 'no-server' | 'all-busy' | 'old-version' }
-  /** Servers have asked for fewer requests; the first takes one after so long, as far as this entry can tell. */
+  /** All servers limit their requests; the first is expected to accept one after `waitMilliseconds`. */
   | { kind: 'none'; reason: 'at-limit'; waitMilliseconds: number };
 
-/** Part of a server's connections that all entries together may use. */
+/** Share of a server's connections that all entries together may use. */
 const CONNECTION_SHARE = 0.8;
 const CONNECT_MILLISECONDS = 700;
-/** How long a server is kept that is missing after an outage: longer than it needs to renew its entry. */
-const DOUBT_MILLISECONDS = 1_700;
-const UNKNOWN_SLOTS = 4;
-const NONE: ReadonlySet<string> = new Set();
-/** Plain servers slow down when they are nearly full. */
+/** How long a server that is missing after an outage is kept: longer than it needs to renew its record. */
+const KEEP_MISSING_MILLISECONDS = 1_700;
+const DEFAULT_CONNECTIONS = 4;
+const NO_SERVERS: ReadonlySet<string> = new Set();
+/** Cost parameters of services without a model engine, whose servers slow down when they are nearly full. */
 const PLAIN_COST: ServiceCost = {
   serviceMilliseconds: 60,
   readMilliseconds: 0,
@@ -66,25 +68,27 @@
   batchSlowdown: 0.25,
   tieMilliseconds: 0,
 };
-/** Prompts that a server reads, and steps that it takes, until the first event of a stream. */
-const USUAL_FIRST_READS = 3;
-const USUAL_FIRST_STEPS = 12;
-/** Entries that are taken to send to a server at the same moment: more would send to different ones. */
-const MOST_SHARERS = 3;
-/** Servers are alike that differ by less than a prompt to read: another entry may have sent it one already. */
+/** Typical number of prompts read and of steps taken by a server before the first event of a stream. */
+const TYPICAL_FIRST_READS = 3;
+const TYPICAL_FIRST_STEPS = 12;
+/** Maximum number of entries assumed to send to one server at the same time; more would choose different servers. */
+const MAX_SHARERS = 3;
+/** Cost differences below this many prompts are ignored, since another entry may just have sent one. */
 const TIE_PROMPTS = 0.8;
-/** Requests beyond the batch wait for one to end: several times the objective, and with them all that come after. */
-const FULLEST_ENGINE = 1;
-/** Streams that are handed over or broken off have been admitted, and the first keep their server from its next version. */
-const FULLEST_FOR_CARRIED_OVER = 1.1;
+/** Requests beyond the batch wait for one to end, several times the objective, and delay all later ones. */
+const MAX_ENGINE_FILL = 1;
+/**
+ * Higher for streams that are handed over or broken off: they were admitted, and handovers block a version switch.
+ */
+const MAX_CONTINUATION_FILL = 1.1;
 
 export class ServerPool {
   private readonly _options: ServerPoolOptions;
-  /** The present life of each server, by its id. */
+  /** The current incarnation of each server, by server id. */
   private readonly _servers = new Map<string, TrackedServer>();
-  private readonly _lives = new Map<string, ServerIncarnation>();
+  private readonly _incarnations = new Map<string, ServerIncarnation>();
   private _byHost = new Map<string, TrackedServer[]>();
-  /** Servers that are missing from a list that is not trusted. */
+  /** Ids of servers that are missing from a possibly incomplete list. */
   private readonly _missing = new Set<string>();
 
   constructor(options: ServerPoolOptions) {
@@ -92,20 +96,20 @@
   }
 
   /**
-   * Takes the whole list of service discovery. Servers that left it get nothing new, unless the list is `doubtful`:
-   * after an outage, servers that could not renew their entries are missing though they run. Those are kept for a
-   * while, for when there is no other. Those that are `unusable` are gone at once.
+   * Applies the complete list of service discovery. Servers that are not in it are removed, unless the list
+   * `mayBeIncomplete`: after an outage, running servers that could not renew their records are missing. These are
+   * kept for a while and used only if there is no other server. `unusable` servers are removed immediately.
    */
   update(
     records: readonly BackendServerRecord[],
-    { mayBeIncomplete: doubtful = false, unusable = NONE }: ServerListState = {},
+    { mayBeIncomplete = false, unusable = NO_SERVERS }: ServerListState = {},
   ): void {
     const present = new Set(records.map(({ id }) => id));
     for (const record of records) this._updateOne(record);
     for (const [id, server] of this._servers) {
       if (present.has(id)) this._missing.delete(id);
       else if (unusable.has(id)) this._remove(id, server);
-      else if (doubtful) this._doubt(id);
+      else if (mayBeIncomplete) this._keepMissing(id);
       else if (!this._missing.has(id)) this._remove(id, server);
     }
     this._indexByHost();
@@ -115,12 +119,15 @@
     return [...this._servers.values()];
   }
 
-  /** Takes the status of the agent at `host`. */
+  /** Applies a status message of the agent at `host`. */
   noteStatus(host: string, status: BoxStatus): void {
     for (const { record } of this._byHost.get(host) ?? []) this._noteStatusOf(record, status);
   }
 
-  /** Chooses a server: one of those whose load is told here, unless none of them can serve the request at all. */
+  /**
+   * Selects a server among those that report their load to this entry; among all if none of them can serve the
+   * request.
+   */
   find(need: ServerRequirements): ServerSelection {
     const present = this.all().filter(
       (server) =>
@@ -134,11 +141,11 @@
 
   private _findAmong(present: readonly TrackedServer[], need: ServerRequirements): ServerSelection {
     if (present.length === 0) return { kind: 'none', reason: 'no-server' };
-    const able = eligibleServers(present, need);
-    if (able.length === 0) return { kind: 'none', reason: 'old-version' };
-    const accepting = able.filter(({ backpressure }) => backpressure.waitMilliseconds === 0);
+    const eligible = eligibleServers(present, need);
+    if (eligible.length === 0) return { kind: 'none', reason: 'old-version' };
+    const accepting = eligible.filter(({ backpressure }) => backpressure.waitMilliseconds === 0);
     if (accepting.length === 0)
-      return { kind: 'none', reason: 'at-limit', waitMilliseconds: shortestWait(able) };
+      return { kind: 'none', reason: 'at-limit', waitMilliseconds: shortestWait(eligible) };
     const open = accepting.filter((server) => server.connections.available);
     const candidates = open.map((server) => this._candidate(server, need));
     const cost = this._cost(need);
@@ -153,24 +160,24 @@
   }
 
   private _noteStatusOf(record: BackendServerRecord, status: BoxStatus): void {
-    const judgement = this._lives.get(record.id)!.noteStart('agent', status.startedAt ?? UNKNOWN_START);
-    if (judgement === 'former') return this._noteLate(record.id, 'agent');
-    if (judgement === 'another') {
-      this._startAnew(record, 'agent');
+    const match = this._incarnations.get(record.id)!.noteStart('agent', status.startedAt ?? UNKNOWN_START);
+    if (match === 'former') return this._logLateReport(record.id, 'agent');
+    if (match === 'another') {
+      this._replaceRestarted(record, 'agent');
       this._indexByHost();
     }
     this._servers.get(record.id)!.noteStatus(status);
   }
 
-  /** What came of a life that has ended says nothing of the present one. */
-  private _noteLate(server: string, source: IncarnationSource): void {
+  /** Logs a report about an ended incarnation, which does not apply to the current one. */
+  private _logLateReport(server: string, source: IncarnationSource): void {
     this._options.log.decision('server.late-word', { server, source });
   }
 
-  /** The server has started again: nothing that was learned of its former life holds, nor do connections to it. */
-  private _startAnew(record: BackendServerRecord, source: IncarnationSource): void {
+  /** Replaces a restarted server: drops the state of its former incarnation and the connections to it. */
+  private _replaceRestarted(record: BackendServerRecord, source: IncarnationSource): void {
     const { id, service } = record;
-    const startedAt = this._lives.get(id)!.startedAt;
+    const startedAt = this._incarnations.get(id)!.startedAt;
     this._options.log.state('server.started-again', { server: id, service, source, startedAt });
     const former = this._servers.get(id)!;
     former.connections.endOpenedBefore(former.knownAliveAt);
@@ -187,20 +194,20 @@
     }
   }
 
-  private _doubt(id: string): void {
+  private _keepMissing(id: string): void {
     if (this._missing.has(id)) return;
     this._options.log.state('server.missing', { server: id });
     this._missing.add(id);
     const timer = setTimeout(() => {
       const server = this._servers.get(id);
       if (this._missing.delete(id) && server) this._remove(id, server);
-    }, DOUBT_MILLISECONDS);
+    }, KEEP_MISSING_MILLISECONDS);
     timer.unref();
   }
 
   private _remove(id: string, server: TrackedServer): void {
     this._servers.delete(id);
-    this._lives.delete(id);
+    this._incarnations.delete(id);
     this._missing.delete(id);
     server.connections.close();
     this._options.log.state('server.gone', { server: id, service: server.record.service });
@@ -210,27 +217,27 @@
     const { log } = this._options;
     const known = this._servers.get(record.id);
     if (!known) return this._add(record);
-    // each record is decoded once: the same one says nothing new, and an older one may name versions that are lost
+    // Records are cached, so an identical object is unchanged; applying it again could restore versions that are lost.
     if (known.record === record) return;
-    const judgement = this._lives.get(record.id)!.noteStart('discovery', record.startedAt);
+    const match = this._incarnations.get(record.id)!.noteStart('discovery', record.startedAt);
     const hasMoved = known.record.address !== record.address;
-    if (judgement === 'another' || hasMoved) this._startAnew(record, 'discovery');
+    if (match === 'another' || hasMoved) this._replaceRestarted(record, 'discovery');
     const server = this._servers.get(record.id)!;
     if (record.draining && !known.record.draining) {
       log.state('server.draining', { server: record.id, service: record.service });
       server.connections.close();
     }
-    if (judgement !== 'former') return server.update(record);
-    this._noteLate(record.id, 'discovery');
+    if (match !== 'former') return server.update(record);
+    this._logLateReport(record.id, 'discovery');
     server.updateLocation(record);
   }
 
   private _add(record: BackendServerRecord): void {
     const { id, service, address } = record;
     this._options.log.state('server.found', { server: id, service, address });
-    const life = new ServerIncarnation();
-    life.noteStart('discovery', record.startedAt);
-    this._lives.set(id, life);
+    const incarnation = new ServerIncarnation();
+    incarnation.noteStart('discovery', record.startedAt);
+    this._incarnations.set(id, incarnation);
     const server = this._track(record);
     server.update(record);
     this._servers.set(id, server);
@@ -238,15 +245,15 @@
 
   private _track(record: BackendServerRecord): TrackedServer {
     const limit = (): number => {
-      const maximum = this._options.service(record.service)?.maximumConnections ?? UNKNOWN_SLOTS;
+      const maximum = this._options.service(record.service)?.maximumConnections ?? DEFAULT_CONNECTIONS;
       return Math.max(1, Math.floor((maximum * CONNECTION_SHARE) / Math.max(1, this._options.entries())));
     };
     const { address } = record;
-    const { clock, dataCentre, entriesInDataCentre: entriesNear, entries } = this._options;
+    const { clock, dataCentre, entriesInDataCentre, entries } = this._options;
     const connectMilliseconds = CONNECT_MILLISECONDS;
     const connections = new BackendConnections({ address, connectMilliseconds, clock, limit });
     const sharers = (): number =>
-      record.dataCentre === dataCentre ? entriesNear() : entries() - entriesNear();
+      record.dataCentre === dataCentre ? entriesInDataCentre() : entries() - entriesInDataCentre();
     const linkDelay = (): number => this._options.linkDelay?.(hostOf(address)) ?? 0;
     return new TrackedServer(
       record,
@@ -254,10 +261,10 @@
       this._options.signals.backpressureOf(
         record.id,
         record.dataCentre,
-        this._lives.get(record.id)!.startedAt,
+        this._incarnations.get(record.id)!.startedAt,
       ),
       clock,
-      () => Math.min(MOST_SHARERS, Math.max(1, sharers())),
+      () => Math.min(MAX_SHARERS, Math.max(1, sharers())),
       linkDelay,
     );
   }
@@ -280,17 +287,18 @@
     };
   }
 
-  private _cost({ service, isContinuation: isCarriedOver }: ServerRequirements): ServiceCost {
+  private _cost({ service, isContinuation }: ServerRequirements): ServiceCost {
     const engine = this._options.service(service)?.engine;
     if (!engine) return PLAIN_COST;
     const reading = engine.usualPromptTokens / (engine.readTokensPerSecond / 1000);
     const writing = engine.usualAnswerTokens * engine.stepMilliseconds;
-    const usualFirstMilliseconds = USUAL_FIRST_READS * reading + USUAL_FIRST_STEPS * engine.stepMilliseconds;
+    const typicalFirstMilliseconds =
+      TYPICAL_FIRST_READS * reading + TYPICAL_FIRST_STEPS * engine.stepMilliseconds;
     return {
       serviceMilliseconds: reading + writing,
       readMilliseconds: reading,
-      typicalFirstMilliseconds: usualFirstMilliseconds,
-      maxFill: isCarriedOver ? FULLEST_FOR_CARRIED_OVER : FULLEST_ENGINE,
+      typicalFirstMilliseconds,
+      maxFill: isContinuation ? MAX_CONTINUATION_FILL : MAX_ENGINE_FILL,
       batchSlowdown: 0,
       tieMilliseconds: reading * TIE_PROMPTS,
     };
--- a/src/serving/serverRecordDecoder.ts
+++ b/src/serving/serverRecordDecoder.ts
@@ -1,4 +1,4 @@
-/** Records of backend servers, each decoded once. */
+/** Decodes the records of backend servers and caches the result for each stored object. */
 import type { ChangeWeight } from '../records/recordReplica.js';
 import type { UnreadableRecords } from '../records/unreadableRecords.js';
 import type { StoredObject } from '../records/watchableStore.js';
@@ -15,7 +15,7 @@
     this._unreadable = unreadable;
   }
 
-  /** The record that an object holds; undefined if it cannot be understood. */
+  /** Returns the record in an object; undefined if it is invalid. */
   decode(object: StoredObject): BackendServerRecord | undefined {
     let decoded = this._decoded.get(object);
     if (!decoded) {
@@ -25,14 +25,17 @@
     return decoded.record;
   }
 
-  /** How much a change matters to those who choose servers: which version one serves is told sooner by its agent. */
+  /**
+   * Rates a change by its effect on server selection. A change of models is minor, since the agent reports it
+   * sooner.
+   */
   weighChange(before: StoredObject | undefined, after: StoredObject | undefined): ChangeWeight {
     const old = before && this.decode(before);
     const next = after && this.decode(after);
     if (!old || !next) return old === next ? 'none' : 'urgent';
-    const { models: oldModels, ...oldPlace } = old;
-    const { models: nextModels, ...nextPlace } = next;
-    if (JSON.stringify(oldPlace) !== JSON.stringify(nextPlace)) return 'urgent';
+    const { models: oldModels, ...oldRest } = old;
+    const { models: nextModels, ...nextRest } = next;
+    if (JSON.stringify(oldRest) !== JSON.stringify(nextRest)) return 'urgent';
     return JSON.stringify(oldModels) === JSON.stringify(nextModels) ? 'none' : 'minor';
   }
 
--- a/src/serving/serverRequirements.ts
+++ b/src/serving/serverRequirements.ts
@@ -1,20 +1,20 @@
-/** What a request needs of a server. */
+/** Requirements of a request on the server that it is sent to. */
 export interface ServerRequirements {
   service: string;
-  /** The model, '' for services without one. */
+  /** The model; '' for services without one. */
   model: string;
-  /** The lowest version on which the request may begin. */
+  /** Lowest version on which the request may begin. */
   minVersion: number;
   /** The same for a server on which requests may take long to begin. */
   minVersionIfSlow: number;
-  /** The lowest version that is not better avoided. */
+  /** Servers below this version are used only if necessary. */
   preferredVersion: number;
-  /** The newest version that has been named. */
+  /** Newest version that has been announced. */
   newestVersion: number;
-  /** Time within which a first answer is worth most. */
+  /** Target time to the first byte or event. */
   objectiveMilliseconds: number;
-  /** Whether the request is carried over from another server, which it still runs on or which broke its answer off. */
+  /** Whether the request continues from another server, which still runs it or broke off its response. */
   isContinuation: boolean;
-  /** Servers that have been tried for the request. */
+  /** Ids of the servers that the request was already sent to. */
   tried: ReadonlySet<string>;
 }
--- a/src/serving/serverRollbackPolicy.ts
+++ b/src/serving/serverRollbackPolicy.ts
@@ -1,50 +1,50 @@
 /**
- * Keeps what backend servers said of themselves in force over a rollback. A running server renews its entry at each heartbeat; the entry
- * of one that has ended lapses after a few.
+ * Retains the records of backend servers across a rollback of the store. A running server renews its record at each
+ * heartbeat; the record of a stopped server expires after a few heartbeats.
  */
 import type { RollbackPolicy } from '../records/rollbackPolicy.js';
 import type { StoredObject } from '../records/watchableStore.js';
 import type { BackendServerRecord } from './backendServerRecord.js';
 import { UNKNOWN_START } from './serverIncarnation.js';
 
-/** Heartbeats in which a running server renews its entry: the first may just have been missed. */
+/** Heartbeats within which a running server renews its record; the first may just have been missed. */
 const RENEWAL_HEARTBEATS = 2;
-/** Heartbeats until the entry of a server that has ended has lapsed, with a margin for a store that has just been restored. */
-const LAPSE_HEARTBEATS = 10;
+/** Heartbeats until the record of a stopped server has expired, with a margin for a store that was just restored. */
+const EXPIRY_HEARTBEATS = 10;
 
 export class ServerRollbackPolicy implements RollbackPolicy {
-  private readonly _read: (object: StoredObject) => BackendServerRecord | undefined;
+  private readonly _decode: (object: StoredObject) => BackendServerRecord | undefined;
   private readonly _heartbeatMilliseconds: number;
 
-  /** `read` decodes an entry; undefined where it is invalid. */
+  /** `decode` decodes a record; it returns undefined if the record is invalid. */
   constructor(
-    read: (object: StoredObject) => BackendServerRecord | undefined,
+    decode: (object: StoredObject) => BackendServerRecord | undefined,
     heartbeatMilliseconds: number,
   ) {
-    this._read = read;
+    this._decode = decode;
     this._heartbeatMilliseconds = heartbeatMilliseconds;
   }
 
-  /** A draining server does not become ready again in the same life, and an earlier life does not replace a later one. */
+  /** A draining incarnation does not become ready again, and an earlier incarnation does not replace a later one. */
   replaced(before: StoredObject, stored: StoredObject): number {
-    const former = this._read(before);
-    const present = this._read(stored);
-    if (!former || !present) return 0;
-    if (former.startedAt === present.startedAt)
-      return former.draining && !present.draining ? Number.POSITIVE_INFINITY : 0;
-    return isLater(former, present) ? LAPSE_HEARTBEATS * this._heartbeatMilliseconds : 0;
+    const former = this._decode(before);
+    const current = this._decode(stored);
+    if (!former || !current) return 0;
+    if (former.startedAt === current.startedAt)
+      return former.draining && !current.draining ? Number.POSITIVE_INFINITY : 0;
+    return isLater(former, current) ? EXPIRY_HEARTBEATS * this._heartbeatMilliseconds : 0;
   }
 
   missing(former: StoredObject): number {
-    return this._read(former) ? RENEWAL_HEARTBEATS * this._heartbeatMilliseconds : 0;
+    return this._decode(former) ? RENEWAL_HEARTBEATS * this._heartbeatMilliseconds : 0;
   }
 
-  /** A life whose entry was deleted has ended, or drains without saying so. */
+  /** An incarnation whose record was deleted has ended, or is draining without having said so. */
   deleted(last: StoredObject, stored: StoredObject): number {
-    const former = this._read(last);
-    const present = this._read(stored);
-    if (!former || !present || isLater(present, former)) return 0;
-    return LAPSE_HEARTBEATS * this._heartbeatMilliseconds;
+    const former = this._decode(last);
+    const current = this._decode(stored);
+    if (!former || !current || isLater(current, former)) return 0;
+    return EXPIRY_HEARTBEATS * this._heartbeatMilliseconds;
   }
 }
 
--- a/src/serving/servingConfiguration.ts
+++ b/src/serving/servingConfiguration.ts
@@ -1,75 +1,74 @@
-/** What an operator's configuration says of requests: routes, services, customers and limits. */
+/** The operator's configuration for serving requests: routes, services, customers and limits. */
 
-/** Whether a request may run more than once, and how its answer comes. */
+/** Whether a request may run more than once, and whether its response is a stream. */
 export type RequestKind = 'repeatable' | 'once' | 'stream';
 
-/** A service that a route leads to, and its part of the requests. */
+/** A service that a route sends requests to, with its share of them. */
 export interface RouteTarget {
   service: string;
   weight: number;
 }
 
-/** One route; the longest path prefix of a host wins. */
+/** A route. Among the routes of a host, the one with the longest matching path prefix is used. */
 export interface Route {
   name: string;
   host: string;
   pathPrefix: string;
   kind: RequestKind;
   targets: readonly RouteTarget[];
-  /** Longest time that a request may be held. */
+  /** Maximum duration of a request. */
   timeoutMilliseconds: number;
-  /** Time within which an answer (of a stream: its first event) is worth most. */
+  /** Target time to the response, or to the first event of a stream. */
   objectiveMilliseconds: number;
-  /** Backend servers that one request may be sent to. */
+  /** Maximum number of backend servers that one request is sent to. */
   attempts: number;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: number;
   /** Whether requests need no API key. */
   anonymous: boolean;
-  /** Whether a stream may be resumed at another backend server. */
+  /** Whether a stream may be resumed on another backend server. */
   resumable: boolean;
 }
 
-/** Figures of a service's model engine. */
+/** Properties of a service's model engine. */
 export interface EngineDescription {
   slots: number;
   models: readonly string[];
-  /** Time of a step that writes a token for every running request. */
+  /** Duration of a step, which writes one token for every running request. */
   stepMilliseconds: number;
   readTokensPerSecond: number;
-  /** Mean tokens of a prompt and of an answer. */
+  /** Mean number of tokens in a prompt, and in a response below. */
   usualPromptTokens: number;
   usualAnswerTokens: number;
 }
 
-/** Where and how the weights of models are read. */
+/** Where model weights are read from. */
 export interface OriginDescription {
   address: string;
 }
 
-/** One service. */
 export interface ServiceDescription {
   name: string;
-  /** Connections that a backend server takes from all entries together. */
+  /** Connections that a backend server accepts from all entries together. */
   maximumConnections: number;
   engine: EngineDescription | undefined;
   origin: OriginDescription | undefined;
 }
 
-/** A customer and the API keys that stand for it. */
+/** A customer and its API keys. */
 export interface CustomerKeys {
   name: string;
   keys: readonly string[];
   priority: number | undefined;
 }
 
-/** What callers may send. */
+/** Limits for requests and connections of callers. */
 export interface CallerLimits {
   bodyBytes: number;
   idleMilliseconds: number;
 }
 
-/** A whole configuration; versions rise. */
+/** A complete configuration. Its version increases with every change. */
 export interface ServingConfiguration {
   version: number;
   routes: readonly Route[];
--- a/src/serving/sharingEntries.ts
+++ b/src/serving/sharingEntries.ts
@@ -1,67 +1,68 @@
-/** How many entries share the bounds of the whole system, such as retries and connections. */
+/** Counts the entries that share system-wide bounds, such as those on retries and connections. */
 import type { EntryAddress } from '../protocol/boxMessages.js';
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import type { Clock } from '../utils/clock.js';
 
-/** After a start, so that entries that start together do not each take the whole of a shared bound. */
+/** Assumed while the entries are unknown, so that entries that start together do not each take a whole bound. */
 const ASSUMED_ENTRIES = 16;
 /**
- * How long an entry counts that is no longer known. Where other agents are asked, their first lists lack entries that are yet to
- * connect to them: a dial, a handshake and the agent's gathering later they are named again.
+ * How long an entry still counts after it is no longer listed. The first lists of newly subscribed agents lack
+ * entries that have not connected to them yet; it takes a connection, a handshake and the agent's batching until
+ * these are listed again.
  */
-const HOLD_MILLISECONDS = 1_500;
+const KEEP_MILLISECONDS = 1_500;
 
 interface Sharer {
   dataCentre: string;
-  /** Monotonic milliseconds until which it counts; infinite while it is known. */
+  /** Monotonic milliseconds until which the entry counts; infinite while it is listed. */
   until: number;
 }
 
-/** The number rises at once and falls late: a gap in what is known must give no entry a larger share. */
+/** The count rises immediately and falls with a delay, so that a gap in the lists gives no entry a larger share. */
 export class SharingEntries {
   private readonly _clock: Clock;
-  private readonly _holdMilliseconds: number;
+  private readonly _keepMilliseconds: number;
   private _sharers = new Map<string, Sharer>();
   private _isKnown = false;
-  /** Numbers by data centre, which hold until a sharer's time is up: they are asked for many times a request. */
-  private _numbers = new Map<string, number>();
+  /** Counts by data centre, cached until a sharer expires because they are read many times per request. */
+  private _countByDataCentre = new Map<string, number>();
   private _total = 0;
-  private _placed: readonly PlacedBox[] = [];
-  private _numbersUntil = Number.POSITIVE_INFINITY;
+  private _boxes: readonly PlacedBox[] = [];
+  private _cachedUntil = Number.POSITIVE_INFINITY;
 
-  /** An entry counts for `holdMilliseconds` after it is no longer known. */
-  constructor(own: EntryAddress, clock: Clock, holdMilliseconds = HOLD_MILLISECONDS) {
+  /** An entry counts for `keepMilliseconds` after it is no longer listed. */
+  constructor(own: EntryAddress, clock: Clock, keepMilliseconds = KEEP_MILLISECONDS) {
     this._clock = clock;
-    this._holdMilliseconds = holdMilliseconds;
-    this._take([own]);
+    this._keepMilliseconds = keepMilliseconds;
+    this._setListed([own]);
   }
 
-  /** Takes all entries that are known by the word of an agent; without such word there is nothing to note. */
+  /** Sets the entries listed by agents. Not called while no agent reports, so that the last entries are kept. */
   note(known: readonly EntryAddress[]): void {
     this._isKnown = true;
-    this._take(known);
+    this._setListed(known);
   }
 
-  /** At least one; many, until it is known. */
+  /** Number of entries, at least 1; a high assumed number until the entries are known. */
   count(): number {
     this._refresh();
     return this._isKnown ? Math.max(1, this._total) : ASSUMED_ENTRIES;
   }
 
-  /** All that count; undefined until they are known. */
+  /** All entries that count; undefined until the entries are known. */
   all(): readonly PlacedBox[] | undefined {
     this._refresh();
-    return this._isKnown ? this._placed : undefined;
+    return this._isKnown ? this._boxes : undefined;
   }
 
-  /** How many of these stand in `dataCentre`. */
+  /** Number of these entries in `dataCentre`. */
   countIn(dataCentre: string): number {
     this._refresh();
-    return this._numbers.get(dataCentre) ?? 0;
+    return this._countByDataCentre.get(dataCentre) ?? 0;
   }
 
-  private _take(known: readonly EntryAddress[]): void {
-    const until = this._clock.now() + this._holdMilliseconds;
+  private _setListed(known: readonly EntryAddress[]): void {
+    const until = this._clock.now() + this._keepMilliseconds;
     const sharers = new Map<string, Sharer>();
     for (const { box, dataCentre } of known)
       sharers.set(box, { dataCentre, until: Number.POSITIVE_INFINITY });
@@ -69,23 +70,23 @@
       if (!sharers.has(box)) sharers.set(box, { ...sharer, until: Math.min(sharer.until, until) });
     }
     this._sharers = sharers;
-    this._countAnew();
+    this._recount();
   }
 
   private _refresh(): void {
-    if (this._clock.now() >= this._numbersUntil) this._countAnew();
+    if (this._clock.now() >= this._cachedUntil) this._recount();
   }
 
-  private _countAnew(): void {
+  private _recount(): void {
     const now = this._clock.now();
     for (const [box, { until }] of this._sharers) if (until <= now) this._sharers.delete(box);
     const sharers = [...this._sharers.values()];
-    this._numbers = new Map();
+    this._countByDataCentre = new Map();
     for (const { dataCentre } of sharers) {
-      this._numbers.set(dataCentre, (this._numbers.get(dataCentre) ?? 0) + 1);
+      this._countByDataCentre.set(dataCentre, (this._countByDataCentre.get(dataCentre) ?? 0) + 1);
     }
     this._total = sharers.length;
-    this._placed = [...this._sharers].map(([box, { dataCentre }]) => ({ box, dataCentre }));
-    this._numbersUntil = Math.min(...sharers.map(({ until }) => until));
+    this._boxes = [...this._sharers].map(([box, { dataCentre }]) => ({ box, dataCentre }));
+    this._cachedUntil = Math.min(...sharers.map(({ until }) => until));
   }
 }
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -1,4 +1,4 @@
-/** All that this entry knows of one life of a backend server. */
+/** Tracks the state of one incarnation of a backend server, as known to this entry. */
 import type { ServerBackpressure } from '../backpressure/serverBackpressure.js';
 import { BoxLoad } from '../routing/backend.js';
 import type { BoxStatus } from '../protocol/boxMessages.js';
@@ -8,48 +8,51 @@
 import type { BackendServerRecord } from './backendServerRecord.js';
 import { ServerHealth } from './serverHealth.js';
 
-/** Silence of a server that has requests to answer, after which nothing new is sent. */
+/** A server with streams to send that is silent for longer than this gets no new requests. */
 const SUSPICIOUS_SILENCE_MILLISECONDS = 500;
 const STATUS_LIFETIME_MILLISECONDS = 2_000;
-/** The longest time between what an agent learns of its server and the word of it here, on a link that is well. */
-const STATUS_WAY_MILLISECONDS = 1_500;
-/** Agents send their status once a second at least; the rest is what may hold one up. */
+/** Maximum time from when an agent observes its server until its status arrives here, on a link that is not slow. */
+const MAX_STATUS_DELAY_MILLISECONDS = 1_500;
+/** Agents send their status at least once per second; the rest is a margin for delays. */
 const AGENT_SILENCE_MILLISECONDS = 1_400;
-/** First answers that take longer say that requests wait, on the way or at the server. */
-const PROMPT_MILLISECONDS = 350;
-/** Round trips to the box that take longer say that a request would lie on its way: 180 ms are chunks of a version on a link that is well. */
+/** A longer time to the first byte or event means that requests wait, on the network or at the server. */
+const PROMPT_RESPONSE_MILLISECONDS = 350;
+/**
+ * A longer round trip to the box means that requests are delayed on the way. Chunks of a version delay a round trip
+ * by 180 ms on a link that is not slow.
+ */
 export const SLOW_LINK_MILLISECONDS = 400;
-/** Prompts before which another one has to wait long to be read. */
-const MANY_UNREAD = 3;
-/** Time in which half of the prompts have been read that waited at the last report. */
-const UNREAD_HALF_LIFE_MILLISECONDS = 120;
+/** Number of pending prompts from which on another one has to wait long to be read. */
+const MANY_PENDING_PROMPTS = 3;
+/** Time in which half of the prompts that were queued at the last report have been read. */
+const PENDING_HALF_LIFE_MILLISECONDS = 120;
 
-/** Less than any prompt, in usual prompts. */
-const LEAST_PROMPT = 1e-6;
+/** Smaller than any prompt, in units of a usual prompt; lower values are rounding errors. */
+const MIN_PROMPT = 1e-6;
 
 export class TrackedServer {
   record: BackendServerRecord;
-  /** Address of its box. */
+  /** IP address of its box. */
   host = '';
   readonly health: ServerHealth;
   readonly load = new BoxLoad();
   readonly connections: BackendConnections;
-  /** What its answers ask for. */
+  /** Limits and other signals from its responses. */
   readonly backpressure: ServerBackpressure;
   private readonly _clock: Clock;
   private readonly _versions = new Map<string, number>();
   private _status: BoxStatus | undefined;
   private _statusAt = Number.NEGATIVE_INFINITY;
   private _switchingSince = 0;
-  private _heardAt = 0;
+  private _lastDataAt = 0;
   private _streams = 0;
   private readonly _sharers: () => number;
   private readonly _linkDelay: () => number;
-  private _ownUnread = 0;
+  private _ownPendingPrompts = 0;
 
   /**
-   * `sharers` is how many entries send most of their requests to this server; `linkDelay` is how long a round trip to its box
-   * takes at the least, in milliseconds, 0 while that is not measured.
+   * `sharers` returns how many entries send most of their requests to this server; `linkDelay` returns a lower
+   * bound for the round trip to its box in milliseconds, 0 while it is not measured.
    */
   constructor(
     record: BackendServerRecord,
@@ -69,24 +72,24 @@
     this.updateLocation(record);
   }
 
-  /** Takes what service discovery says of this life. */
+  /** Applies the service discovery record of this incarnation. */
   update(record: BackendServerRecord): void {
     this.updateLocation(record);
     for (const { name, version } of record.models) this.noteVersion(name, version);
   }
 
-  /** Takes of what service discovery says only where the server is and whether it takes requests. */
+  /** Applies a service discovery record without its versions, when it may be older than the known versions. */
   updateLocation(record: BackendServerRecord): void {
     this.record = record;
     this.host = hostOf(record.address);
   }
 
-  /** Whether the server has said that it leaves, in service discovery or in an answer: its record may be late, or lost. */
+  /** Whether the server is shutting down, by its record or by a response, since the record may be late or lost. */
   get isLeaving(): boolean {
     return this.record.draining || this.backpressure.isLeaving;
   }
 
-  /** Takes what the agent beside the server says. */
+  /** Applies a status message of the agent on the server's box. */
   noteStatus(status: BoxStatus): void {
     if (status.state === 'switching' && this._status?.state !== 'switching')
       this._switchingSince = this._clock.now();
@@ -96,86 +99,93 @@
     this.load.report(status.running + status.queued, this._clock.now());
   }
 
-  /** This process sent a request to the server, with a prompt of `prompts` usual ones. */
+  /** Records that this process sent a request whose prompt has the size of `prompts` usual ones. */
   noteSent(prompts: number): void {
-    this._ownUnread += prompts;
+    this._ownPendingPrompts += prompts;
   }
 
-  /** A request that this process sent has brought its first event, or is given up. */
+  /** Records that a request sent by this process has returned its first event, or was given up. */
   noteRead(prompts: number): void {
-    this._ownUnread -= prompts;
-    // what is left of fractions that have all been taken away
-    if (this._ownUnread < LEAST_PROMPT) this._ownUnread = 0;
+    this._ownPendingPrompts -= prompts;
+    // Remove the rounding error that remains after adding and subtracting fractions.
+    if (this._ownPendingPrompts < MIN_PROMPT) this._ownPendingPrompts = 0;
   }
 
   /**
-   * What the server has yet to read, in usual prompts: its time for one prompt may be sixty times that for another. What this
-   * process sent is known; others are taken to have sent as much, since they choose by the same reports, unless the agent
-   * has told of more.
+   * Estimated size of the prompts that the server has not read yet, in units of a usual prompt, since one prompt
+   * may take sixty times as long as another. What this process sent is known; other entries are assumed to have
+   * sent as much, since they select servers by the same reports. A higher number reported by the agent takes
+   * precedence.
    */
   get pendingPrompts(): number {
     const age = this._clock.now() - this._statusAt;
-    const told = (this._status?.queued ?? 0) * 0.5 ** (age / UNREAD_HALF_LIFE_MILLISECONDS);
-    return Math.max(told, this._ownUnread * this._sharers());
+    const reported = (this._status?.queued ?? 0) * 0.5 ** (age / PENDING_HALF_LIFE_MILLISECONDS);
+    return Math.max(reported, this._ownPendingPrompts * this._sharers());
   }
 
-  /** A version that the server itself named; versions only rise while nothing says that it lost them. */
+  /**
+   * Records a version reported by the server itself. Versions only increase, unless the agent reports that one was
+   * lost.
+   */
   noteVersion(model: string, version: number): void {
     this._versions.set(model, Math.max(version, this._versions.get(model) ?? 0));
   }
 
-  /** The version of `model` in service, 0 when none is known. */
+  /** The version of `model` that the server serves; 0 when unknown. */
   version(model: string): number {
     return this._versions.get(model) ?? 0;
   }
 
-  /** Whether the server is between two versions and takes no requests. */
+  /** Whether the server is switching versions and accepts no requests. */
   get switching(): boolean {
     return this._freshStatus?.state === 'switching';
   }
 
-  /** Whether the server is about to change its version. */
+  /** Whether the server is about to switch versions. */
   get preparing(): boolean {
     return this._freshStatus?.state === 'preparing';
   }
 
-  /** Milliseconds since the agent beside the server told how it stands; undefined when it never has. */
+  /** Milliseconds since the last status of the agent; undefined before the first one. */
   get statusAge(): number | undefined {
     return this._status && this._clock.now() - this._statusAt;
   }
 
-  /** Whether the agent beside the server has said nothing for longer than it ever should. */
+  /** Whether the agent has sent no status for longer than expected. */
   get agentSilent(): boolean {
     return this._clock.now() - this._statusAt > AGENT_SILENCE_MILLISECONDS;
   }
 
-  /** Monotonic milliseconds before which this life was certainly there; -infinity where its agent has not told of it. */
+  /**
+   * Monotonic milliseconds at which this incarnation is known to have been running, from the last status and its
+   * maximum delay; -Infinity without a status, or on a slow link, where the delay has no bound.
+   */
   get knownAliveAt(): number {
-    return this.slowLink ? Number.NEGATIVE_INFINITY : this._statusAt - STATUS_WAY_MILLISECONDS;
+    return this.slowLink ? Number.NEGATIVE_INFINITY : this._statusAt - MAX_STATUS_DELAY_MILLISECONDS;
   }
 
-  /** Whether the link of the server's box is narrow, or what is sent to the box lies on its way. */
+  /** Whether the link to the server's box is slow, as reported by the agent or measured by round trips. */
   get slowLink(): boolean {
     return this._freshStatus?.slowLink === true || this._linkDelay() > SLOW_LINK_MILLISECONDS;
   }
 
-  /** Milliseconds for which the server has been between two versions, 0 when it is not. */
+  /** Milliseconds since the server began to switch versions; 0 when it is not switching. */
   get switchingFor(): number {
     return this.switching ? this._clock.now() - this._switchingSince : 0;
   }
 
-  /** Whether a request that is sent now begins within some hundred milliseconds, as far as can be told. */
+  /** Whether a request that is sent now is expected to begin within a few hundred milliseconds. */
   get startsPromptly(): boolean {
-    const isPrompt = this.health.firstAnswerMilliseconds < PROMPT_MILLISECONDS;
+    const isPrompt = this.health.firstAnswerMilliseconds < PROMPT_RESPONSE_MILLISECONDS;
     const isFree =
-      this.pendingPrompts < MANY_UNREAD && this.load.estimate(this._clock.now()) < this.record.slots;
-    const mayReach = !this.agentSilent && !this.slowLink && !this.health.avoided;
-    return mayReach && isPrompt && isFree;
+      this.pendingPrompts < MANY_PENDING_PROMPTS && this.load.estimate(this._clock.now()) < this.record.slots;
+    const isReachable = !this.agentSilent && !this.slowLink && !this.health.avoided;
+    return isReachable && isPrompt && isFree;
   }
 
-  /** A stream began or ended on the server. */
+  /** Records that a stream has begun on the server; {@link TrackedServer.streamEnded} records its end. */
   streamBegan(): void {
-    if (this._streams === 0) this._heardAt = this._clock.now();
+    if (this._streams === 0) this._lastDataAt = this._clock.now();
     this._streams++;
   }
 
@@ -183,21 +193,21 @@
     this._streams--;
   }
 
-  /** Bytes came from the server. */
+  /** Records that data has arrived from the server. */
   noteData(): void {
-    this._heardAt = this._clock.now();
+    this._lastDataAt = this._clock.now();
   }
 
-  /** Milliseconds since the server sent anything while it had streams to send; 0 when it has none. */
+  /** Milliseconds since the server last sent data while it had streams; 0 when it has none. */
   get silentFor(): number {
-    return this._streams === 0 ? 0 : this._clock.now() - this._heardAt;
+    return this._streams === 0 ? 0 : this._clock.now() - this._lastDataAt;
   }
 
   get suspicious(): boolean {
     return this.silentFor > SUSPICIOUS_SILENCE_MILLISECONDS;
   }
 
-  /** What the agent has told lately: of a lost agent nothing is known, not what it said last. */
+  /** The last status of the agent, unless it is too old to be valid. */
   private get _freshStatus(): BoxStatus | undefined {
     const isFresh = this._clock.now() - this._statusAt < STATUS_LIFETIME_MILLISECONDS;
     return isFresh ? this._status : undefined;
--- a/src/serving/versionGate.ts
+++ b/src/serving/versionGate.ts
@@ -1,4 +1,4 @@
-/** Which versions of a model may still begin requests. */
+/** Decides on which versions of a model requests may still begin after a newer version was announced. */
 import type { HeardVersion, WantedVersion } from '../protocol/boxMessages.js';
 import {
   LAST_SEND_MARGIN_MILLISECONDS,
@@ -9,37 +9,37 @@
 } from '../protocol/versionMargins.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Bounds of a version change, in milliseconds. */
+/** Time limits of a version change, in milliseconds. */
 export interface VersionBounds {
-  /** Time after the acknowledgement of a version in which requests may still begin on older ones. */
+  /** How long requests may still begin on older versions after a version was acknowledged. */
   switchMilliseconds: number;
-  /** Time after its start, or after it has regained the store, in which this process is not held to the bound. */
+  /** How long this process is exempt from that deadline after its start, or after it has regained the store. */
   contactMilliseconds: number;
 }
 
-/** The version of a model before any other is named. */
+/** The version of a model before any version is announced. */
 const FIRST_VERSION = 1;
-/** Versions of one model that are remembered. */
-const REMEMBERED = 16;
-/** Versions of one model that others are told of: several may be named within the bound of the oldest. */
-const TOLD = 4;
+/** Maximum number of versions that are remembered for each model. */
+const MAX_REMEMBERED = 16;
+/** Number of versions of a model that are reported to others: several can be announced before the first deadline. */
+const MAX_REPORTED = 4;
 
 interface KnownVersion {
   version: number;
-  /** From when on its bound is counted. */
-  knownAt: number;
-  /** When the first process heard of it whose word has come here. */
+  /** Start of the deadline for older versions, in monotonic milliseconds. */
+  countedFrom: number;
+  /** Earliest time at which any process is known to have heard of the version. */
   heardAt: number;
-  /** Whether the own source has told it: only its first word says what time may have passed before. */
-  isNoted: boolean;
+  /** Whether the version was read from the records: only the first read shows how late it may be. */
+  isFromRecords: boolean;
 }
 
-/** Versions of a model only rise, but they may become known in any order, and from several sides. */
+/** Versions of a model only increase, but may become known in any order and from several sources. */
 export class VersionGate {
   private readonly _bounds: VersionBounds;
   private readonly _clock: Clock;
   private readonly _startedAt: number;
-  /** By model, in the order of versions. */
+  /** Known versions by model, in ascending order. */
   private readonly _known = new Map<string, KnownVersion[]>();
 
   constructor(bounds: VersionBounds, clock: Clock) {
@@ -49,42 +49,44 @@
   }
 
   /**
-   * Notes a version; returns whether it was unknown. It may have been named `lateMilliseconds` before it was heard of; infinite
-   * when nothing is known of the time since the start. A process is not held to the bound for `contactMilliseconds` after its
-   * start, nor after it was without word of the store for longer than that. If it took the bound for over, it would refuse
-   * everything until the newer version has come, and take back the requests that it has just sent.
+   * Adds a version from the records; returns whether it was unknown. It may have been announced up to
+   * `lateMilliseconds` ago; infinite when nothing is known about the time since the start.
+   *
+   * For `contactMilliseconds` after its start, or after a longer time without the store, a process is exempt from
+   * the deadline. Otherwise it would consider the deadline passed, refuse all requests until servers have the newer
+   * version, and take back requests that it has just sent.
    */
   noteTarget(model: string, version: number, lateMilliseconds: number): boolean {
     const now = this._clock.now();
     const contactSince = Number.isFinite(lateMilliseconds) ? now : this._startedAt;
-    const knownAt = Math.max(now - lateMilliseconds, this._earliestThatCounts(contactSince));
+    const countedFrom = Math.max(now - lateMilliseconds, this._earliestDeadlineStart(contactSince));
     const known = this._find(model, version);
-    if (!known) return this._add(model, { version, knownAt, heardAt: now, isNoted: true });
-    if (!known.isNoted) known.knownAt = Math.min(known.knownAt, knownAt);
-    known.isNoted = true;
+    if (!known) return this._add(model, { version, countedFrom, heardAt: now, isFromRecords: true });
+    if (!known.isFromRecords) known.countedFrom = Math.min(known.countedFrom, countedFrom);
+    known.isFromRecords = true;
     return false;
   }
 
   /**
-   * Notes that some process has known of a version for `heardMilliseconds`; returns whether it was unknown here. The bound
-   * counts from then, also where this process hears late, or of a newer version first: its own source may have missed one.
-   * What it hears long after the others, it is not held to at once, as in {@link VersionGate.noteTarget}.
+   * Adds a version that some process has known for `heardMilliseconds`; returns whether it was unknown here. The
+   * deadline counts from then, even if this process hears of it late or hears of a newer version first, because its
+   * own source may have missed a version. The exemption described at {@link VersionGate.noteTarget} applies.
    */
   noteHeard({ model, version, heardMilliseconds }: HeardVersion): boolean {
     const now = this._clock.now();
     const heardAt = now - heardMilliseconds;
-    const knownAt = Math.max(heardAt, this._earliestThatCounts(now));
+    const countedFrom = Math.max(heardAt, this._earliestDeadlineStart(now));
     const known = this._find(model, version);
-    if (!known) return this._add(model, { version, knownAt, heardAt, isNoted: false });
-    known.knownAt = Math.min(known.knownAt, knownAt);
+    if (!known) return this._add(model, { version, countedFrom, heardAt, isFromRecords: false });
+    known.countedFrom = Math.min(known.countedFrom, countedFrom);
     known.heardAt = Math.min(known.heardAt, heardAt);
     return false;
   }
 
-  /** The newest versions of a model that are known here, for others. */
+  /** The newest known versions of a model, to be reported to others. */
   heard(model: string): HeardVersion[] {
     const now = this._clock.now();
-    const newest = (this._known.get(model) ?? []).slice(-TOLD);
+    const newest = (this._known.get(model) ?? []).slice(-MAX_REPORTED);
     return newest.map(({ version, heardAt }) => ({
       model,
       version,
@@ -93,26 +95,26 @@
   }
 
   /**
-   * The lowest version on which a request may begin that is sent now; 0 when any may. `slow` when it may take long to
-   * begin.
+   * The lowest version to which a request may be sent now; 0 when any version may be used. Set `slow` if the
+   * request may take long to begin.
    */
   minVersionToSend(model: string, slow = false): number {
     const margin = slow ? SLOW_SEND_MARGIN_MILLISECONDS : LAST_SEND_MARGIN_MILLISECONDS;
-    return this._dueAfter(model, this._bounds.switchMilliseconds - margin);
+    return this._newestKnownFor(model, this._bounds.switchMilliseconds - margin);
   }
 
   /**
-   * The lowest version on which requests that have been sent may still begin; others have to be taken back. `slow` when
-   * taking back may take long.
+   * The lowest version on which requests that were already sent may still begin; others have to be taken back. Set
+   * `slow` if taking back may take long.
    */
   minVersionToBegin(model: string, slow = false): number {
     const margin = slow ? SLOW_TAKE_BACK_MARGIN_MILLISECONDS : TAKE_BACK_MARGIN_MILLISECONDS;
-    return this._dueAfter(model, this._bounds.switchMilliseconds - margin);
+    return this._newestKnownFor(model, this._bounds.switchMilliseconds - margin);
   }
 
-  /** The lowest version that is not better avoided, since others may begin too late if their server goes dark. */
+  /** Versions below this should be avoided: a request could begin too late if its server becomes unreachable. */
   preferredMinVersion(model: string): number {
-    return this._dueAfter(model, this._bounds.switchMilliseconds - PREFERRED_MARGIN_MILLISECONDS);
+    return this._newestKnownFor(model, this._bounds.switchMilliseconds - PREFERRED_MARGIN_MILLISECONDS);
   }
 
   /** The newest version of a model; 0 when none is known. */
@@ -120,19 +122,19 @@
     return this._known.get(model)?.at(-1)?.version ?? 0;
   }
 
-  /** The version of a model that every backend server should come to. */
+  /** The version of a model that every backend server should serve. */
   wanted(model: string): WantedVersion {
     const newest = this._known.get(model)?.at(-1);
     if (!newest) return { model, version: FIRST_VERSION, knownMilliseconds: this._bounds.switchMilliseconds };
     return {
       model,
       version: newest.version,
-      knownMilliseconds: Math.max(0, this._clock.now() - newest.knownAt),
+      knownMilliseconds: Math.max(0, this._clock.now() - newest.countedFrom),
     };
   }
 
-  /** The earliest moment from which a bound is counted by a process that has been in contact since `contactSince`. */
-  private _earliestThatCounts(contactSince: number): number {
+  /** The earliest start of a deadline for a process that has been in contact since `contactSince`. */
+  private _earliestDeadlineStart(contactSince: number): number {
     const { switchMilliseconds, contactMilliseconds } = this._bounds;
     return contactSince - (switchMilliseconds - contactMilliseconds);
   }
@@ -143,14 +145,14 @@
 
   private _add(model: string, added: KnownVersion): true {
     const known = [...(this._known.get(model) ?? []), added].sort((a, b) => a.version - b.version);
-    this._known.set(model, known.slice(-REMEMBERED));
+    this._known.set(model, known.slice(-MAX_REMEMBERED));
     return true;
   }
 
-  /** The newest version that has been known for `milliseconds`, 0 when there is none. */
-  private _dueAfter(model: string, milliseconds: number): number {
+  /** The newest version that has been known for `milliseconds`; 0 when there is none. */
+  private _newestKnownFor(model: string, milliseconds: number): number {
     const oldest = this._clock.now() - milliseconds;
-    const due = (this._known.get(model) ?? []).filter((item) => item.knownAt <= oldest);
+    const due = (this._known.get(model) ?? []).filter((item) => item.countedFrom <= oldest);
     return due.at(-1)?.version ?? 0;
   }
 }
--- a/src/serving/versionUpdates.ts
+++ b/src/serving/versionUpdates.ts
@@ -1,4 +1,6 @@
-/** Versions that the platform's records name, and those that other entries have heard of, as they come to the version gate. */
+/**
+ * Passes target versions from the platform's records and from other entries to the version gate, and logs new ones.
+ */
 import type { AgentAddress, HeardVersion } from '../protocol/boxMessages.js';
 import type { ReplicaChange } from '../records/recordReplica.js';
 import type { UnreadableRecords } from '../records/unreadableRecords.js';
@@ -14,7 +16,7 @@
   private readonly _unreadable: UnreadableRecords;
   private readonly _gate: VersionGate;
   private readonly _log: EventLog;
-  private _listed = false;
+  private _hasListed = false;
 
   constructor(
     followers: PlatformFollowers,
@@ -30,21 +32,21 @@
     this._log = log;
   }
 
-  /** Passes newer versions on to the gate; returns whether there were any. */
+  /** Passes the versions in changed records to the gate; returns whether any was new. */
   onChange({ whole }: ReplicaChange): boolean {
     const lateMilliseconds = this._lateMilliseconds(whole);
-    this._listed = true;
+    this._hasListed = true;
     let changed = false;
     for (const object of this._followers.versions.objects.values()) {
-      const named = this._read(object);
-      if (!named || !this._gate.noteTarget(named.model, named.version, lateMilliseconds)) continue;
-      this._log.state('version.named', { ...named, lateMilliseconds: Math.round(lateMilliseconds) });
+      const target = this._read(object);
+      if (!target || !this._gate.noteTarget(target.model, target.version, lateMilliseconds)) continue;
+      this._log.state('version.named', { ...target, lateMilliseconds: Math.round(lateMilliseconds) });
       changed = true;
     }
     return changed;
   }
 
-  /** Takes what an agent has heard of from other entries; returns whether any of it is new here. */
+  /** Passes versions that an agent has heard of from other entries to the gate; returns whether any was new. */
   onHeard({ box }: AgentAddress, versions: readonly HeardVersion[]): boolean {
     const unknown = versions.filter((heard) => this._gate.noteHeard(heard));
     for (const { model, version, heardMilliseconds } of unknown) {
@@ -63,9 +65,9 @@
     return this._unreadable.valueOf(kinds.versions, object, this._reader.version(object.name, object.value));
   }
 
-  /** How long before now a version may have been named that comes with a change. */
+  /** Upper bound for the time since the versions in a change were written. */
   private _lateMilliseconds(whole: boolean): number {
-    if (!this._listed) return Number.POSITIVE_INFINITY;
+    if (!this._hasListed) return Number.POSITIVE_INFINITY;
     return whole ? this._followers.maxListingDelayMilliseconds : 0;
   }
 }
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -32,8 +32,8 @@
   clock.advance(200);
   attempts.find(true);
   attempts.find();
-  expect(needs.map(({ minVersion: lowestVersion }) => lowestVersion)).toEqual([0, 2, 0]);
-  expect(needs.map(({ minVersionIfSlow: lowestVersionSlow }) => lowestVersionSlow)).toEqual([0, 2, 0]);
+  expect(needs.map(({ minVersion }) => minVersion)).toEqual([0, 2, 0]);
+  expect(needs.map(({ minVersionIfSlow }) => minVersionIfSlow)).toEqual([0, 2, 0]);
 });
 
 test('should take a request back sooner from a server on whose link it may lie', () => {
--- a/tests/serverPool.spec.ts
+++ b/tests/serverPool.spec.ts
@@ -56,7 +56,7 @@
   return pool;
 }
 
-function need(isCarriedOver: boolean): ServerRequirements {
+function need(isContinuation: boolean): ServerRequirements {
   return {
     service: 'chat',
     model: 'm',
@@ -65,14 +65,14 @@
     preferredVersion: 0,
     newestVersion: 1,
     objectiveMilliseconds: 500,
-    isContinuation: isCarriedOver,
+    isContinuation,
     tried: new Set(),
   };
 }
 
 test('should have room on a full server for a stream that is handed over, and for nothing new', () => {
   const kinds = (running: number): string[] =>
-    [false, true].map((isCarriedOver) => poolWithLoad(running).find(need(isCarriedOver)).kind);
+    [false, true].map((isContinuation) => poolWithLoad(running).find(need(isContinuation)).kind);
   expect(kinds(SLOTS - 1)).toEqual(['found', 'found']);
   expect(kinds(SLOTS)).toEqual(['none', 'found']);
   expect(kinds(SLOTS + 1)).toEqual(['none', 'none']);
