--- a/tests/agentSelection.spec.ts
+++ b/tests/agentSelection.spec.ts
@@ -1,4 +1,4 @@
-/** Which agents an entry keeps connections to. */
+/** Tests which agents an entry connects to. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { AgentAddress } from '../src/protocol/boxMessages.js';
@@ -51,7 +51,7 @@
   expect(reached.size).toEqual(5);
 });
 
-test('should reach every server from some entry, and none from many more than others', () => {
+test('should spread the entries over all servers', () => {
   const all = agents(225);
   const counts = new Map(all.map(({ box }) => [box, 0]));
   for (const entry of entries(156)) {
@@ -62,7 +62,7 @@
   expect(Math.max(...reached)).toBeLessThan(30);
 });
 
-test('should ask the same few agents of different data centres for the entries, at every entry', () => {
+test('should select the same directory agents, in different data centres, on every entry', () => {
   const all = agents(144);
   const [first, ...others] = entries(20).map((entry) => selectAgents(entry, [all]).directory);
   expect(others.every((directory) => [...directory].join() === [...first].join())).toEqual(true);
@@ -70,20 +70,20 @@
   expect(dataCentres.size).toEqual(4);
 });
 
-test('should serve where its own data centre has no agents', () => {
+test('should select agents of other data centres when its own has none', () => {
   const all = agents(100, ['north', 'west']);
   const { routed, directory } = selectAgents({ box: 'entry', dataCentre: 'south' }, [all]);
   expect(routed.size).toEqual(16);
   expect(directory.size).toEqual(4);
 });
 
-test('should cover a rare service beside a common one', () => {
+test('should select the agents of a small service next to a large one', () => {
   const rare = agents(3, ['west'], 'rare');
   const { routed } = selectAgents({ box: 'entry', dataCentre: 'north' }, [agents(200), rare]);
   expect(rare.every(({ box }) => routed.has(box))).toEqual(true);
 });
 
-test('should keep most of its agents when one of them goes', () => {
+test('should keep most of its agents when one of them is removed', () => {
   const all = agents(600);
   const own = { box: 'entry', dataCentre: 'north' };
   const before = selectAgents(own, [all]);
--- a/tests/answerSignals.spec.ts
+++ b/tests/answerSignals.spec.ts
@@ -1,4 +1,4 @@
-/** What the head of a backend server's answer says of the server. */
+/** Tests the parsing of backpressure headers. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { MAX_RETRY_AFTER_MILLISECONDS, readSignals } from '../src/backpressure/answerSignals.js';
@@ -10,7 +10,7 @@
   return readSignals(status, headers, NAMES, () => NOW);
 }
 
-test('should read nothing from an answer that says nothing', () => {
+test('should return no signals for a response without backpressure headers', () => {
   const { unreadable, ...signals } = read(200, { 'content-type': 'text/plain', 'retry-after': '3' });
   expect(signals).toEqual({ limitPerSecond: undefined, leaving: false, retryAfterMilliseconds: 0 });
   expect(unreadable).toEqual(undefined);
@@ -22,7 +22,7 @@
   expect(read(200, { [NAMES.serverLimit]: ['3', '1'] }).limitPerSecond).toEqual(1);
 });
 
-test('should read that a server leaves', () => {
+test('should read that a server is shutting down', () => {
   expect(read(200, { [NAMES.serverLeaving]: '1' }).leaving).toEqual(true);
   expect(read(200, { [NAMES.serverLeaving]: '0' }).leaving).toEqual(false);
 });
@@ -43,7 +43,7 @@
 }
 
 for (const text of ['', 'NaN', '-1', '1e309', 'Infinity', 'soon', '9'.repeat(400)]) {
-  test(`should take "${text.slice(0, 10)}" for no limit and no Retry-After, and say so`, () => {
+  test(`should ignore and report "${text.slice(0, 10)}" as a limit and as a Retry-After`, () => {
     const limit = read(200, { [NAMES.serverLimit]: text });
     expect(limit.limitPerSecond).toEqual(undefined);
     expect(limit.unreadable).toEqual(`${NAMES.serverLimit}: ${text}`.slice(0, 40));
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -1,4 +1,4 @@
-/** Whom the directory of entries names, and by whose word. */
+/** Tests which entries the directory lists, depending on the reports of agents. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import type { EntryAddress } from '../src/protocol/boxMessages.js';
@@ -35,14 +35,12 @@
 }
 
 /**
- * Symptom: answers of the directory name an entry that has lost power, for as long as it is off.
- * Sequence: boxes are added, so that another agent takes the place of one of the four that are asked for entries; that one stays
- * connected, since requests go to its backend server. Then an entry loses power.
- * Cause: the agent that is no longer asked tells nothing more, and its last list was kept and counted as if it were current.
- * Figures: 4.1 s after the loss all entries still counted nine live ones, though agents take an entry for gone after 2 s of silence;
- * nine answers named it more than 6 s after the loss.
+ * Guards against listing an entry that has lost power. When boxes are added, another agent can replace one of the
+ * four directory agents, which stays connected because requests go to its backend server. It sends no more updates,
+ * and its last list was kept and used as if it were current. An entry that then lost power was still listed more
+ * than 6 s later, although agents consider an entry lost after 2 s of silence.
  */
-test('should not name an entry that is off by the word of an agent that is no longer asked', async () => {
+test('should not list a stopped entry because of an agent without a subscription', async () => {
   const [own, lost] = [fixture.addEntry('a'), fixture.addEntry('b')];
   const before = await fixture.addAgents(9);
   for (const each of [own, lost]) each.select(before);
@@ -56,8 +54,8 @@
   await until(() => !own.listsEntry('b'));
 });
 
-/** The same sequence as the directory alone sees it: the word of the agent that is no longer asked outlives all others. */
-test('should forget what an agent told when it is no longer asked', () => {
+/** The same failure without connections: the report of the former directory agent must not outlive all others. */
+test('should drop the report of an agent when its subscription ends', () => {
   const { directory } = subscribedDirectory('one', 'two');
   directory.applyList('one', all('a', 'b'));
   directory.applyList('two', all('a', 'b'));
@@ -66,16 +64,16 @@
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should not name an entry that falls silent while none of its connections ends', async () => {
-  // short, so that the test is; an entry whose connections a busy machine loses connects and is named again
+test('should not list an entry that falls silent while its connections stay open', async () => {
+  // A short time-out keeps the test short. An entry that loses its connections on a busy machine reconnects.
   const short = new DirectoryFixture(1_000);
   const [own, silent, live] = ['a', 'b', 'c'].map((box) => short.addEntry(box));
   const agents = await short.addAgents(4);
   const relays = agents.map(({ address }) => new HoldingRelay(address));
-  const ways = await Promise.all(relays.map(async (relay) => await relay.listen()));
+  const addresses = await Promise.all(relays.map(async (relay) => await relay.listen()));
   try {
     for (const each of [own, live]) each.select(agents);
-    silent.select(agents.map((agent, index) => ({ ...agent, address: ways[index] })));
+    silent.select(agents.map((agent, index) => ({ ...agent, address: addresses[index] })));
     await until(() => own.listsEntry('b') && own.listsEntry('c') && silent.links.connected === agents.length);
     for (const relay of relays) relay.hold();
     await until(() => !own.listsEntry('b') && own.listsEntry('c'));
@@ -85,7 +83,7 @@
   }
 });
 
-test('should forget nothing when an agent is passed over and asked again at once', async () => {
+test('should keep its reports when an agent is deselected and selected again at once', async () => {
   const [own, other] = [fixture.addEntry('a'), fixture.addEntry('b')];
   const agents = await fixture.addAgents(9);
   for (const each of [own, other]) each.select(agents);
@@ -97,7 +95,7 @@
   expect(own.listsEntry('b')).toEqual(true);
 });
 
-test('should take no changes for a whole list', () => {
+test('should ignore changes before the complete list', () => {
   const { directory } = subscribedDirectory('one');
   directory.applyList('one', change(['b'], []));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
@@ -105,7 +103,7 @@
   expect(directory.addressesFor('north')).toEqual(['a:80', 'c:80']);
 });
 
-test('should pass over a list that was on its way when the agent was told that it is no longer asked', () => {
+test('should ignore a list that arrives after the end of the subscription', () => {
   const { directory } = subscribedDirectory('one', 'two');
   directory.applyList('two', all('a'));
   directory.unsubscribe('one');
@@ -113,7 +111,7 @@
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should wait for the whole list of an agent that is asked again', () => {
+test('should wait for the complete list after subscribing again', () => {
   const { directory, activity } = subscribedDirectory('one', 'two');
   for (const agent of ['one', 'two']) directory.applyList(agent, all('a', 'b'));
   directory.unsubscribe('one');
@@ -123,7 +121,7 @@
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should count nothing that was told on an earlier connection', () => {
+test('should drop reports from an earlier connection', () => {
   const { directory, activity } = subscribedDirectory('one', 'two');
   directory.applyList('one', all('a', 'b'));
   directory.applyList('two', all('a'));
@@ -131,7 +129,7 @@
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should name what nobody confirms for a bounded time, and then only itself', () => {
+test('should list unconfirmed entries for a bounded time, and then only itself', () => {
   const { directory, clock } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b'));
   directory.unsubscribe('one');
@@ -141,7 +139,7 @@
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should remember from the last word of the agent on, not from the end of its connection', () => {
+test('should remember entries from when the agent was last heard, not from the end of its connection', () => {
   const { directory, activity } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b'));
   activity.silentMilliseconds = REMEMBERED_MILLISECONDS + 1;
@@ -149,7 +147,7 @@
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should share bounds with as many, and know the same sources of records, when nobody confirms them', () => {
+test('should keep the number of sharing entries and the record sources when no agent reports', () => {
   const { directory, clock } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b', 'c'));
   const sources = directory.recordSources();
@@ -160,7 +158,7 @@
   expect(directory.recordSources()).toEqual(sources);
 });
 
-test('should share bounds with as many for a while when other agents know of fewer', () => {
+test('should keep the number of sharing entries for a while when other agents report fewer', () => {
   const { directory, clock, activity } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b', 'c'));
   directory.unsubscribe('one');
@@ -171,7 +169,7 @@
   expect([directory.count(), directory.countInOwnDataCentre()]).toEqual([1, 1]);
 });
 
-test('should name after a pause only what has been confirmed since', () => {
+test('should list only entries that were confirmed since a pause of the process', () => {
   const { directory, clock, activity } = subscribedDirectory('one');
   directory.applyList('one', all('a', 'b'));
   clock.advance(10_000);
@@ -182,20 +180,20 @@
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
-/** The promise: no answer names an entry that has been off for longer than the time in touch and three seconds. */
-test('should name an entry that is off for a time well below the bound, whichever agents fall silent', () => {
+/** No response may list an entry that stopped longer ago than the contact time plus three seconds. */
+test('should list a stopped entry for much less than the bound, whichever agents fall silent', () => {
   const GRACE_MILLISECONDS = 3_000;
-  const ON_THE_WAY_MILLISECONDS = 500;
+  const NETWORK_MILLISECONDS = 500;
   const { contactMilliseconds, peerTimeoutMilliseconds } = gatewaySettingsSchema.shape;
   const bound = contactMilliseconds.parse(undefined) + GRACE_MILLISECONDS;
   const timeout = peerTimeoutMilliseconds.parse(undefined);
   expect(timeout).toEqual(PEER_TIMEOUT_MILLISECONDS);
   const told = noticedWithin(timeout) + LONGEST_GATHER_MILLISECONDS;
   const longest = told + Math.max(noticedWithin(timeout), REMEMBERED_MILLISECONDS);
-  expect(longest + ON_THE_WAY_MILLISECONDS).toBeLessThan(bound);
+  expect(longest + NETWORK_MILLISECONDS).toBeLessThan(bound);
 });
 
-test('should remember from the newest last word of several agents on', () => {
+test('should remember entries from when the latest of several agents was last heard', () => {
   const { directory, activity } = subscribedDirectory('one');
   directory.subscribe('two', { silentMilliseconds: 0 });
   const list = ['a', 'b'].map((box) => ({
--- a/tests/fleetSubset.spec.ts
+++ b/tests/fleetSubset.spec.ts
@@ -1,4 +1,4 @@
-/** An entry that keeps fewer agents connected than there are still carries out its rollouts. */
+/** Tests that rollouts reach all boxes when an entry connects to only some of the agents. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { engineState, rollOut, useFleet } from './fixtures/fleetFixture.js';
--- a/tests/gatewayLinks.spec.ts
+++ b/tests/gatewayLinks.spec.ts
@@ -1,4 +1,4 @@
-/** What a gateway tells the agents that it is connected to, and takes from them. */
+/** Tests the messages between a gateway and its agents. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import { answers } from '../standins/scriptedBackend.js';
@@ -13,13 +13,13 @@
 
 afterEach(() => fixture.stop());
 
-/** Starts a gateway before so many engines, none of whose agents it loses while the machine is busy. */
+/** Starts a gateway with `count` engines and a peer time-out long enough for a busy machine. */
 async function startEngines(count: number): Promise<void> {
   const scripts = Array.from({ length: count }, () => answers({ status: 200 }));
   await fixture.startEngines(scripts, {}, { peerTimeoutMilliseconds: 5_000 });
 }
 
-test('should tell its agents which versions it has heard of', async () => {
+test('should report the versions that it knows to its agents', async () => {
   await startEngines(1);
   fixture.store.set('versions', { main: { model: 'model', version: 2 } });
   const heard = (): number[] | undefined =>
@@ -30,22 +30,22 @@
   await until(() => heard()?.includes(2) === true);
 });
 
-test('should announce itself anew when an agent tells of a version', async () => {
+test('should send a new presence when an agent reports a version', async () => {
   await startEngines(1);
-  // twice: what was still to be announced from the start may name the first, and nothing but its news the second
+  // Two versions, because a presence that was pending since the start could already contain the first one.
   for (const version of [2, 3]) {
     fixture.tellHeard(0, version, 100);
     await until(() => fixture.presences(0).at(-1)?.wanted[0]?.version === version);
   }
 });
 
-test('should probe the link of an agent once when it has connected', async () => {
+test('should probe the link of an agent once after connecting', async () => {
   await startEngines(1);
   await until(() => fixture.presences(0).length > 0 && fixture.probes(0) > 0);
   expect(fixture.probes(0)).toEqual(1);
 });
 
-test('should go on probing the link of a box while its server holds an older version than the newest', async () => {
+test('should keep probing the link of a box while its server has an older version', async () => {
   await startEngines(2);
   fixture.setServer(0, { models: [{ name: 'model', version: 1 }] });
   fixture.setServer(1, { models: [{ name: 'model', version: 2 }] });
@@ -54,12 +54,12 @@
   expect(fixture.probes(1)).toBeLessThan(2);
 });
 
-async function named(): Promise<string[]> {
+async function listed(): Promise<string[]> {
   const answer = await fetch(`http://${fixture.directory}/entries?dataCentre=north`);
   return ((await answer.json()) as { addresses: string[] }).addresses;
 }
 
-test('should not name what only an agent told that it no longer asks, though that is still connected', async () => {
+test('should not list entries reported only by an agent that is connected but no longer subscribed to', async () => {
   await startEngines(5);
   const indices = [...fixture.backends.keys()];
   const asked = (): number[] =>
@@ -77,12 +77,12 @@
   }
   const all = before.map((index) => `entry-${index}:80`);
   await until(() => fixture.lines.filter((line) => line.includes('"entry.live"')).length === all.length);
-  expect(await named()).toEqual([...all, fixture.address]);
-  // agents are asked across data centres, so that the one of another takes the place of one of these
+  expect(await listed()).toEqual([...all, fixture.address]);
+  // The directory agents are spread over data centres, so an agent in another one replaces one of these.
   const other = indices.find((index) => !before.includes(index))!;
   fixture.setServer(other, { dataCentre: 'south' });
   await until(() => asked().includes(other) && asked().length === 4);
   const kept = before.filter((index) => asked().includes(index)).map((index) => `entry-${index}:80`);
   expect(kept).toHaveLength(3);
-  expect(await named()).toEqual([...kept, fixture.address]);
+  expect(await listed()).toEqual([...kept, fixture.address]);
 });
--- a/tests/limitShare.spec.ts
+++ b/tests/limitShare.spec.ts
@@ -1,4 +1,4 @@
-/** What all entries together send to a server that names a limit: never more than it allows, and nearly as much. */
+/** Tests that all entries together stay within the limit of a server and use nearly all of it. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { AnswerSignals } from '../src/backpressure/answerSignals.js';
@@ -20,17 +20,17 @@
   }));
 }
 
-function saying(limitPerSecond: number | undefined): AnswerSignals {
+function signalsWith(limitPerSecond: number | undefined): AnswerSignals {
   return { limitPerSecond, leaving: false, retryAfterMilliseconds: 0, unreadable: undefined };
 }
 
-/** Entries that all have callers for one server of the first data centre all the while. */
-class DemandingEntries {
+/** Simulates entries that always have requests for one server in the first data centre. */
+class SimulatedEntries {
   readonly sends: number[] = [];
   private readonly _clock = new ManualClock();
   private readonly _entries = new Map<string, ServerBackpressure>();
 
-  /** Starts an entry, or starts it again: it knows nothing. `known` are the entries that it knows of. */
+  /** Starts or restarts an entry without any state. `known` returns the entries that it knows. */
   start(own: string, known: () => readonly PlacedBox[] | undefined): void {
     const share = (perSecond: number) =>
       limitShare({ server: 'i-1', dataCentre: DATA_CENTRES[0], perSecond, own, entries: known() });
@@ -47,12 +47,12 @@
     );
   }
 
-  /** All entries hear an answer that names a limit, or none. */
-  hear(limitPerSecond: number | undefined): void {
-    for (const entry of this._entries.values()) entry.applySignals(saying(limitPerSecond));
+  /** Delivers a response with this limit, or without one, to all entries. */
+  deliver(limitPerSecond: number | undefined): void {
+    for (const entry of this._entries.values()) entry.applySignals(signalsWith(limitPerSecond));
   }
 
-  /** Each entry sends whenever it may. */
+  /** Lets each entry send whenever it may. */
   run(milliseconds: number): void {
     for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
       this._clock.advance(STEP_MILLISECONDS);
@@ -60,8 +60,8 @@
     }
   }
 
-  /** Most sends in any four seconds. */
-  get worst(): number {
+  /** Maximum number of requests within any window of four seconds. */
+  get maxInWindow(): number {
     const counts = this.sends.map(
       (start) => this.sends.filter((at) => at >= start && at < start + WINDOW_MILLISECONDS).length,
     );
@@ -75,69 +75,69 @@
   }
 }
 
-function allowed(perSecond: number): number {
+function maxAllowed(perSecond: number): number {
   return 1.5 * perSecond * (WINDOW_MILLISECONDS / 1_000) + 5;
 }
 
 for (const count of [1, 2, 6, 40, 100]) {
   for (const perSecond of [0.2, 1, 2.8, 12]) {
     test(`should send ${perSecond} a second from ${count} entries`, () => {
-      const entries = new DemandingEntries();
+      const entries = new SimulatedEntries();
       const all = boxes(count);
       for (const { box } of all) entries.start(box, () => all);
-      entries.hear(perSecond);
+      entries.deliver(perSecond);
       entries.run(20_000);
-      expect(entries.worst).toBeLessThanOrEqual(allowed(perSecond));
-      // the last part is on its way at the end
+      expect(entries.maxInWindow).toBeLessThanOrEqual(maxAllowed(perSecond));
+      // The last part is not sent yet when the run ends.
       expect(entries.sends.length).toBeGreaterThanOrEqual(Math.floor(0.9 * perSecond * 20) - 3);
     });
   }
 }
 
-test('should keep to a limit while all entries start again and again', () => {
-  const entries = new DemandingEntries();
+test('should stay within a limit while all entries restart repeatedly', () => {
+  const entries = new SimulatedEntries();
   const all = boxes(6);
   for (let second = 0; second < 20; second++) {
     for (const { box } of all) entries.start(box, () => all);
-    entries.hear(2.8);
+    entries.deliver(2.8);
     entries.run(1_000);
   }
-  expect(entries.worst).toBeLessThanOrEqual(allowed(2.8));
+  expect(entries.maxInWindow).toBeLessThanOrEqual(maxAllowed(2.8));
 });
 
-test('should keep to a limit while many entries start that do not know the others yet', () => {
-  const entries = new DemandingEntries();
+test('should stay within a limit while many entries start that do not know the others yet', () => {
+  const entries = new SimulatedEntries();
   const all = boxes(16);
   const started = boxes(6);
   let known: PlacedBox[] | undefined = undefined;
   for (const { box } of started) entries.start(box, () => known ?? started);
   for (const { box } of all.slice(started.length)) entries.start(box, () => known);
-  entries.hear(1);
+  entries.deliver(1);
   entries.run(6_000);
   known = all;
   entries.run(14_000);
-  expect(entries.worst).toBeLessThanOrEqual(allowed(1));
+  expect(entries.maxInWindow).toBeLessThanOrEqual(maxAllowed(1));
 });
 
-test('should keep to a limit while entries are added one after the other', () => {
-  const entries = new DemandingEntries();
+test('should stay within a limit while entries are added one by one', () => {
+  const entries = new SimulatedEntries();
   const known: PlacedBox[] = [];
   for (const added of boxes(12)) {
     known.push(added);
     entries.start(added.box, () => known);
-    entries.hear(1);
+    entries.deliver(1);
     entries.run(1_500);
   }
-  expect(entries.worst).toBeLessThanOrEqual(allowed(1));
+  expect(entries.maxInWindow).toBeLessThanOrEqual(maxAllowed(1));
 });
 
-test('should send again all that callers want within seconds of the end of a limit, and not at once', () => {
-  const entries = new DemandingEntries();
+test('should return to the full rate within seconds, but not at once, after a limit ends', () => {
+  const entries = new SimulatedEntries();
   const all = boxes(6);
   for (const { box } of all) entries.start(box, () => all);
-  entries.hear(2);
+  entries.deliver(2);
   entries.run(10_000);
-  entries.hear(undefined);
+  entries.deliver(undefined);
   const before = entries.sends.length;
   entries.run(500);
   expect(entries.sends.length - before).toBeLessThanOrEqual(4);
@@ -147,22 +147,22 @@
   expect(entries.sends.length - atEnd).toEqual(6 * (1_000 / STEP_MILLISECONDS));
 });
 
-test('should go on asking a server that takes nothing whether it still does', () => {
-  const entries = new DemandingEntries();
+test('should keep probing a server whose limit is 0', () => {
+  const entries = new SimulatedEntries();
   const all = boxes(6);
   for (const { box } of all) entries.start(box, () => all);
-  entries.hear(0);
+  entries.deliver(0);
   entries.run(40_000);
   expect(entries.sends.length).toBeGreaterThanOrEqual(5);
-  expect(entries.worst).toBeLessThanOrEqual(5);
+  expect(entries.maxInWindow).toBeLessThanOrEqual(5);
 });
 
-test('should find out that a limit has ended where those that share it have no callers', () => {
-  const entries = new DemandingEntries();
+test('should probe a limit when the entries that share it have no requests', () => {
+  const entries = new SimulatedEntries();
   const all = boxes(6);
-  // the entry of another data centre leaves the server to those near it, which have no callers and hear nothing
+  // This entry is in another data centre and has no share; the entries with a share have no requests to send.
   entries.start('entry-1', () => all);
-  entries.hear(1);
+  entries.deliver(1);
   entries.run(14_900);
   expect(entries.sends.length).toEqual(0);
   entries.run(60_000);
--- a/tests/linkProber.spec.ts
+++ b/tests/linkProber.spec.ts
@@ -1,4 +1,4 @@
-/** Which boxes an entry measures the way to. */
+/** Tests which links an entry probes. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { LinkProber } from '../src/serving/linkProber.js';
@@ -33,13 +33,13 @@
   return { prober: new LinkProber(options), lines, probed, delays };
 }
 
-test('should measure the way to boxes of an older version only', () => {
+test('should probe only boxes with an older version', () => {
   const { prober: made, probed } = prober({ '10.0.0.1': 1, '10.0.0.2': 2 });
   made.probe();
   expect(probed).toEqual([['10-0-0-1']]);
 });
 
-test('should log a link on which requests lie, and when they no longer do', () => {
+test('should log when a link becomes slow and when it recovers', () => {
   const { prober: made, lines, delays } = prober({ '10.0.0.1': 1 });
   made.probe();
   delays.set('10-0-0-1', 900);
--- a/tests/liveEntryLog.spec.ts
+++ b/tests/liveEntryLog.spec.ts
@@ -1,11 +1,11 @@
-/** What an entry logs of the other entries that it holds for live. */
+/** Tests the log lines about live entries. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { LiveEntryLog } from '../src/serving/liveEntryLog.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { notedLog } from './fixtures/notedLog.js';
 
-test('should write one line when an entry becomes live, and one by whose word it was when it no longer is', () => {
+test('should log when an entry becomes live, and which agents listed it when it no longer is', () => {
   const clock = new ManualClock();
   const { log, lines } = notedLog();
   const live = new LiveEntryLog(clock, log);
@@ -22,7 +22,7 @@
   ]);
 });
 
-test('should say who spoke last of an entry that was only remembered', () => {
+test('should log the last agents that listed an entry that was only remembered', () => {
   const clock = new ManualClock();
   const { log, lines } = notedLog();
   const live = new LiveEntryLog(clock, log);
--- a/tests/serverChoice.spec.ts
+++ b/tests/serverChoice.spec.ts
@@ -1,4 +1,4 @@
-/** Which backend server a request is sent to. */
+/** Tests the choice of the backend server for a request. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Candidate } from '../src/serving/serverChoice.js';
@@ -40,14 +40,14 @@
   );
 });
 
-test('should leave the own data centre only when it costs more than the way', () => {
+test('should use another data centre only when the own one costs more', () => {
   const random = new SeededRandom(1);
   const far = candidate('far', { sameDataCentre: false });
   expect(chooseServer([candidate('near', { load: 1 }), far], ENGINE, 400, random)?.id).toEqual('near');
   expect(chooseServer([candidate('near', { load: 15 }), far], ENGINE, 400, random)?.id).toEqual('far');
 });
 
-test('should not take an empty server before others that answer as soon, since all entries see it at once', () => {
+test('should not always prefer an empty server, which all entries see at the same time', () => {
   const servers = [candidate('empty'), candidate('half', { load: 8 }), candidate('more', { load: 10 })];
   const counts = new Map<string, number>();
   const random = new SeededRandom(3);
@@ -59,7 +59,7 @@
   expect(counts.get('half') ?? 0).toBeGreaterThan(50);
 });
 
-test('should pass over a server whose batch is nearly full, or that is about to change its version', () => {
+test('should avoid a server whose batch is nearly full or that is about to switch versions', () => {
   const random = new SeededRandom(1);
   const free = candidate('free', { load: 6 });
   expect(chooseServer([candidate('full', { load: 15.5 }), free], ENGINE, 400, random)?.id).toEqual('free');
@@ -68,32 +68,32 @@
   );
 });
 
-test('should send no more to a server than it answers in time', () => {
+test('should not send more to a server than it can answer in time', () => {
   expect(canMeetObjective(candidate('free', { load: 15, pendingPrompts: 4 }), ENGINE, 400)).toEqual(true);
   expect(canMeetObjective(candidate('full', { load: 16 }), ENGINE, 400)).toEqual(false);
   expect(canMeetObjective(candidate('reading', { load: 10, pendingPrompts: 9 }), ENGINE, 400)).toEqual(false);
 });
 
-test('should pass over a server whose link is narrow', () => {
+test('should avoid a server with a slow link', () => {
   const narrow = candidate('narrow', { slowLink: true });
   const chosen = chooseServer([narrow, candidate('busy', { load: 12 })], ENGINE, 400, new SeededRandom(1));
   expect(chosen?.id).toEqual('busy');
 });
 
-test('should pass over a server that has become slow', () => {
+test('should avoid a server that has become slow', () => {
   const slow = candidate('slow', { firstAnswerMilliseconds: 900 });
   const chosen = chooseServer([slow, candidate('busy', { load: 12 })], ENGINE, 400, new SeededRandom(1));
   expect(chosen?.id).toEqual('busy');
 });
 
-test('should use a server that is avoided only when there is no other', () => {
+test('should use an avoided server only when there is no other', () => {
   const random = new SeededRandom(1);
   const avoided = candidate('avoided', { avoided: true });
   expect(chooseServer([avoided, candidate('busy', { load: 15 })], ENGINE, 400, random)?.id).toEqual('busy');
   expect(chooseServer([avoided], ENGINE, 400, random)?.id).toEqual('avoided');
 });
 
-test('should not use a server that fails time after time for what the others have no room for', () => {
+test('should not send overflow to a repeatedly failing server', () => {
   const random = new SeededRandom(1);
   const failing = candidate('failing', { failing: true });
   const full = candidate('full', { load: 16 });
@@ -101,13 +101,13 @@
   expect(chooseServer([failing], ENGINE, 400, random)?.id).toEqual('failing');
 });
 
-test('should use a server that has just refused a request when the others have no room', () => {
+test('should use a server that has just rejected a request when the others have no room', () => {
   const refused = candidate('refused', { avoided: true });
   const full = candidate('full', { load: 16 });
   expect(chooseServer([refused, full], ENGINE, 400, new SeededRandom(1))?.id).toEqual('refused');
 });
 
-test('should not send everything to one server while the news of load stands still', () => {
+test('should not send everything to one server while load reports do not change', () => {
   const random = new SeededRandom(5);
   const servers = Array.from({ length: 12 }, (_unused, index) =>
     candidate(`s${index}`, { load: index * 0.1 }),
@@ -120,7 +120,7 @@
   expect(Math.max(...counts.values())).toBeLessThan(60);
 });
 
-test('should prefer servers of the newest version some time before the bound for older ones', () => {
+test('should prefer servers with the newest version some time before the deadline of older ones', () => {
   const old = candidate('old', { outdated: true });
   const chosen = chooseServer([old, candidate('new', { load: 8 })], ENGINE, 400, new SeededRandom(1));
   expect(chosen?.id).toEqual('new');
--- a/tests/serverEligibility.spec.ts
+++ b/tests/serverEligibility.spec.ts
@@ -1,4 +1,4 @@
-/** Which backend servers a request may be sent to around a change of version. */
+/** Tests which backend servers a request may be sent to during a version change. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { eligibleServers } from '../src/serving/serverEligibility.js';
@@ -10,17 +10,17 @@
 }
 
 function server(name: string, version: number, changes: Partial<VersionedServer> = {}): NamedServer {
-  const well = {
+  const healthy = {
     startsPromptly: true,
     switching: false,
     agentSilent: false,
     suspicious: false,
     slowLink: false,
   };
-  return { name, version: () => version, ...well, ...changes };
+  return { name, version: () => version, ...healthy, ...changes };
 }
 
-const NEED: ServerRequirements = {
+const REQUIREMENTS: ServerRequirements = {
   service: 's',
   model: 'm',
   minVersion: 0,
@@ -33,41 +33,39 @@
 };
 
 function namesOf(servers: NamedServer[], need: Partial<ServerRequirements> = {}): string[] {
-  return eligibleServers(servers, { ...NEED, ...need }).map(({ name }) => name);
+  return eligibleServers(servers, { ...REQUIREMENTS, ...need }).map(({ name }) => name);
 }
 
 for (const [what, changes] of [
   ['whose agent is silent', { agentSilent: true }],
   ['that is silent itself', { suspicious: true }],
-  ['whose link is narrow', { slowLink: true }],
+  ['whose link is slow', { slowLink: true }],
 ] as const) {
-  test(`should send nothing to a server of an older version ${what} while there is another`, () => {
+  test(`should not use a server with an older version ${what} while there is another`, () => {
     expect(namesOf([server('frozen', 1, changes), server('old', 1)])).toEqual(['old']);
     expect(namesOf([server('frozen', 1, changes)])).toEqual(['frozen']);
     expect(namesOf([server('newest', 2, changes), server('old', 1)])).toEqual(['newest', 'old']);
   });
 }
 
-test('should send nothing to an older version late before the bound, and sooner where requests wait', () => {
+test('should not use an older version shortly before the deadline, and earlier where requests queue', () => {
   const servers = [server('old', 1), server('waiting', 1, { startsPromptly: false }), server('new', 2)];
   expect(namesOf(servers, { minVersionIfSlow: 2 })).toEqual(['old', 'new']);
   expect(namesOf(servers, { minVersion: 2, minVersionIfSlow: 2 })).toEqual(['new']);
 });
 
-test('should send nothing to a server that changes its version or has none', () => {
+test('should not use a server that is switching versions or has none', () => {
   expect(namesOf([server('switching', 1, { switching: true }), server('empty', 0)])).toEqual([]);
 });
 
 /**
- * Symptom: a request began on version 1 after the bound of version 2, half a second after the entry had taken it back and had
- * answered its caller.
- * Sequence: it was sent 5.4 s after the naming to a box whose link had been squeezed to a fifth; it lay 2.7 s on its way, and the
- * reset that took it back came behind it.
- * Cause: where nothing else could serve, requests went to boxes on whose links they may lie for seconds until 1.5 s before the
- * bound: the time on the way was part of no bound.
- * What settled it: sent at 21.383 s, taken back at 23.547 s, arrived at 24.091 s, begun at 24.301 s; the bound was 24.017 s.
+ * Guards against a request that begins on an older version after the deadline, although the entry has taken it
+ * back. If no other server was available, requests were sent to boxes with slow links until 1.5 s before the
+ * deadline, without allowing for delays on the way. One was sent 5.4 s after version 2 was announced, over a link
+ * reduced to a fifth of its bandwidth. It took 2.7 s to arrive, and the reset that took it back arrived after it,
+ * so it began 0.28 s after the deadline.
  */
-test('should send nothing late to an older version where a request may lie on its way, also where there is no other', () => {
+test('should not use an older version close to the deadline if requests may be delayed', () => {
   const late: Partial<ServerRequirements> = { preferredVersion: 2 };
   for (const changes of [{ agentSilent: true }, { suspicious: true }, { slowLink: true }]) {
     expect(namesOf([server('frozen', 1, changes)], late)).toEqual([]);
--- a/tests/serverIncarnation.spec.ts
+++ b/tests/serverIncarnation.spec.ts
@@ -1,4 +1,4 @@
-/** Servers that start again under their id: which life a word is about, and that nothing of a former life is believed. */
+/** Tests that restarted servers are recognised, and that state of a former incarnation is dropped. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { BoxStatus } from '../src/protocol/boxMessages.js';
@@ -13,26 +13,26 @@
 import { notedLog } from './fixtures/notedLog.js';
 import { servingSignals } from './fixtures/servingSignals.js';
 
-for (const [what, current, toldBefore, told, judgement] of [
-  ['the first word', 0, 0, 100, 'same'],
-  ['nothing told', 100, 100, 0, 'same'],
-  ['the same again', 100, 100, 100, 'same'],
-  ['a later start of who knew the present one', 100, 100, 200, 'another'],
-  ['a later start of a source that says something for the first time', 100, 0, 200, 'another'],
-  ['a source that is behind and repeats itself', 200, 100, 100, 'former'],
-  ['a source that is behind and says something for the first time', 200, 0, 100, 'former'],
+for (const [what, current, previouslyReported, reported, match] of [
+  ['the first report', 0, 0, 100, 'same'],
+  ['an unknown start', 100, 100, 0, 'same'],
+  ['the same start again', 100, 100, 100, 'same'],
+  ['a later start from a source that knew the current one', 100, 100, 200, 'another'],
+  ['a later start in the first report of a source', 100, 0, 200, 'another'],
+  ['a source that lags and repeats its report', 200, 100, 100, 'former'],
+  ['a source that lags with its first report', 200, 0, 100, 'former'],
   ['a source that catches up', 200, 100, 200, 'same'],
-  ['a start by a clock that was set back, of who knew the present one', 200, 200, 150, 'another'],
-  ['two starts between two words', 100, 100, 300, 'another'],
-  ['a source that skips the life that the other told of', 200, 100, 300, 'another'],
+  ['a start by a clock that was set back, from a source that knew the current one', 200, 200, 150, 'another'],
+  ['two starts between two reports', 100, 100, 300, 'another'],
+  ['a source that skips the incarnation reported by the other', 200, 100, 300, 'another'],
 ] as const) {
-  test(`should judge ${what} as ${judgement}`, () => {
-    expect(matchIncarnation({ current, previouslyReported: toldBefore, reported: told })).toEqual(judgement);
+  test(`should classify ${what} as ${match}`, () => {
+    expect(matchIncarnation({ current, previouslyReported, reported })).toEqual(match);
   });
 }
 
-test('should follow two sources that tell of starts one after the other, in any order and over a clock set back', () => {
-  const words: [IncarnationSource, number, IncarnationMatch][] = [
+test('should follow starts reported by two sources, in any order and when the clock is set back', () => {
+  const reports: [IncarnationSource, number, IncarnationMatch][] = [
     ['discovery', 100, 'same'],
     ['agent', 100, 'same'],
     ['agent', 200, 'another'],
@@ -45,9 +45,9 @@
     ['discovery', 300, 'former'],
     ['discovery', 400, 'same'],
   ];
-  const life = new ServerIncarnation();
-  expect(words.map(([source, told]) => life.noteStart(source, told))).toEqual(
-    words.map(([, , judged]) => judged),
+  const incarnation = new ServerIncarnation();
+  expect(reports.map(([source, reported]) => incarnation.noteStart(source, reported))).toEqual(
+    reports.map(([, , match]) => match),
   );
 });
 
@@ -55,11 +55,11 @@
   ['the same start', [5, 3], [5, 4], false],
   ['a later start with the same number of orders', [5, 0], [9, 0], true],
   ['an earlier start, by a clock set back', [5, 1], [4, 1], true],
-  ['fewer orders where no start is told', [0, 3], [0, 0], true],
-  ['more orders where no start is told', [0, 3], [0, 4], false],
-  ['a start that is told for the first time', [0, 2], [7, 2], false],
+  ['fewer orders without a known start', [0, 3], [0, 0], true],
+  ['more orders without a known start', [0, 3], [0, 4], false],
+  ['a start that is reported for the first time', [0, 2], [7, 2], false],
 ] as const) {
-  test(`should ${isAnother ? '' : 'not '}take ${what} for another life`, () => {
+  test(`should ${isAnother ? '' : 'not '}take ${what} for another incarnation`, () => {
     const signs = ([startedAt, revision]: readonly [number, number]) => ({ startedAt, revision });
     expect(isAnotherLife(signs(before), signs(now))).toEqual(isAnother);
   });
@@ -102,7 +102,7 @@
   return { pool, steps: noted.steps, server: (): TrackedServer => pool.all()[0] };
 }
 
-test('should believe nothing of a server whose agent tells of another start', () => {
+test('should drop the state of a server when its agent reports another start', () => {
   const { pool, server, steps } = poolFixture();
   pool.update([record(100)]);
   pool.noteStatus(HOST, status(100, 2));
@@ -115,7 +115,7 @@
   expect(steps().filter((step) => step === 'server.started-again').length).toEqual(1);
 });
 
-test('should not take the versions of a former life from an entry that is behind', () => {
+test('should not apply versions of a former incarnation from a lagging record', () => {
   const { pool, server } = poolFixture();
   pool.update([record(100)]);
   pool.noteStatus(HOST, status(200, 0));
@@ -125,7 +125,7 @@
   expect(server().version('m')).toEqual(1);
 });
 
-test('should not take the status of a former life from an agent that is behind', () => {
+test('should not apply the status of a former incarnation from a lagging agent', () => {
   const { pool, server } = poolFixture();
   pool.update([record(100)]);
   pool.noteStatus(HOST, status(100, 2));
@@ -135,7 +135,7 @@
   expect([server().version('m'), server().statusAge]).toEqual([0, undefined]);
 });
 
-test('should let a former life drain that is told to leave, and not the present one begin anew', () => {
+test('should mark a server as draining by a record of its former incarnation, without a restart', () => {
   const { pool, server, steps } = poolFixture();
   pool.update([record(100)]);
   pool.noteStatus(HOST, status(200, 0));
@@ -144,7 +144,7 @@
   expect(steps().includes('server.draining')).toEqual(true);
 });
 
-test('should not raise a version by an entry that says nothing new, once the agent has told of its loss', () => {
+test('should not restore a version from an unchanged record after the agent reported its loss', () => {
   const { pool, server } = poolFixture();
   const entry = record(0);
   pool.update([entry]);
@@ -153,7 +153,7 @@
   expect(server().version('m')).toEqual(0);
 });
 
-test('should reach a server that starts again at another address there', () => {
+test('should use the new address of a server that restarts at another one', () => {
   const { pool, server } = poolFixture();
   pool.update([record(100)]);
   const former = server();
@@ -162,7 +162,7 @@
   expect([former.connections.acquire() === undefined, server().connections.available]).toEqual([true, true]);
 });
 
-test('should use a server no longer whose entry cannot be understood, also while the list is doubtful', () => {
+test('should remove a server with an invalid record, even if the list may be incomplete', () => {
   const { pool } = poolFixture();
   pool.update([record(100), record(100, { id: 'i-2' })]);
   pool.update([record(100, { id: 'i-2' })], { mayBeIncomplete: true, unusable: new Set(['i-1']) });
@@ -171,14 +171,14 @@
 
 for (const [what, former, later] of [
   ['a later start', { startedAt: 100, revision: 9 }, { startedAt: 200, revision: 5 }],
-  ['a later change, where starts are not told', { startedAt: 0, revision: 5 }, { startedAt: 0, revision: 9 }],
+  ['a later change, if the starts are unknown', { startedAt: 0, revision: 5 }, { startedAt: 0, revision: 9 }],
   [
-    'a later change, where only one start is told',
+    'a later change, if only one start is known',
     { startedAt: 100, revision: 5 },
     { startedAt: 0, revision: 9 },
   ],
 ] as const) {
-  test(`should know of two servers at one address the one that lives by ${what}`, () => {
+  test(`should find the later of two servers at one address by ${what}`, () => {
     const listed = [
       { record: record(former.startedAt, { id: 'former' }), revision: former.revision },
       { record: record(later.startedAt, { id: 'later' }), revision: later.revision },
@@ -189,7 +189,7 @@
   });
 }
 
-test('should use a server no longer that is superseded, also while the list is doubtful', () => {
+test('should remove a superseded server, even if the list may be incomplete', () => {
   const { pool } = poolFixture();
   pool.update([record(100)]);
   pool.update([record(200, { id: 'i-2' })], { mayBeIncomplete: true, unusable: new Set(['i-1']) });
--- a/tests/serverNotices.spec.ts
+++ b/tests/serverNotices.spec.ts
@@ -1,4 +1,6 @@
-/** What servers ask for reaches entries that have not asked them, by way of the agents, and is not overtaken by older notices. */
+/**
+ * Tests that entries share backpressure signals through agents, and that older notices do not replace newer state.
+ */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { AnswerSignals } from '../src/backpressure/answerSignals.js';
@@ -23,7 +25,7 @@
   };
 }
 
-function saying(changes: Partial<AnswerSignals>): AnswerSignals {
+function signalsWith(changes: Partial<AnswerSignals>): AnswerSignals {
   return {
     limitPerSecond: undefined,
     leaving: false,
@@ -33,7 +35,7 @@
   };
 }
 
-/** Signals of one entry, and what it tells the others. */
+/** Creates the signals of one entry and the state of one server. */
 function entry() {
   const clock = new ManualClock();
   clock.advance(10_000);
@@ -41,35 +43,35 @@
   return { clock, signals, server: signals.backpressureOf(SERVER, 'north', 0) };
 }
 
-test('should pass on what is new to an agent, once', () => {
+test('should forward new notices at an agent only once', () => {
   const notices = new ServerNotices(new ManualClock());
   expect(notices.take([notice()])).toEqual([notice()]);
   expect(notices.take([notice()])).toEqual([]);
   expect(notices.all()).toEqual([notice()]);
 });
 
-test('should keep the newer of two notices at an agent, whichever comes first', () => {
+test('should keep the newer of two notices at an agent, in whichever order they arrive', () => {
   const notices = new ServerNotices(new ManualClock());
   notices.take([notice({ limitPerSecond: null, heardMilliseconds: 100 })]);
   expect(notices.take([notice({ heardMilliseconds: 2_000 })])).toEqual([]);
   expect(notices.take([notice({ heardMilliseconds: 50 })])).toEqual([notice({ heardMilliseconds: 50 })]);
 });
 
-test('should not forget at an agent that a server leaves', () => {
+test('should keep at an agent that a server is leaving', () => {
   const notices = new ServerNotices(new ManualClock());
   notices.take([notice({ leaving: true, heardMilliseconds: 500 })]);
   const later = notice({ limitPerSecond: 2 });
   expect(notices.take([later])).toEqual([{ ...later, leaving: true }]);
 });
 
-test('should take another life of a server for itself at an agent', () => {
+test('should treat another incarnation of a server separately at an agent', () => {
   const notices = new ServerNotices(new ManualClock());
   notices.take([notice({ startedAt: 5, leaving: true, heardMilliseconds: 500 })]);
   const later = notice({ startedAt: 6 });
   expect(notices.take([later])).toEqual([later]);
 });
 
-test('should pass on from time to time at an agent that a limit still holds', () => {
+test('should forward the confirmation of a limit from time to time at an agent', () => {
   const clock = new ManualClock();
   const notices = new ServerNotices(clock);
   notices.take([notice()]);
@@ -79,7 +81,7 @@
   expect(notices.take([notice()])).toEqual([notice()]);
 });
 
-test('should forget notices at an agent that are very old', () => {
+test('should drop very old notices at an agent', () => {
   const clock = new ManualClock();
   const notices = new ServerNotices(clock);
   notices.take([notice()]);
@@ -87,36 +89,36 @@
   expect(notices.all()).toEqual([]);
 });
 
-test('should heed the limit that another entry was told', () => {
+test('should apply a limit reported by another entry', () => {
   const { signals, server } = entry();
   signals.applyNotices([notice()]);
   expect(server.isLimited).toEqual(true);
   expect(server.waitMilliseconds).toEqual(1_000);
 });
 
-test('should heed a limit that was told before the server was found', () => {
+test('should apply a limit reported before the server was found', () => {
   const { signals } = entry();
   signals.applyNotices([notice({ server: 'i-2' })]);
   expect(signals.backpressureOf('i-2', 'north', 0).isLimited).toEqual(true);
 });
 
-test('should not heed what was told of another life of a server', () => {
+test('should not apply a notice about another incarnation of a server', () => {
   const { signals } = entry();
   const server = signals.backpressureOf('i-2', 'north', 6);
   signals.applyNotices([notice({ server: 'i-2', startedAt: 5 })]);
   expect(server.isLimited).toEqual(false);
 });
 
-test('should not heed what was told of a former life before the present one was found', () => {
+test('should not apply a notice about a former incarnation received before the current one was found', () => {
   const { signals } = entry();
   signals.applyNotices([notice({ server: 'i-2', startedAt: 5, leaving: true })]);
   const server = signals.backpressureOf('i-2', 'north', 6);
   expect([server.isLimited, server.isLeaving]).toEqual([false, false]);
 });
 
-test('should hear from another entry that a limit has ended, and not by an older notice', () => {
+test('should end a limit by a notice of another entry, but not by an older one', () => {
   const { clock, signals, server } = entry();
-  server.applySignals(saying({ limitPerSecond: 1 }));
+  server.applySignals(signalsWith({ limitPerSecond: 1 }));
   clock.advance(2_000);
   signals.applyNotices([notice({ limitPerSecond: null, heardMilliseconds: 2_500 })]);
   expect(server.isLimited).toEqual(true);
@@ -126,26 +128,26 @@
   expect(server.isLimited).toEqual(false);
 });
 
-test('should heed a limit that it was told though an older answer of the server came later', () => {
+test('should keep a reported limit when a response without one follows', () => {
   const { signals, server } = entry();
-  server.applySignals(saying({}));
+  server.applySignals(signalsWith({}));
   signals.applyNotices([notice({ heardMilliseconds: 50 })]);
-  server.applySignals(saying({}));
+  server.applySignals(signalsWith({}));
   expect(server.isLimited).toEqual(true);
 });
 
-test('should end a limit by an answer only when none has named it for a second', () => {
+test('should end a limit only when no response has had one for a second', () => {
   const { clock, server } = entry();
-  server.applySignals(saying({ limitPerSecond: 1 }));
+  server.applySignals(signalsWith({ limitPerSecond: 1 }));
   clock.advance(900);
-  server.applySignals(saying({}));
+  server.applySignals(signalsWith({}));
   expect(server.isLimited).toEqual(true);
   clock.advance(100);
-  server.applySignals(saying({}));
+  server.applySignals(signalsWith({}));
   expect(server.isLimited).toEqual(false);
 });
 
-test('should tell the other entries from time to time that a limit still holds', () => {
+test('should confirm a limit to the other entries from time to time', () => {
   const clock = new ManualClock();
   let told = 0;
   const server = new ServerBackpressure({
@@ -157,25 +159,25 @@
     onChange: () => told++,
   });
   for (let second = 0; second <= 25; second++) {
-    server.applySignals(saying({ limitPerSecond: 1 }));
+    server.applySignals(signalsWith({ limitPerSecond: 1 }));
     clock.advance(1_000);
   }
   expect(told).toEqual(3);
-  server.applySignals(saying({}));
+  server.applySignals(signalsWith({}));
   clock.advance(20_000);
-  server.applySignals(saying({}));
+  server.applySignals(signalsWith({}));
   expect(told).toEqual(4);
 });
 
-test('should believe nothing of a former life of a server', () => {
+test('should drop the state of a former incarnation of a server', () => {
   const { signals, server } = entry();
-  server.applySignals(saying({ limitPerSecond: 1, leaving: true, retryAfterMilliseconds: 1_000 }));
+  server.applySignals(signalsWith({ limitPerSecond: 1, leaving: true, retryAfterMilliseconds: 1_000 }));
   signals.forgetServer(SERVER);
   const present = signals.backpressureOf(SERVER, 'north', 0);
   expect([present.isLimited, present.isLeaving, present.isBackingOff]).toEqual([false, false, false]);
 });
 
-test('should tell the other entries what answers have changed, and nothing else', async () => {
+test('should notify the other entries of changes by responses only', async () => {
   const { signals, server } = entry();
   const told: ServerNotice[][] = [];
   const once = new Promise<void>((resolve) => {
@@ -184,10 +186,10 @@
       resolve();
     });
   });
-  server.applySignals(saying({}));
+  server.applySignals(signalsWith({}));
   signals.applyNotices([notice({ server: 'i-2' })]);
-  server.applySignals(saying({ limitPerSecond: 1 }));
-  server.applySignals(saying({ limitPerSecond: 2, leaving: true }));
+  server.applySignals(signalsWith({ limitPerSecond: 1 }));
+  server.applySignals(signalsWith({ limitPerSecond: 2, leaving: true }));
   await once;
   expect(told).toEqual([[notice({ limitPerSecond: 2, leaving: true })]]);
   expect(new Set(signals.notices().map(({ server: id }) => id))).toEqual(new Set([SERVER, 'i-2']));
--- a/tests/serverPool.spec.ts
+++ b/tests/serverPool.spec.ts
@@ -1,4 +1,4 @@
-/** Which server a gateway finds for a request, and for whom there is still room. */
+/** Tests which servers the pool finds for a request. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { ServerRequirements } from '../src/serving/serverRequirements.js';
@@ -25,7 +25,7 @@
   origin: undefined,
 };
 
-/** A pool with one server on which `running` requests run, and to whose box a round trip takes so long. */
+/** A pool with one server that has `running` requests and a round trip of `delayMilliseconds` to its box. */
 function poolWithLoad(running: number, delayMilliseconds = 0): ServerPool {
   const clock = new ManualClock();
   clock.advance(10_000);
@@ -56,7 +56,7 @@
   return pool;
 }
 
-function need(isContinuation: boolean): ServerRequirements {
+function requirements(isContinuation: boolean): ServerRequirements {
   return {
     service: 'chat',
     model: 'm',
@@ -70,15 +70,15 @@
   };
 }
 
-test('should have room on a full server for a stream that is handed over, and for nothing new', () => {
+test('should have room on a full server for a stream that is handed over, but not for new requests', () => {
   const kinds = (running: number): string[] =>
-    [false, true].map((isContinuation) => poolWithLoad(running).find(need(isContinuation)).kind);
+    [false, true].map((isContinuation) => poolWithLoad(running).find(requirements(isContinuation)).kind);
   expect(kinds(SLOTS - 1)).toEqual(['found', 'found']);
   expect(kinds(SLOTS)).toEqual(['none', 'found']);
   expect(kinds(SLOTS + 1)).toEqual(['none', 'none']);
 });
 
-test('should hold a link for slow on which round trips to the box of a server take long', () => {
+test('should consider a link slow when round trips to the box take long', () => {
   const slow = [SLOW_LINK_MILLISECONDS, SLOW_LINK_MILLISECONDS + 1].map((delayMilliseconds) =>
     poolWithLoad(0, delayMilliseconds)
       .all()
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -1,4 +1,4 @@
-/** Decisions of a gateway, each with time and randomness set by the test. */
+/** Unit tests of the decisions of a gateway, with a manual clock and fixed random numbers. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { OWN_HEADER_NAMES } from '../src/serving/headerNames.js';
@@ -36,13 +36,13 @@
   expect(chooseTarget(route, 0.91)).toEqual('few');
 });
 
-test('should know the customer of each key and of no other', () => {
+test('should find the customer of a known API key only', () => {
   const index = new RouteIndex(servingConfiguration());
   expect(index.customer('key-one')?.name).toEqual('one');
   expect(index.customer('key-two')).toEqual(undefined);
 });
 
-test('should forget that a server was slow, so that it is tried again', () => {
+test('should forget that a server was slow, so that it is used again', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
   for (let attempt = 0; attempt < 10; attempt++) health.noteFirstAnswer(1_000);
@@ -51,7 +51,7 @@
   expect(health.firstAnswerMilliseconds).toBeLessThan(100);
 });
 
-test('should pass over a server that fails until its failures are old', () => {
+test('should rate a server by its failures until they are old', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
   for (let attempt = 0; attempt < 6; attempt++) health.noteOutcome('failed');
@@ -60,14 +60,14 @@
   expect(health.failureRate).toBeLessThan(0.05);
 });
 
-test('should leave alone for a while a server whose address another one has', () => {
+test('should avoid a server for a while when another one has its address', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
   health.noteOutcome('displaced');
   expect([health.avoided, health.failureRate]).toEqual([true, 0]);
 });
 
-test('should leave a silent server alone for a while', () => {
+test('should avoid a silent server for a while', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
   health.noteOutcome('silent');
@@ -76,7 +76,7 @@
   expect(health.avoided).toEqual(false);
 });
 
-test('should leave alone for longer and longer a server that fails time after time, and try it with one request', () => {
+test('should back off from a repeatedly failing server and retry it with one request', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
   health.noteOutcome('failed');
@@ -93,13 +93,13 @@
   expect(health.failing(5)).toEqual(false);
 });
 
-test('should not leave alone a server that fails now and then', () => {
+test('should not back off from a server that fails now and then', () => {
   const health = new ServerHealth(new ManualClock());
   for (const end of ['failed', 'succeeded', 'failed', 'succeeded'] as const) health.noteOutcome(end);
   expect(health.failing(5)).toEqual(false);
 });
 
-test('should keep this share of the retries within the bound', () => {
+test('should keep the retries of this entry within its share of the bound', () => {
   const clock = new ManualClock();
   const bound = { ratio: 0.2, windowMilliseconds: 10_000, slack: 100 };
   const allowance = new RetryAllowance(bound, clock, () => 5);
@@ -115,7 +115,7 @@
   expect(allowance.takeRetry(false)).toEqual(true);
 });
 
-test('should keep a part of the retries for answers that have begun', () => {
+test('should reserve a part of the retries for responses that have begun', () => {
   const clock = new ManualClock();
   const bound = { ratio: 0.2, windowMilliseconds: 10_000, slack: 100 };
   const allowance = new RetryAllowance(bound, clock, () => 5);
@@ -127,7 +127,7 @@
   expect(allowance.takeRetry(false)).toEqual(false);
 });
 
-test('should cut a stream into whole events, wherever its bytes are cut', () => {
+test('should split a stream into complete events, wherever its bytes are split', () => {
   const text = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata';
   for (let cut = 1; cut < text.length; cut++) {
     const splitter = new EventSplitter();
@@ -155,7 +155,7 @@
   });
 }
 
-const CALM: AttemptProgress = {
+const HEALTHY: AttemptProgress = {
   waited: 100,
   objective: 400,
   serverSilentFor: 0,
@@ -177,7 +177,7 @@
   ['a plain request in time', { stream: false, streamSilentFor: undefined, waited: 300 }, false],
 ] as const) {
   test(`should ${silent ? 'move' : 'keep'} ${what}`, () => {
-    expect(isSilent({ ...CALM, ...changes })).toEqual(silent);
+    expect(isSilent({ ...HEALTHY, ...changes })).toEqual(silent);
   });
 }
 
@@ -189,7 +189,7 @@
   return { whole: true, entries, gone: [] };
 }
 
-test('should take what has changed since the last list', () => {
+test('should apply changes since the last list', () => {
   const { directory } = subscribedDirectory('agent');
   directory.applyList('agent', all([entry('b', 'north'), entry('c', 'north')]));
   directory.applyList('agent', { whole: false, entries: [entry('d', 'north')], gone: ['b'] });
@@ -198,33 +198,33 @@
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
-test('should assume that it shares bounds with many until it knows better', () => {
+test('should assume many sharing entries until the entries are known', () => {
   const { directory } = subscribedDirectory('agent');
   expect(directory.count()).toEqual(16);
   directory.applyList('agent', all([entry('a', 'north')]));
   expect(directory.count()).toEqual(1);
 });
 
-test("should name the live entries of the caller's data centre", () => {
+test("should list the live entries in the caller's data centre", () => {
   const { directory } = subscribedDirectory('agent');
   directory.applyList('agent', all([entry('a', 'north'), entry('b', 'north'), entry('c', 'south')]));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
-test('should name an entry of another data centre rather than only one', () => {
+test('should list an entry in another data centre rather than only one entry', () => {
   const { directory } = subscribedDirectory('agent');
   directory.applyList('agent', all([entry('b', 'south'), entry('c', 'south')]));
   expect(directory.addressesFor('north')).toEqual(['a:80', 'b:80']);
 });
 
-test('should not name an entry that leaves, whoever says so', () => {
+test('should not list an entry that any agent reports as leaving', () => {
   const { directory } = subscribedDirectory('one', 'two');
   directory.applyList('one', all([entry('b', 'north')]));
   directory.applyList('two', all([entry('b', 'north', true)]));
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should tell callers to come back within the time that they wait, and apart', () => {
+test('should advise callers to retry within their time-out, at different times', () => {
   expect(retryAfter('no server', 6_000, 0)).toEqual(960);
   expect(retryAfter('all busy', 6_000, 0.999)).toEqual(1_919);
   expect(retryAfter('time', -5, 0.5)).toEqual(0);
--- a/tests/trackedServer.spec.ts
+++ b/tests/trackedServer.spec.ts
@@ -1,4 +1,4 @@
-/** What a gateway believes of one backend server. */
+/** Tests the state that an entry tracks for one backend server. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { BackendConnections } from '../src/serving/backendConnections.js';
@@ -31,7 +31,7 @@
   return server;
 }
 
-test('should believe the agent that a server has lost its version', () => {
+test('should apply a lost version reported by the agent', () => {
   const server = trackedServer(new ManualClock(), [{ name: 'model', version: 2 }]);
   expect(server.version('model')).toEqual(2);
   const load = { type: 'box-status', running: 0, queued: 0, model: 'model', slowLink: false } as const;
@@ -41,7 +41,7 @@
   expect(server.version('model')).toEqual(3);
 });
 
-test('should not are retained a server with prompts before it to begin soon', () => {
+test('should not expect a request to start promptly behind pending prompts', () => {
   const clock = new ManualClock();
   clock.advance(10_000);
   const server = trackedServer(clock);
@@ -64,7 +64,7 @@
   expect(server.startsPromptly).toEqual(false);
 });
 
-test('should take other entries to have sent as many prompts as this one', () => {
+test('should assume that other entries have sent as many prompts as this one', () => {
   const server = trackedServer(new ManualClock());
   server.noteSent(1);
   server.noteSent(1);
@@ -75,7 +75,7 @@
   expect(server.pendingPrompts).toEqual(0);
 });
 
-test('should count what waits by the size of prompts, not by their number', () => {
+test('should count pending prompts by their size, not by their number', () => {
   const large = trackedServer(new ManualClock());
   const small = trackedServer(new ManualClock());
   large.noteSent(4);
@@ -85,7 +85,7 @@
   expect(small.pendingPrompts).toEqual(0);
 });
 
-test('should tell the size of a prompt from its tokens', () => {
+test('should compute the size of a prompt from its tokens', () => {
   expect(promptSize('3880,80', 970)).toEqual(4);
   expect(promptSize('97', 970)).toEqual(0.1);
   expect(promptSize(undefined, 970)).toEqual(1);
@@ -94,7 +94,7 @@
   expect(promptSize('100,1', 0)).toEqual(1);
 });
 
-test('should believe the agent that more prompts wait, for as long as they take to be read', () => {
+test('should apply a higher number of queued prompts reported by the agent while it is recent', () => {
   const clock = new ManualClock();
   const server = trackedServer(clock);
   const status = { type: 'box-status', state: 'serving', version: 1, running: 4, slowLink: false } as const;
@@ -104,7 +104,7 @@
   expect(server.pendingPrompts).toEqual(4);
 });
 
-test('should call a link slow on which a probe has been waiting', () => {
+test('should consider a link slow when its round trip is long', () => {
   let delay = 400;
   const server = trackedServer(new ManualClock(), [], () => delay);
   expect(server.slowLink).toEqual(false);
@@ -112,7 +112,7 @@
   expect([server.slowLink, server.startsPromptly]).toEqual([true, false]);
 });
 
-test('should not call a link slow for ever by the last word of a lost agent', () => {
+test('should not consider a link slow after its agent has been lost for a while', () => {
   const clock = new ManualClock();
   const server = trackedServer(clock);
   const status = { type: 'box-status', state: 'serving', version: 1, running: 0, queued: 0 } as const;
--- a/tests/versionGate.spec.ts
+++ b/tests/versionGate.spec.ts
@@ -1,10 +1,10 @@
-/** On which versions requests may begin, and from when on. */
+/** Tests on which versions requests may begin, and until when. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { VersionGate } from '../src/serving/versionGate.js';
 import { ManualClock } from '../src/utils/clock.js';
 
-test('should stop sending to an older version sooner where requests take long', () => {
+test('should stop sending to an older version sooner where requests take long to begin', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
@@ -12,7 +12,7 @@
   expect([gate.minVersionToSend('m'), gate.minVersionToSend('m', true)]).toEqual([0, 2]);
 });
 
-test('should let no request begin on an older version once the time is over', () => {
+test('should not send to an older version shortly before the deadline', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   expect(gate.noteTarget('m', 2, 0)).toEqual(true);
@@ -23,7 +23,7 @@
   expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
-test('should take back what has not begun on an older version just before the bound', () => {
+test('should take back requests that have not begun on an older version just before the deadline', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
@@ -33,7 +33,7 @@
   expect(gate.minVersionToBegin('m')).toEqual(2);
 });
 
-test('should count the bound of a version from the earliest time at which it may have been named', () => {
+test('should count the deadline from the earliest time at which the version may have been announced', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
@@ -45,7 +45,7 @@
   expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
-test('should not send to an older version at all when nothing was known of the versions since a start long ago', () => {
+test('should not send to an older version when no version was known since a start long ago', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   clock.advance(20_000);
@@ -53,7 +53,7 @@
   expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
-test('should serve older versions for a while after an outage in which a version may have been named long ago', () => {
+test('should use older versions for a while after an outage in which a version may have been announced', () => {
   for (const lateMilliseconds of [7_900, 20_000]) {
     const clock = new ManualClock();
     const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
@@ -66,7 +66,7 @@
   }
 });
 
-test('should not take back what it has just sent when a version comes during its start', () => {
+test('should not take back recent requests when a version becomes known during the start', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   clock.advance(400);
@@ -78,7 +78,7 @@
   expect(gate.minVersionToBegin('m')).toEqual(3);
 });
 
-test('should judge each version from its own naming', () => {
+test('should count the deadline of each version separately', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
@@ -90,7 +90,7 @@
   expect(gate.minVersionToSend('m')).toEqual(3);
 });
 
-test('should not trust the age of a version that it finds at its start', () => {
+test('should count the age of a version found at the start from the start', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, Number.POSITIVE_INFINITY);
@@ -98,22 +98,19 @@
   expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
-test('should want the first version before any is named', () => {
+test('should want the first version before any version is announced', () => {
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, new ManualClock());
   expect(gate.wanted('m').version).toEqual(1);
 });
 
 /**
- * Symptom: a request began on version 1, 8.3 s after version 2 had been acknowledged; its server had got it 6 ms after it was
- * sent, and the entry that had sent it never took it back, which every entry does that has known of version 2 for 7.5 s.
- * Sequence: version 2 is named, version 3 two seconds later; an entry that has missed version 2 for so long hears of version 3
- * by a change, and of version 2 later or not at all.
- * Cause: a record holds only the newest version, and the gate took no version that is older than one it knows, so that the end
- * of version 1 was counted from the naming of version 3: two seconds too late.
- * What settled it: nearly all entries refused everything from 6 s after the acknowledgement on; two of one data centre still
- * sent to version 1 then, and can have known of a newer one for 7.1 s at the most when the bound of 8 s was over.
+ * Guards against a deadline that is counted from the wrong version. Version 3 was announced two seconds after
+ * version 2. An entry that had missed version 2 learned of version 3 first, because a record holds only the newest
+ * version, and the gate ignored versions older than the newest known one. So it counted the deadline of version 1
+ * from version 3, two seconds too late, and a request began on version 1 8.3 s after version 2 had been
+ * acknowledged; the deadline is 8 s.
  */
-test('should hold to the bound of a version that it hears of after a newer one', () => {
+test('should keep the deadline of a version that becomes known after a newer one', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
@@ -128,7 +125,7 @@
   expect(gate.minVersionToSend('m')).toEqual(3);
 });
 
-test('should count the bound from when any entry heard of a version', () => {
+test('should count the deadline from when any entry heard of a version', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
@@ -138,7 +135,7 @@
   expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
-test('should know of a version by the word of another entry alone', () => {
+test('should learn a version from another entry alone', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   expect(gate.noteHeard({ model: 'm', version: 2, heardMilliseconds: 200 })).toEqual(true);
@@ -147,7 +144,7 @@
   expect(gate.heard('m')).toEqual([{ model: 'm', version: 2, heardMilliseconds: 300 }]);
 });
 
-test('should tell others when it heard of a version, not from when it counts the bound', () => {
+test('should report when it heard of a version, not from when it counts the deadline', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
@@ -155,7 +152,7 @@
   expect(gate.heard('m')[0]?.heardMilliseconds).toEqual(0);
 });
 
-test('should not be held after a start to what others have heard long before', () => {
+test('should be exempt after its start from the deadline of a version that others heard of long ago', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteHeard({ model: 'm', version: 2, heardMilliseconds: 7_900 });
@@ -164,7 +161,7 @@
   expect(gate.minVersionToBegin('m')).toEqual(2);
 });
 
-test('should take back sooner where the reset may lie on its way', () => {
+test('should take back requests sooner where the reset may be delayed', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
@@ -172,7 +169,7 @@
   expect([gate.minVersionToBegin('m'), gate.minVersionToBegin('m', true)]).toEqual([0, 2]);
 });
 
-test('should not count a bound from earlier because a version that it knows is listed again', () => {
+test('should not move a deadline when a known version is listed again', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
@@ -182,7 +179,7 @@
   expect(gate.wanted('m').knownMilliseconds).toEqual(1_000);
 });
 
-test('should not be held at once to what it hears long after the others', () => {
+test('should be exempt for a while from the deadline of a version that it hears of long after the others', () => {
   const clock = new ManualClock();
   clock.advance(60_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
@@ -192,7 +189,7 @@
   expect(gate.minVersionToBegin('m')).toEqual(2);
 });
 
-test('should count from the earliest time by its own source, also where an agent tells it first', () => {
+test('should count from the earliest time given by its records, even if an agent reports the version first', () => {
   const clock = new ManualClock();
   clock.advance(20_000);
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
