--- a/tests/crashingRequest.spec.ts
+++ b/tests/crashingRequest.spec.ts
@@ -65,7 +65,7 @@
 async function tryTo(body: string, attempt: number, more: CallerRequest = {}): Promise<CallerAnswer> {
   const entry = attempt % 2 === 0 ? first : second;
   const headers = { 'larklatch-request-id': `${body}-${attempt}` };
-  return await entry.ask({ method: 'POST', body, headers, ...more });
+  return await entry.request({ method: 'POST', body, headers, ...more });
 }
 
 test('should end no more than three servers by a request that ends each server which runs it', async () => {
@@ -84,7 +84,7 @@
   const later = new GatewayFixture();
   try {
     await later.startBeside(first);
-    expect((await later.ask({ method: 'POST', body: 'crash' })).status).toEqual(503);
+    expect((await later.request({ method: 'POST', body: 'crash' })).status).toEqual(503);
   } finally {
     later.stop();
   }
--- a/tests/explain.spec.ts
+++ b/tests/explain.spec.ts
@@ -25,7 +25,7 @@
 test('should tell why a request was refused', async () => {
   const full = answers({ status: 503, headers: { 'larklatch-not-run': '1' }, seal: null });
   await fixture.start([full], { routes: [routeFixture({ kind: 'once', attempts: 1 })] });
-  await fixture.ask({ method: 'POST' });
+  await fixture.request({ method: 'POST' });
   expect(await stepsOf('request-1')).toEqual(['request.sent', 'request.rejected', 'request.refused']);
 });
 
@@ -33,18 +33,18 @@
   await fixture.start([({ socket }) => void socket.resetAndDestroy()], {
     routes: [routeFixture({ kind: 'once', attempts: 1 })],
   });
-  await fixture.ask({ method: 'POST' });
+  await fixture.request({ method: 'POST' });
   expect(await stepsOf('request-1')).toEqual(['request.sent', 'request.attempt-failed', 'request.failed']);
 });
 
 test('should tell why a request was denied', async () => {
   await fixture.start([answers()]);
-  await fixture.ask({ headers: { authorization: 'Bearer other' } });
+  await fixture.request({ headers: { authorization: 'Bearer other' } });
   expect(await stepsOf('request-1')).toEqual(['request.denied']);
 });
 
 test('should tell nothing of other requests', async () => {
   await fixture.start([answers()]);
-  await fixture.ask();
+  await fixture.request();
   expect(await stepsOf('request-2')).toEqual([]);
 });
--- a/tests/gatewayLinks.spec.ts
+++ b/tests/gatewayLinks.spec.ts
@@ -34,7 +34,7 @@
   await startEngines(1);
   // Two versions, because a presence that was pending since the start could already contain the first one.
   for (const version of [2, 3]) {
-    fixture.tellHeard(0, version, 100);
+    fixture.sendVersionsHeard(0, version, 100);
     await until(() => fixture.presences(0).at(-1)?.wanted[0]?.version === version);
   }
 });
@@ -49,7 +49,7 @@
   await startEngines(2);
   fixture.setServer(0, { models: [{ name: 'model', version: 1 }] });
   fixture.setServer(1, { models: [{ name: 'model', version: 2 }] });
-  fixture.tellHeard(0, 2, 100);
+  fixture.sendVersionsHeard(0, 2, 100);
   await until(() => fixture.probes(0) > 3);
   expect(fixture.probes(1)).toBeLessThan(2);
 });
@@ -68,7 +68,7 @@
   const before = asked();
   for (const index of before) {
     const entry = { box: `entry-${index}`, dataCentre: 'north', address: `entry-${index}:80`, control: '' };
-    fixture.tell(index, {
+    fixture.sendMessage(index, {
       type: 'entry-list',
       whole: true,
       entries: [{ ...entry, leaving: false }],
--- a/tests/gatewayRequests.spec.ts
+++ b/tests/gatewayRequests.spec.ts
@@ -35,7 +35,7 @@
     'larklatch-customer': 'forged',
     'larklatch-deadline-milliseconds': '3000',
   };
-  const answer = await fixture.ask({ method: 'POST', path: '/a/x?q=%20', body: 'the body', headers });
+  const answer = await fixture.request({ method: 'POST', path: '/a/x?q=%20', body: 'the body', headers });
   expect([answer.status, answer.body, answer.headers['larklatch-seal']]).toEqual([200, 'body', 'seal']);
   const [arrived] = fixture.backends[0].arrived;
   expect([arrived.method, arrived.path, arrived.body]).toEqual(['POST', '/a/x?q=%20', 'the body']);
@@ -54,7 +54,7 @@
 ] as const) {
   test(`should answer ${status} to a request with ${what}`, async () => {
     await fixture.start([answers()]);
-    expect((await fixture.ask(request)).status).toEqual(status);
+    expect((await fixture.request(request)).status).toEqual(status);
     expect(fixture.arrivals).toEqual(0);
   });
 }
@@ -73,7 +73,7 @@
 ] as const) {
   test(`should answer ${status} and never run twice what may run once, when the answer ${what}`, async () => {
     await fixture.start([script, script], ONCE);
-    const answer = await fixture.ask({ method: 'POST', body: 'x' });
+    const answer = await fixture.request({ method: 'POST', body: 'x' });
     expect(answer.status).toEqual(status);
     expect(fixture.arrivals).toEqual(1);
     expect(answer.headers['retry-after'] !== undefined).toEqual(status === 503);
@@ -96,7 +96,7 @@
       script(request);
     };
     await fixture.start([failsOnce, failsOnce]);
-    const answer = await fixture.ask();
+    const answer = await fixture.request();
     expect([answer.status, answer.body]).toEqual([200, 'body']);
     expect(fixture.arrivals).toEqual(2);
   });
@@ -106,27 +106,28 @@
   await fixture.start([answers()]);
   fixture.store.lost = true;
   await until(() => fixture.lines.some((line) => line.includes('store.lost')));
-  let answer = await fixture.ask({ headers: { authorization: 'Bearer other' } });
-  while (answer.status === 401) answer = await fixture.ask({ headers: { authorization: 'Bearer other' } });
+  let answer = await fixture.request({ headers: { authorization: 'Bearer other' } });
+  while (answer.status === 401)
+    answer = await fixture.request({ headers: { authorization: 'Bearer other' } });
   expect([answer.status, answer.headers['retry-after'] !== undefined]).toEqual([503, true]);
-  expect((await fixture.ask()).status).toEqual(200);
+  expect((await fixture.request()).status).toEqual(200);
 });
 
 test('should send a request to no more servers than its route allows', async () => {
   await fixture.start([resets, resets, resets]);
-  expect((await fixture.ask()).status).toEqual(502);
+  expect((await fixture.request()).status).toEqual(502);
   expect(fixture.arrivals).toEqual(2);
 });
 
 test('should answer 504 at the timeout of the route, and let the server go', async () => {
   await fixture.start([silence], { routes: [routeFixture({ kind: 'once', timeoutMilliseconds: 150 })] });
-  expect((await fixture.ask({ method: 'POST' })).status).toEqual(504);
+  expect((await fixture.request({ method: 'POST' })).status).toEqual(504);
   await until(() => fixture.backends[0].closed === 1);
 });
 
 test('should reset the connection to a server that it gives up, so that nothing still on its way begins there', async () => {
   await fixture.start([silence], { routes: [routeFixture({ kind: 'once', timeoutMilliseconds: 150 })] });
-  expect((await fixture.ask({ method: 'POST' })).status).toEqual(504);
+  expect((await fixture.request({ method: 'POST' })).status).toEqual(504);
   await until(() => fixture.backends[0].closed === 1);
   expect(fixture.backends[0].resets).toEqual(1);
 });
@@ -141,7 +142,7 @@
 
 test('should take an answer without length as whole when its connection ends', async () => {
   await fixture.start([unframed(({ socket }) => void socket.end())], ONCE);
-  const answer = await fixture.ask({ method: 'POST' });
+  const answer = await fixture.request({ method: 'POST' });
   expect([answer.status, answer.body]).toEqual([200, 'part']);
   // nobody can tell whether it is whole, so that it may not be passed on as one of known length
   expect(answer.headers['content-length']).toEqual(undefined);
@@ -151,13 +152,13 @@
 
 test('should not take an answer without length as whole when its connection is reset', async () => {
   await fixture.start([unframed(({ socket }) => void socket.resetAndDestroy())], ONCE);
-  expect((await fixture.ask({ method: 'POST' })).status).toEqual(502);
+  expect((await fixture.request({ method: 'POST' })).status).toEqual(502);
 });
 
 test('should let the server go when the caller leaves', async () => {
   await fixture.start([silence]);
   const leave = new AbortController();
-  const asked = fixture.ask({ signal: leave.signal });
+  const asked = fixture.request({ signal: leave.signal });
   await until(() => fixture.arrivals === 1);
   leave.abort();
   await expect(asked).toBeRejected();
@@ -166,15 +167,15 @@
 
 test('should use a connection again, but not one that sent more than was asked for', async () => {
   await fixture.start([answers()]);
-  await fixture.ask();
-  await fixture.ask();
+  await fixture.request();
+  await fixture.request();
   expect(fixture.backends[0].opened).toEqual(1);
   fixture.backends[0].answerWith((request) => {
     request.socket.write(answerBytes(request) + answerBytes(request, { body: 'surplus' }));
   });
-  await fixture.ask();
+  await fixture.request();
   await until(() => fixture.backends[0].closed === 1);
-  expect((await fixture.ask()).body).toEqual('body');
+  expect((await fixture.request()).body).toEqual('body');
   expect(fixture.backends[0].opened).toEqual(2);
 });
 
@@ -182,10 +183,10 @@
   await fixture.start([answers({ body: 'zero' }), answers({ body: 'one' })]);
   fixture.setServer(0, { draining: true });
   await until(() => fixture.lines.some((line) => line.includes('server.draining')));
-  for (let request = 0; request < 4; request++) expect((await fixture.ask()).body).toEqual('one');
+  for (let request = 0; request < 4; request++) expect((await fixture.request()).body).toEqual('one');
   fixture.setServer(1, undefined);
   await until(() => fixture.lines.some((line) => line.includes('server.gone')));
-  const refused = await fixture.ask();
+  const refused = await fixture.request();
   expect([refused.status, refused.headers['retry-after'] !== undefined]).toEqual([503, true]);
 });
 
@@ -194,12 +195,12 @@
   fixture.store.set('configuration', { main: servingConfiguration({ version: 5, customers: [] }) });
   await until(() => fixture.lines.some((line) => line.includes('"version":5')));
   fixture.store.set('configuration', { main: servingConfiguration({ version: 4, routes: [] }) });
-  expect((await fixture.ask({ headers: { authorization: '' } })).status).toEqual(200);
+  expect((await fixture.request({ headers: { authorization: '' } })).status).toEqual(200);
 });
 
 test('should leave in order: not ready, connections told to close, requests in flight answered', async () => {
   await fixture.start([(request) => void setTimeout(() => answers()(request), 200)]);
-  const inFlight = fixture.ask();
+  const inFlight = fixture.request();
   await until(() => fixture.arrivals === 1);
   const stopped = fixture.gateway.stop();
   const ready = await fetch(`http://${fixture.directory}/ready`);
@@ -236,8 +237,8 @@
   await fixture.start([answers()]);
   const stopped = fixture.gateway.stop();
   const short = { 'larklatch-deadline-milliseconds': '400' };
-  expect((await fixture.ask({ headers: short })).status).toEqual(200);
-  const refused = await fixture.ask();
+  expect((await fixture.request({ headers: short })).status).toEqual(200);
+  const refused = await fixture.request();
   expect([refused.status, refused.headers['retry-after'], refused.headers.connection]).toEqual([
     503,
     '0.01',
@@ -249,10 +250,10 @@
 
 test('should take the word of an agent that other entries have heard of a version', async () => {
   await fixture.startEngines([answers({ status: 200 })]);
-  fixture.tellStatus(0, {});
-  fixture.tellHeard(0, 2, 100);
+  fixture.sendStatus(0, {});
+  fixture.sendVersionsHeard(0, 2, 100);
   await until(() => fixture.lines.some((line) => line.includes('version.heard')));
-  await fixture.ask({ headers: { 'larklatch-model': 'model' } });
+  await fixture.request({ headers: { 'larklatch-model': 'model' } });
   expect(fixture.backends[0].arrived[0].headers.get('larklatch-expected-version')).toEqual('1');
 });
 
@@ -265,10 +266,10 @@
     const changes = { contactMilliseconds: 100 };
     const silent = (): void => undefined;
     await fixture.startEngines([silent], { routes: [routeFixture({ ...route, attempts: 1 })] }, changes);
-    fixture.tellStatus(0, {});
-    const asked = fixture.ask({ method: 'POST', headers: { 'larklatch-model': 'model' }, body: 'b' });
+    fixture.sendStatus(0, {});
+    const asked = fixture.request({ method: 'POST', headers: { 'larklatch-model': 'model' }, body: 'b' });
     await until(() => fixture.arrivals === 1);
-    fixture.tellHeard(0, 2, 60_000);
+    fixture.sendVersionsHeard(0, 2, 60_000);
     expect((await asked).status).toEqual(502);
     expect(fixture.lines.some((line) => line.includes('request.taken-back'))).toEqual(true);
   });
--- a/tests/gatewayStreams.spec.ts
+++ b/tests/gatewayStreams.spec.ts
@@ -34,7 +34,7 @@
     ],
     STREAM,
   );
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([events(1, 2, 3), true]);
 });
 
@@ -54,7 +54,7 @@
       request.socket.write('0\r\n\r\n');
     };
     await fixture.start([script, script], STREAM);
-    const answer = await fixture.ask();
+    const answer = await fixture.request();
     expect(answer.whole).toEqual(true);
     const ids = [...answer.body.matchAll(/id: (\d+)/g)].map((match) => Number(match[1]));
     expect(ids).toEqual(ids.map((_id, index) => index + 1));
@@ -65,7 +65,7 @@
 
 /** Tells the gateway, as the agents beside the servers would, which versions they serve and whether they change them. */
 function tellState(states: readonly ('serving' | 'switching')[]): void {
-  states.forEach((state, index) => fixture.tellStatus(index, { state }));
+  states.forEach((state, index) => fixture.sendStatus(index, { state }));
 }
 
 /** Streams event after event until its connection closes, from the one after the last that the caller has seen. */
@@ -86,7 +86,7 @@
 
 test('should hand a stream over before its server changes its version, without gap, repeat or pause', async () => {
   await fixture.startEngines([streamsOn(20, 150), streamsOn(20, 150)], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends[0].arrived.length === 1 ? 0 : 1;
   tellState(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
@@ -102,7 +102,7 @@
   let arrived = 0;
   const script: Script = (request) => (arrived++ === 0 ? streamsOn(20, 150) : rejects)(request);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends[0].arrived.length === 1 ? 0 : 1;
   tellState(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
@@ -119,7 +119,7 @@
     void until(() => arrived === 2).then(() => request.socket.resetAndDestroy());
   };
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   tellState(fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching']);
   const answer = await asked;
@@ -136,7 +136,7 @@
   // over while the handover, which begins after a second at the latest and lasts for 600 ms, is under way
   const routes = [routeFixture({ kind: 'stream', resumable: true, timeoutMilliseconds: 1_500 })];
   await fixture.startEngines([rejectsOnceHandedOver, rejectsOnceHandedOver], { routes });
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   tellState(fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching']);
   const { status } = await asked;
@@ -150,13 +150,13 @@
     setTimeout(() => request.socket.destroy(), 30);
   };
   await fixture.start([script], STREAM);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.status, answer.whole]).toEqual([200, false]);
 });
 
 test('should go on where the caller says', async () => {
   await fixture.start([answers()], STREAM);
-  await fixture.ask({ headers: { 'last-event-id': '7' } });
+  await fixture.request({ headers: { 'last-event-id': '7' } });
   expect(fixture.backends[0].arrived[0].headers.get('last-event-id')).toEqual('7');
 });
 
@@ -171,17 +171,17 @@
   const holds = (request: ArrivedRequest): void => void sent.push(request);
   const changes = { contactMilliseconds: 100, retrySlack: 10_000 };
   await fixture.startEngines([holds, holds], STREAM, changes);
-  fixture.tellStatus(0, {});
-  fixture.tellStatus(1, {});
-  void fixture.ask({ headers: { 'larklatch-model': 'model' } }).catch(() => undefined);
+  fixture.sendStatus(0, {});
+  fixture.sendStatus(1, {});
+  void fixture.request({ headers: { 'larklatch-model': 'model' } }).catch(() => undefined);
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends.findIndex((backend) => backend.arrived.length === 1);
-  fixture.tellStatus(1 - first, { version: 2 });
-  fixture.tellStatus(first, { state: 'switching' });
+  fixture.sendStatus(1 - first, { version: 2 });
+  fixture.sendStatus(first, { state: 'switching' });
   await until(() => fixture.arrivals === 2);
   const closed: number[] = [];
   sent.forEach(({ socket }, index) => socket.once('close', () => closed.push(index)));
-  fixture.tellHeard(1 - first, 2, 60_000);
+  fixture.sendVersionsHeard(1 - first, 2, 60_000);
   await until(() => closed.length > 0);
   expect(closed).toEqual([0]);
 });
@@ -197,6 +197,6 @@
     answers({ status: 200, seal: null, body: events(3, 4) })(request);
   };
   await fixture.start([script, script], STREAM);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([events(1, 2), false]);
 });
--- a/tests/serverLimits.spec.ts
+++ b/tests/serverLimits.spec.ts
@@ -35,7 +35,7 @@
   const statuses: Promise<number>[] = [];
   const until = Date.now() + milliseconds;
   while (Date.now() < until) {
-    statuses.push(fixture.ask().then(({ status }) => status));
+    statuses.push(fixture.request().then(({ status }) => status));
     await pause(GAP_MILLISECONDS);
   }
   return await Promise.all(statuses);
--- a/tests/serverRetryAfter.spec.ts
+++ b/tests/serverRetryAfter.spec.ts
@@ -42,7 +42,7 @@
 async function requestOften(): Promise<number[]> {
   const statuses: number[] = [];
   for (let asked = 0; asked < REQUESTS; asked++) {
-    statuses.push((await fixture.ask()).status);
+    statuses.push((await fixture.request()).status);
     await pause(GAP_MILLISECONDS);
   }
   return statuses;
@@ -58,7 +58,7 @@
 test('should send nothing more to a leaving server whose record disappears and returns', async () => {
   await fixture.start([leaves], MANY_CONNECTIONS);
   const record = fixture.record(0);
-  await fixture.ask();
+  await fixture.request();
   fixture.setServer(0, undefined);
   await until(() => fixture.lines.some((line) => line.includes('server.gone')));
   fixture.setServer(0, record);
@@ -77,7 +77,7 @@
 
 test('should use a server again after its Retry-After', async () => {
   await fixture.start([rejects('0.3')], MANY_CONNECTIONS);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect(answer.status).toEqual(503);
   fixture.backends[0].answerWith(answers());
   const statuses = await requestOften();
@@ -87,7 +87,7 @@
 test('should refuse at once while all servers ask for a pause, and advise when to retry', async () => {
   await fixture.start([rejects('30'), rejects('20')], MANY_CONNECTIONS);
   await requestOften();
-  const answer = await fixture.ask({ headers: { 'larklatch-deadline-milliseconds': '3000' } });
+  const answer = await fixture.request({ headers: { 'larklatch-deadline-milliseconds': '3000' } });
   expect(answer.status).toEqual(503);
   expect(fixture.arrivals).toEqual(2);
   // The advice is at most about a third of the time-out of the caller, and no server accepts the request sooner.
--- a/tests/streamResumption.spec.ts
+++ b/tests/streamResumption.spec.ts
@@ -60,7 +60,7 @@
 test('should go on with a begun stream once a server has room that rejected it as not run', async () => {
   const script = inTurn(breaksOff, rejects, rejects, goesOn);
   await fixture.start([script, script], STREAM, PLENTY);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([WHOLE, true]);
   expect(fixture.arrivals).toEqual(4);
 });
@@ -71,8 +71,8 @@
   const script: Script = (request) => (request.path.startsWith('/b/') ? rejects : begun)(request);
   const settings = { retryPercent: 100, retrySlack: 0 };
   await fixture.start([script, script], { routes: [STREAM_ROUTE, surge] }, settings);
-  for (let request = 0; request < 20; request++) await fixture.ask({ path: '/b/x' });
-  const answer = await fixture.ask();
+  for (let request = 0; request < 20; request++) await fixture.request({ path: '/b/x' });
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([WHOLE, true]);
 });
 
@@ -83,13 +83,13 @@
   // any prompt that waits to be read makes the first answer of a new request too late
   const routes = [routeFixture({ kind: 'stream', resumable: true, objectiveMilliseconds: 1 })];
   await fixture.startEngines([script, script], { routes });
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const others = new AbortController();
   for (let number = 2; fixture.arrivals < 3; number++) {
     const name = `request-${number}`;
     const headers = { 'larklatch-request-id': name };
-    void fixture.ask({ headers, signal: others.signal }).catch(() => undefined);
+    void fixture.request({ headers, signal: others.signal }).catch(() => undefined);
     await until(() => fixture.lines.some((line) => line.includes(name)));
   }
   expect(fixture.backends.map(({ arrived }) => arrived.length).sort()).toEqual([1, 2]);
@@ -113,21 +113,21 @@
 test('should go on with a begun stream at a server that had rejected it before it began', async () => {
   const script = inTurn(rejects, breaksOff, goesOn);
   await fixture.start([script, script], STREAM, PLENTY);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole, fixture.arrivals]).toEqual([WHOLE, true, 3]);
 });
 
 test('should cut a begun stream at once when as many servers have run it as its route allows', async () => {
   const script = inTurn(breaksOff, breaksOff, goesOn);
   await fixture.start([script, script, script], STREAM);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.status, answer.whole, fixture.arrivals]).toEqual([200, false, 2]);
   expect([logged('request.cut', 'attempts used'), logged('request.waiting')]).toEqual([true, false]);
 });
 
 test('should refuse a stream that has not begun at once, as not run', async () => {
   await fixture.start([rejects, rejects, rejects], STREAM);
-  const { status, headers } = await fixture.ask();
+  const { status, headers } = await fixture.request();
   expect([status, headers['retry-after'] !== undefined, fixture.arrivals]).toEqual([503, true, 2]);
   expect(logged('request.waiting')).toEqual(false);
 });
@@ -143,12 +143,12 @@
   const script = onlySecondGoesOn();
   await fixture.start([script, script], STREAM, PLENTY);
   const caller = new AbortController();
-  void fixture.ask({ signal: caller.signal }).catch(() => undefined);
+  void fixture.request({ signal: caller.signal }).catch(() => undefined);
   await until(() => logged('request.waiting'));
   caller.abort();
   await until(() => logged('request.caller-gone'));
   const sent = arrivalsOf('request-1');
-  const other = await fixture.ask({ headers: { 'larklatch-request-id': 'request-2' } });
+  const other = await fixture.request({ headers: { 'larklatch-request-id': 'request-2' } });
   expect([other.whole, arrivalsOf('request-1')]).toEqual([true, sent]);
 });
 
@@ -156,18 +156,18 @@
   const script = onlySecondGoesOn();
   const routes = [routeFixture({ kind: 'stream', resumable: true, timeoutMilliseconds: 600 })];
   await fixture.start([script, script], { routes }, PLENTY);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.status, answer.whole, logged('request.waiting')]).toEqual([200, false, true]);
   expect(logged('request.cut', '"noAttempt"')).toEqual(true);
   const sent = arrivalsOf('request-1');
-  const other = await fixture.ask({ headers: { 'larklatch-request-id': 'request-2' } });
+  const other = await fixture.request({ headers: { 'larklatch-request-id': 'request-2' } });
   expect([other.whole, arrivalsOf('request-1')]).toEqual([true, sent]);
 });
 
 test('should end a stream that waits when the entry has stopped', async () => {
   const script = inTurn(breaksOff, rejects);
   await fixture.start([script, script], STREAM, PLENTY);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => logged('request.waiting'));
   await fixture.gateway.stop();
   const answer = await asked;
@@ -182,7 +182,7 @@
   };
   const script = inTurn(breaksOffAlone, goesOn);
   await fixture.start([script, script], STREAM, PLENTY);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => logged('request.waiting', 'no server'));
   const closed = fixture.backends.findIndex((backend) => backend.arrived.length === 0);
   const found = fixture.lines.find(
@@ -197,15 +197,15 @@
 /** Lets the server switch that has the only request. */
 function switchFirst(): void {
   const first = fixture.backends.findIndex((backend) => backend.arrived.length === 1);
-  fixture.tellStatus(first, { state: 'switching' });
-  fixture.tellStatus(1 - first, { state: 'serving' });
+  fixture.sendStatus(first, { state: 'switching' });
+  fixture.sendStatus(1 - first, { state: 'serving' });
 }
 
 test('should go on with a stream that breaks off after the server it was to be handed over to rejected it', async () => {
   let first: ArrivedRequest | undefined;
   const script = inTurn((request) => begins((first = request)), rejects, goesOn);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   await until(() => logged('request.rejected'));
@@ -222,7 +222,7 @@
   };
   const script = inTurn((request) => begins((first = request)), rejectsLater, goesOn);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   const answer = await asked;
@@ -234,7 +234,7 @@
   const holds: Script = () => undefined;
   const script = inTurn((request) => void (first = request), holds);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   await until(() => logged('request.attempt-failed', 'handover was silent'));
@@ -250,7 +250,7 @@
   };
   const script = inTurn((request) => void (first = request), bothReject);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   expect([(await asked).status, fixture.arrivals]).toEqual([503, 2]);
