--- a/src/backpressure/limitShare.ts
+++ b/src/backpressure/limitShare.ts
@@ -34,8 +34,7 @@
 
 /**
  * Returns the share of this entry. Only a few entries hold a share, so that each share is large enough to be useful.
- * The holders are taken from the server's data centre if it has entries, in a rendezvous order that is the same on
- * every entry.
+ * The holders are in the server's data centre if it has entries. All entries compute the same rendezvous order.
  */
 export function limitShare(limit: SharedLimit): LimitShare {
   const { server, dataCentre, perSecond, own, entries } = limit;
--- a/src/backpressure/serverSignals.ts
+++ b/src/backpressure/serverSignals.ts
@@ -28,10 +28,7 @@
 
 /** Maximum number of servers whose state is kept. Ids are unique, so a server that is listed again is recognised. */
 const MAX_SERVERS = 10_000;
-/**
- * Changes are batched for this long, so that a limit that changes with every response does not cause a message
- * each.
- */
+/** Changes are batched for this long, because a limit can change with every response. */
 const BATCH_MILLISECONDS = 100;
 /** The end of a limit is reported to newly connected entries for this long. */
 const REPORT_ENDED_MILLISECONDS = 60_000;
@@ -100,10 +97,7 @@
     };
   }
 
-  /**
-   * Returns the known state of the server, unless it belongs to a different incarnation. An unknown start matches
-   * any.
-   */
+  /** Finds the state of the server, unless it is of a different incarnation. An unknown start matches any. */
   private _findIncarnation(server: string, startedAt: number): KnownServer | undefined {
     const known = this._byServer.get(server);
     const isAnother = known && startedAt > 0 && known.startedAt > 0 && startedAt !== known.startedAt;
--- a/src/serving/agentAnnouncements.ts
+++ b/src/serving/agentAnnouncements.ts
@@ -1,7 +1,4 @@
-/**
- * Builds the messages that this entry sends to agents: its presence, the wanted versions, and the list of their
- * peers.
- */
+/** Builds the messages to agents: the presence of this entry, the wanted versions, and the agents of a service. */
 import type { AgentAddress, AgentList, EntryAddress, EntryPresence } from '../protocol/boxMessages.js';
 import type { AgentSelection } from './agentSelection.js';
 import { selectAgents } from './agentSelection.js';
@@ -48,10 +45,7 @@
     return this._selection;
   }
 
-  /**
-   * Whether this entry sends requests to the backend server at `host`: true without an agent, or with a selected
-   * one.
-   */
+  /** Whether this entry sends requests to the server at `host`: if it has no agent, or its agent is selected. */
   isRouted(host: string): boolean {
     const box = boxOfHost(host);
     return !this._serviceIndex().has(box) || this.selection().routed.has(box);
--- a/src/serving/agentSelection.ts
+++ b/src/serving/agentSelection.ts
@@ -7,9 +7,8 @@
 /** An entry connects to all agents of a service up to this number. */
 const MAX_AGENTS_FOR_ALL = 40;
 /**
- * Number of agents in its own data centre that an entry connects to. With 29 servers and 20 entries in a data
- * centre, a server reports its load to 8 entries, and an entry sends to each of its servers often enough to keep
- * connections open.
+ * Number of agents in its own data centre that an entry connects to. With 29 servers and 20 entries in a data centre,
+ * a server reports its load to 8 entries, and each entry sends to its servers often enough to keep connections open.
  */
 const MAX_OWN_DATA_CENTRE_AGENTS = 12;
 /** Number of agents in other data centres whose servers get requests when the own data centre is full. */
@@ -26,10 +25,7 @@
   agents: AgentAddress[];
   /** Boxes whose backend servers this entry sends requests to, and whose status it receives. */
   routed: ReadonlySet<string>;
-  /**
-   * Boxes whose agents report the connected entries. They are the same at every entry, so that each learns all
-   * others.
-   */
+  /** Boxes whose agents report the connected entries: the same for all entries, so that each learns of all others. */
   directory: ReadonlySet<string>;
 }
 
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -1,7 +1,4 @@
-/**
- * Chooses the backend server with the lowest expected cost for a request. No state or I/O besides the random
- * source.
- */
+/** Chooses the backend server with the lowest expected cost for a request. Pure except for randomness. */
 import type { Random } from '../utils/random.js';
 import { shuffled } from '../utils/random.js';
 
@@ -41,9 +38,8 @@
   /** Load above which nothing more is sent to a server, as a multiple of its slots. */
   maxFill: number;
   /**
-   * How much slower a full server is than an empty one, as a share of the service time. Engines write a token for
-   * all running requests in one step, so for them it is close to 0 and requests wait only for the prompts before
-   * their own.
+   * How much slower a full server is than an empty one, as a share of the service time. It is close to 0 for engines,
+   * which write a token for all running requests in one step: there, requests wait only for earlier prompts.
    */
   batchSlowdown: number;
   /** Cost differences below this are ignored because load reports lag, in milliseconds. */
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -17,22 +17,22 @@
  */
 export function eligibleServers<Server extends VersionedServer>(
   servers: readonly Server[],
-  need: ServerRequirements,
+  requirements: ServerRequirements,
 ): Server[] {
-  if (need.model === '') return [...servers];
-  const eligible = servers.filter((server) => isEligible(server, need));
-  const safe = eligible.filter((server) => !mayBeginTooLate(server, need));
+  if (requirements.model === '') return [...servers];
+  const eligible = servers.filter((server) => isEligible(server, requirements));
+  const safe = eligible.filter((server) => !mayBeginTooLate(server, requirements));
   if (safe.length > 0) return safe;
-  return eligible.filter((server) => server.version(need.model) >= need.preferredVersion);
+  return eligible.filter((server) => server.version(requirements.model) >= requirements.preferredVersion);
 }
 
-function isEligible(server: VersionedServer, need: ServerRequirements): boolean {
-  const version = server.version(need.model);
-  const minVersion = server.startsPromptly ? need.minVersion : need.minVersionIfSlow;
+function isEligible(server: VersionedServer, requirements: ServerRequirements): boolean {
+  const version = server.version(requirements.model);
+  const minVersion = server.startsPromptly ? requirements.minVersion : requirements.minVersionIfSlow;
   return version > 0 && version >= minVersion && !server.switching;
 }
 
-function mayBeginTooLate(server: VersionedServer, need: ServerRequirements): boolean {
-  const isOutdated = server.version(need.model) < need.newestVersion;
+function mayBeginTooLate(server: VersionedServer, requirements: ServerRequirements): boolean {
+  const isOutdated = server.version(requirements.model) < requirements.newestVersion;
   return isOutdated && (server.agentSilent || server.suspicious || server.slowLink);
 }
--- a/src/serving/serverHealth.ts
+++ b/src/serving/serverHealth.ts
@@ -49,10 +49,7 @@
     return this._failures / (this._failures + this._successes + PRIOR_SUCCESSES);
   }
 
-  /**
-   * Recent time to the first byte or event, in milliseconds. Decays without new measurements, so that the server is
-   * retried.
-   */
+  /** Recent time to the first byte or event in milliseconds; decays over time, so that the server is retried. */
   get firstAnswerMilliseconds(): number {
     const age = this._clock.now() - this._firstAnswerAt;
     return this._firstAnswer * 0.5 ** (age / HALF_LIFE_MILLISECONDS);
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -38,10 +38,7 @@
 export interface ServerListState {
   /** Whether running servers may be missing from the list. */
   mayBeIncomplete?: boolean;
-  /**
-   * Ids of listed servers that must not be used: their record is invalid, or a later process listens at their
-   * address.
-   */
+  /** Ids of listed servers with an invalid record, or with an address at which a later process listens. */
   unusable?: ReadonlySet<string>;
 }
 
@@ -124,32 +121,31 @@
     for (const { record } of this._byHost.get(host) ?? []) this._noteStatusOf(record, status);
   }
 
-  /**
-   * Selects a server among those that report their load to this entry; among all if none of them can serve the
-   * request.
-   */
-  find(need: ServerRequirements): ServerSelection {
+  /** Selects one of the servers that report their load here, or of all if none of these can serve the request. */
+  find(requirements: ServerRequirements): ServerSelection {
     const present = this.all().filter(
       (server) =>
-        server.record.service === need.service && !server.isLeaving && !need.tried.has(server.record.id),
+        server.record.service === requirements.service &&
+        !server.isLeaving &&
+        !requirements.tried.has(server.record.id),
     );
     const routed = present.filter(({ host }) => this._options.isRouted(host));
-    const found = this._findAmong(routed, need);
+    const found = this._findAmong(routed, requirements);
     const othersMayServe = found.kind === 'none' && found.reason !== 'all-busy';
-    return othersMayServe && routed.length < present.length ? this._findAmong(present, need) : found;
+    return othersMayServe && routed.length < present.length ? this._findAmong(present, requirements) : found;
   }
 
-  private _findAmong(present: readonly TrackedServer[], need: ServerRequirements): ServerSelection {
+  private _findAmong(present: readonly TrackedServer[], requirements: ServerRequirements): ServerSelection {
     if (present.length === 0) return { kind: 'none', reason: 'no-server' };
-    const eligible = eligibleServers(present, need);
+    const eligible = eligibleServers(present, requirements);
     if (eligible.length === 0) return { kind: 'none', reason: 'old-version' };
     const accepting = eligible.filter(({ backpressure }) => backpressure.waitMilliseconds === 0);
     if (accepting.length === 0)
       return { kind: 'none', reason: 'at-limit', waitMilliseconds: shortestWait(eligible) };
     const open = accepting.filter((server) => server.connections.available);
-    const candidates = open.map((server) => this._candidate(server, need));
-    const cost = this._cost(need);
-    const chosen = chooseServer(candidates, cost, need.objectiveMilliseconds, this._options.random);
+    const candidates = open.map((server) => this._candidate(server, requirements));
+    const cost = this._cost(requirements);
+    const chosen = chooseServer(candidates, cost, requirements.objectiveMilliseconds, this._options.random);
     if (!chosen) return { kind: 'none', reason: 'all-busy' };
     return { kind: 'found', server: this._servers.get(chosen.id)! };
   }
@@ -269,7 +265,7 @@
     );
   }
 
-  private _candidate(server: TrackedServer, need: ServerRequirements): Candidate {
+  private _candidate(server: TrackedServer, requirements: ServerRequirements): Candidate {
     const { record, health, load } = server;
     return {
       id: record.id,
@@ -280,7 +276,8 @@
       failureRate: health.failureRate,
       firstAnswerMilliseconds: health.firstAnswerMilliseconds,
       slowLink: server.slowLink,
-      outdated: need.model !== '' && server.version(need.model) < need.preferredVersion,
+      outdated:
+        requirements.model !== '' && server.version(requirements.model) < requirements.preferredVersion,
       preparing: server.preparing,
       avoided: health.avoided || server.suspicious || this._missing.has(record.id),
       failing: health.failing(load.outstanding),
--- a/src/serving/serverRecordDecoder.ts
+++ b/src/serving/serverRecordDecoder.ts
@@ -25,10 +25,7 @@
     return decoded.record;
   }
 
-  /**
-   * Rates a change by its effect on server selection. A change of models is minor, since the agent reports it
-   * sooner.
-   */
+  /** Rates how much a change affects server selection. Models are minor, since agents report them sooner. */
   weighChange(before: StoredObject | undefined, after: StoredObject | undefined): ChangeWeight {
     const old = before && this.decode(before);
     const next = after && this.decode(after);
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -112,10 +112,9 @@
   }
 
   /**
-   * Estimated size of the prompts that the server has not read yet, in units of a usual prompt, since one prompt
-   * may take sixty times as long as another. What this process sent is known; other entries are assumed to have
-   * sent as much, since they select servers by the same reports. A higher number reported by the agent takes
-   * precedence.
+   * Estimated size of the prompts that the server has not read yet, in units of a usual prompt, since one prompt may
+   * take sixty times as long as another. Other entries are assumed to have sent as much as this process, since they
+   * select servers by the same reports, unless the agent reports more.
    */
   get pendingPrompts(): number {
     const age = this._clock.now() - this._statusAt;
@@ -123,10 +122,7 @@
     return Math.max(reported, this._ownPendingPrompts * this._sharers());
   }
 
-  /**
-   * Records a version reported by the server itself. Versions only increase, unless the agent reports that one was
-   * lost.
-   */
+  /** Records a version reported by the server itself. Only the agent can report that a version was lost. */
   noteVersion(model: string, version: number): void {
     this._versions.set(model, Math.max(version, this._versions.get(model) ?? 0));
   }
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -45,10 +45,10 @@
   const before = await fixture.addAgents(9);
   for (const each of [own, lost]) each.select(before);
   await until(() => own.listsEntry('b'));
-  const asked = own.selection.directory;
+  const subscribed = own.selection.directory;
   const after = await fixture.addAgents(6);
   for (const each of [own, lost]) each.select(after);
-  expect([...asked].some((box) => !own.selection.directory.has(box))).toEqual(true);
+  expect([...subscribed].some((box) => !own.selection.directory.has(box))).toEqual(true);
   await until(() => own.noted.steps().includes('agent.not-asked'));
   lost.close();
   await until(() => !own.listsEntry('b'));
@@ -188,8 +188,8 @@
   const bound = contactMilliseconds.parse(undefined) + GRACE_MILLISECONDS;
   const timeout = peerTimeoutMilliseconds.parse(undefined);
   expect(timeout).toEqual(PEER_TIMEOUT_MILLISECONDS);
-  const told = noticedWithin(timeout) + LONGEST_GATHER_MILLISECONDS;
-  const longest = told + Math.max(noticedWithin(timeout), REMEMBERED_MILLISECONDS);
+  const reportDelay = noticedWithin(timeout) + LONGEST_GATHER_MILLISECONDS;
+  const longest = reportDelay + Math.max(noticedWithin(timeout), REMEMBERED_MILLISECONDS);
   expect(longest + NETWORK_MILLISECONDS).toBeLessThan(bound);
 });
 
--- a/tests/gatewayLinks.spec.ts
+++ b/tests/gatewayLinks.spec.ts
@@ -62,10 +62,10 @@
 test('should not list entries reported only by an agent that is connected but no longer subscribed to', async () => {
   await startEngines(5);
   const indices = [...fixture.backends.keys()];
-  const asked = (): number[] =>
+  const subscribed = (): number[] =>
     indices.filter((index) => fixture.presences(index).at(-1)?.hearsEntries === true);
-  await until(() => asked().length === 4);
-  const before = asked();
+  await until(() => subscribed().length === 4);
+  const before = subscribed();
   for (const index of before) {
     const entry = { box: `entry-${index}`, dataCentre: 'north', address: `entry-${index}:80`, control: '' };
     fixture.sendMessage(index, {
@@ -81,8 +81,8 @@
   // The directory agents are spread over data centres, so an agent in another one replaces one of these.
   const other = indices.find((index) => !before.includes(index))!;
   fixture.setServer(other, { dataCentre: 'south' });
-  await until(() => asked().includes(other) && asked().length === 4);
-  const kept = before.filter((index) => asked().includes(index)).map((index) => `entry-${index}:80`);
+  await until(() => subscribed().includes(other) && subscribed().length === 4);
+  const kept = before.filter((index) => subscribed().includes(index)).map((index) => `entry-${index}:80`);
   expect(kept).toHaveLength(3);
   expect(await listed()).toEqual([...kept, fixture.address]);
 });
--- a/tests/liveEntryLog.spec.ts
+++ b/tests/liveEntryLog.spec.ts
@@ -15,8 +15,8 @@
   live.note(new Map([['b', { agents: ['one', 'two'], heardAt: 1_500 }]]));
   clock.advance(300);
   live.note(new Map());
-  const told = lines.map(({ step, entry, agents, age, liveFor }) => [step, entry, agents, age, liveFor]);
-  expect(told).toEqual([
+  const logged = lines.map(({ step, entry, agents, age, liveFor }) => [step, entry, agents, age, liveFor]);
+  expect(logged).toEqual([
     ['entry.live', 'b', ['one'], undefined, undefined],
     ['entry.not-live', 'b', ['one', 'two'], 300, 800],
   ]);
--- a/tests/serverEligibility.spec.ts
+++ b/tests/serverEligibility.spec.ts
@@ -32,8 +32,8 @@
   tried: new Set(),
 };
 
-function namesOf(servers: NamedServer[], need: Partial<ServerRequirements> = {}): string[] {
-  return eligibleServers(servers, { ...REQUIREMENTS, ...need }).map(({ name }) => name);
+function namesOf(servers: NamedServer[], requirements: Partial<ServerRequirements> = {}): string[] {
+  return eligibleServers(servers, { ...REQUIREMENTS, ...requirements }).map(({ name }) => name);
 }
 
 for (const [what, changes] of [
--- a/tests/serverNotices.spec.ts
+++ b/tests/serverNotices.spec.ts
@@ -149,24 +149,24 @@
 
 test('should confirm a limit to the other entries from time to time', () => {
   const clock = new ManualClock();
-  let told = 0;
+  let notified = 0;
   const server = new ServerBackpressure({
     server: SERVER,
     clock,
     log: quietLog(),
     share: (perSecond) => ({ perSecond, entries: 1 }),
     phase: 0,
-    onChange: () => told++,
+    onChange: () => notified++,
   });
   for (let second = 0; second <= 25; second++) {
     server.applySignals(signalsWith({ limitPerSecond: 1 }));
     clock.advance(1_000);
   }
-  expect(told).toEqual(3);
+  expect(notified).toEqual(3);
   server.applySignals(signalsWith({}));
   clock.advance(20_000);
   server.applySignals(signalsWith({}));
-  expect(told).toEqual(4);
+  expect(notified).toEqual(4);
 });
 
 test('should drop the state of a former incarnation of a server', () => {
@@ -179,10 +179,10 @@
 
 test('should notify the other entries of changes by responses only', async () => {
   const { signals, server } = entry();
-  const told: ServerNotice[][] = [];
+  const notified: ServerNotice[][] = [];
   const once = new Promise<void>((resolve) => {
     signals.on('change', (notices) => {
-      told.push(notices);
+      notified.push(notices);
       resolve();
     });
   });
@@ -191,6 +191,6 @@
   server.applySignals(signalsWith({ limitPerSecond: 1 }));
   server.applySignals(signalsWith({ limitPerSecond: 2, leaving: true }));
   await once;
-  expect(told).toEqual([[notice({ limitPerSecond: 2, leaving: true })]]);
+  expect(notified).toEqual([[notice({ limitPerSecond: 2, leaving: true })]]);
   expect(new Set(signals.notices().map(({ server: id }) => id))).toEqual(new Set([SERVER, 'i-2']));
 });
--- a/tests/serverRetryAfter.spec.ts
+++ b/tests/serverRetryAfter.spec.ts
@@ -41,7 +41,7 @@
 /** Sends requests one after the other; returns the statuses. */
 async function requestOften(): Promise<number[]> {
   const statuses: number[] = [];
-  for (let asked = 0; asked < REQUESTS; asked++) {
+  for (let sent = 0; sent < REQUESTS; sent++) {
     statuses.push((await fixture.request()).status);
     await pause(GAP_MILLISECONDS);
   }
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -141,9 +141,9 @@
 });
 
 for (const [what, status, headers, verdict] of [
-  ['a success with its proof', 200, { 'larklatch-seal': 's' }, 'answered'],
-  ['a success without proof', 200, {}, 'unclear'],
-  ['a refusal of the caller', 404, { 'larklatch-seal': 's' }, 'answered'],
+  ['a success with a seal', 200, { 'larklatch-seal': 's' }, 'answered'],
+  ['a success without a seal', 200, {}, 'unclear'],
+  ['a caller error', 404, { 'larklatch-seal': 's' }, 'answered'],
   ['a failure', 500, { 'larklatch-seal': 's' }, 'failed'],
   ['a full server', 503, { 'larklatch-not-run': '1' }, 'not-run'],
   ['a full server that may have run', 503, { 'larklatch-seal': 's' }, 'unclear'],
@@ -163,17 +163,21 @@
   streamSilentFor: 10,
 };
 for (const [what, changes, silent] of [
-  ['a stream that flows', {}, false],
-  ['a stream that stands still', { streamSilentFor: 1_000 }, true],
+  ['a stream that delivers events', {}, false],
+  ['a stream that has stalled', { streamSilentFor: 1_000 }, true],
   ['a stream that never begins', { streamSilentFor: undefined, waited: 1_900 }, true],
-  ['a stream that waits at a server at work', { streamSilentFor: undefined, waited: 1_100 }, false],
+  ['a stream that waits at a busy server', { streamSilentFor: undefined, waited: 1_100 }, false],
   [
-    'a stream that waits at a quiet server',
+    'a stream that waits at a silent server',
     { streamSilentFor: undefined, waited: 1_100, serverSilentFor: 400 },
     true,
   ],
-  ['a stream at a server that is silent to all', { streamSilentFor: undefined, serverSilentFor: 950 }, true],
-  ['a plain request that takes long', { stream: false, streamSilentFor: undefined, waited: 1_100 }, true],
+  [
+    'a stream at a server that is silent on all streams',
+    { streamSilentFor: undefined, serverSilentFor: 950 },
+    true,
+  ],
+  ['a plain request that takes too long', { stream: false, streamSilentFor: undefined, waited: 1_100 }, true],
   ['a plain request in time', { stream: false, streamSilentFor: undefined, waited: 300 }, false],
 ] as const) {
   test(`should ${silent ? 'move' : 'keep'} ${what}`, () => {
