--- a/src/serving/entryDirectory.ts
+++ b/src/serving/entryDirectory.ts
@@ -174,15 +174,15 @@
     if (this._reports.validAgents().length > 0) this._applyReports();
     else this._known = this._withOwn(this._reported);
     this._live = this._liveBasis === '' ? this._withOwn([]) : this._known;
-    this._liveLog.note(this._evidence());
+    this._liveLog.update(this._evidence());
   }
 
   private _applyReports(): void {
     this._reported = this._reports.entries();
     this._lastHeardAt = Number.NEGATIVE_INFINITY;
     this._known = this._withOwn(this._reported);
-    this._sharing.note(this._known);
-    this._limitSharing.note(this._known);
+    this._sharing.setEntries(this._known);
+    this._limitSharing.setEntries(this._known);
   }
 
   /** `entries` and this entry, without leaving entries, sorted by box. */
--- a/src/serving/liveEntryLog.ts
+++ b/src/serving/liveEntryLog.ts
@@ -26,7 +26,7 @@
   }
 
   /** Compares the entries that are live now with the previous ones and logs the changes. */
-  note(evidenceByEntry: ReadonlyMap<string, LivenessEvidence>): void {
+  update(evidenceByEntry: ReadonlyMap<string, LivenessEvidence>): void {
     const current = new Map<string, LiveEntry>();
     for (const [entry, evidence] of evidenceByEntry) current.set(entry, this._updateEntry(entry, evidence));
     for (const [entry, liveEntry] of this._liveEntries)
--- a/src/serving/sharingEntries.ts
+++ b/src/serving/sharingEntries.ts
@@ -38,7 +38,7 @@
   }
 
   /** Sets the entries listed by agents. Not called while no agent reports, so that the last entries are kept. */
-  note(known: readonly EntryAddress[]): void {
+  setEntries(known: readonly EntryAddress[]): void {
     this._isKnown = true;
     this._setListed(known);
   }
--- a/tests/liveEntryLog.spec.ts
+++ b/tests/liveEntryLog.spec.ts
@@ -10,11 +10,11 @@
   const { log, lines } = notedLog();
   const live = new LiveEntryLog(clock, log);
   clock.advance(1_000);
-  live.note(new Map([['b', { agents: ['one'], heardAt: 1_000 }]]));
+  live.update(new Map([['b', { agents: ['one'], heardAt: 1_000 }]]));
   clock.advance(500);
-  live.note(new Map([['b', { agents: ['one', 'two'], heardAt: 1_500 }]]));
+  live.update(new Map([['b', { agents: ['one', 'two'], heardAt: 1_500 }]]));
   clock.advance(300);
-  live.note(new Map());
+  live.update(new Map());
   const logged = lines.map(({ step, entry, agents, age, liveFor }) => [step, entry, agents, age, liveFor]);
   expect(logged).toEqual([
     ['entry.live', 'b', ['one'], undefined, undefined],
@@ -26,10 +26,10 @@
   const clock = new ManualClock();
   const { log, lines } = notedLog();
   const live = new LiveEntryLog(clock, log);
-  live.note(new Map([['b', { agents: ['one'], heardAt: 0 }]]));
+  live.update(new Map([['b', { agents: ['one'], heardAt: 0 }]]));
   clock.advance(700);
-  live.note(new Map([['b', { agents: [], heardAt: Number.NEGATIVE_INFINITY }]]));
-  live.note(new Map());
+  live.update(new Map([['b', { agents: [], heardAt: Number.NEGATIVE_INFINITY }]]));
+  live.update(new Map());
   expect(lines.map(({ step }) => step)).toEqual(['entry.live', 'entry.not-live']);
   expect([lines[1].agents, lines[1].age]).toEqual([['one'], 700]);
 });
