--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -39,9 +39,7 @@
 const BATCH_MILLISECONDS = 60;
 /** Short, because a suspicion that is known late can cost another server. */
 const BATCH_SUSPICIONS_MILLISECONDS = 15;
-/**
- * Sum of the maximum lag of a copy (1,000), a stamp interval (300) and a read, as in `LagWatch` and `RecordRelay`.
- */
+/** Sum of the maximum lag of a copy (1,000), a stamp interval (300) and a read; see `LagWatch` and `RecordRelay`. */
 const MIN_LISTING_DELAY_MILLISECONDS = 1_500;
 /** Running servers may be missing for this long after a store outage, since they could not renew their records. */
 const OUTAGE_RECOVERY_MILLISECONDS = 1_500;
--- a/src/serving/servingConfiguration.ts
+++ b/src/serving/servingConfiguration.ts
@@ -37,8 +37,9 @@
   /** Duration of a step, which writes one token for every running request. */
   stepMilliseconds: number;
   readTokensPerSecond: number;
-  /** Mean number of tokens in a prompt, and in a response below. */
+  /** Mean number of tokens in a prompt. */
   usualPromptTokens: number;
+  /** Mean number of tokens in a response. */
   usualAnswerTokens: number;
 }
 
--- a/src/serving/sharingEntries.ts
+++ b/src/serving/sharingEntries.ts
@@ -37,7 +37,7 @@
     this._setListed([own]);
   }
 
-  /** Sets the entries listed by agents. Not called while no agent reports, so that the last entries are kept. */
+  /** Sets the entries listed by agents. Not called while no agent reports, so that the last list stays in use. */
   setEntries(known: readonly EntryAddress[]): void {
     this._isKnown = true;
     this._setListed(known);
