--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -8,7 +8,7 @@
 import type { BackendServerRecord } from './backendServerRecord.js';
 import { ServerHealth } from './serverHealth.js';
 
-/** A server with streams to send is suspicious, and avoided for new requests, when it is silent for longer than this. */
+/** A server with streams to send is suspicious and avoided when it is silent for longer than this. */
 const SUSPICIOUS_SILENCE_MILLISECONDS = 500;
 const STATUS_LIFETIME_MILLISECONDS = 2_000;
 /** Maximum time from when an agent observes its server until its status arrives here, on a link that is not slow. */
