--- a/src/serving/entryDirectory.ts
+++ b/src/serving/entryDirectory.ts
@@ -148,12 +148,12 @@
   /** Addresses for a caller in `dataCentre`: the entries there, and others if these are too few. */
   addressesFor(dataCentre: string): string[] {
     const live = this.live();
-    const ownDataCentre = live.filter((entry) => entry.dataCentre === dataCentre);
+    const sameDataCentre = live.filter((entry) => entry.dataCentre === dataCentre);
     const otherDataCentres = live.filter((entry) => entry.dataCentre !== dataCentre);
     const chosen =
-      ownDataCentre.length >= MIN_ENTRIES
-        ? ownDataCentre
-        : [...ownDataCentre, ...otherDataCentres.slice(0, MIN_ENTRIES - ownDataCentre.length)];
+      sameDataCentre.length >= MIN_ENTRIES
+        ? sameDataCentre
+        : [...sameDataCentre, ...otherDataCentres.slice(0, MIN_ENTRIES - sameDataCentre.length)];
     return chosen.slice(0, MAX_ENTRIES).map((entry) => entry.address);
   }
 
@@ -164,8 +164,8 @@
 
   /** Identifies what the live entries are based on: agents with valid reports, remembered entries, or nothing. */
   private _basis(): string {
-    const counted = this._reports.validAgents();
-    if (counted.length > 0) return counted.join();
+    const agents = this._reports.validAgents();
+    if (agents.length > 0) return agents.join();
     return this._clock.now() - this._lastHeardAt <= REMEMBERED_MILLISECONDS ? 'remembered' : '';
   }
 
--- a/tests/agentSelection.spec.ts
+++ b/tests/agentSelection.spec.ts
@@ -51,7 +51,7 @@
   expect(reached.size).toEqual(5);
 });
 
-test('should spread the entries over all servers', () => {
+test('should select every server on some entry, and none on many more entries than others', () => {
   const all = agents(225);
   const counts = new Map(all.map(({ box }) => [box, 0]));
   for (const entry of entries(156)) {
--- a/tests/limitShare.spec.ts
+++ b/tests/limitShare.spec.ts
@@ -81,7 +81,7 @@
 
 for (const count of [1, 2, 6, 40, 100]) {
   for (const perSecond of [0.2, 1, 2.8, 12]) {
-    test(`should send ${perSecond} a second from ${count} entries`, () => {
+    test(`should send ${perSecond} requests per second from ${count} entries`, () => {
       const entries = new SimulatedEntries();
       const all = boxes(count);
       for (const { box } of all) entries.start(box, () => all);
--- a/tests/serverRetryAfter.spec.ts
+++ b/tests/serverRetryAfter.spec.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against ignoring the leaving header and Retry-After of servers:
  * - A server announced its shutdown in responses while the store was unreachable and its record still said ready.
- * An entry that had received such a response kept sending to the server, still 2 s later.
+ *   An entry that had received such a response kept sending to the server, still 2 s later.
  * - A server rejected requests with a Retry-After of 3 s. An entry avoided it for only 150 ms and sent it 5
- * requests within these 3 s, while callers were refused because both of their attempts had gone to such servers.
+ *   requests within these 3 s, while callers were refused because both of their attempts had gone to such servers.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
