--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -119,7 +119,7 @@
     const { names } = this._services;
     const { exchange, model } = this._request;
     if (headers[names.requestId] !== exchange.requestId) return this._onForeignAnswer(server);
-    server.health.noteFirstAnswer(this._current.waited);
+    server.health.noteFirstByte(this._current.waited);
     noteAnswerHead(server, status, headers, names, model);
     this._received.onHead(status, headers, headers[names.seal] !== undefined);
   }
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -14,7 +14,7 @@
   /** Share of recent attempts that failed, from 0 to 1. */
   failureRate: number;
   /** Recent time to the first byte of a response or the first event of a stream, in milliseconds. */
-  firstAnswerMilliseconds: number;
+  firstByteMilliseconds: number;
   /** Whether the link of its box is slow. */
   slowLink: boolean;
   /** Whether it still serves an older version some time after a newer one was announced. */
@@ -34,7 +34,7 @@
   /** Mean time that a server needs to read a prompt, in milliseconds; 0 for services without prompts. */
   readMilliseconds: number;
   /** Time to the first byte or event from a healthy server, in milliseconds. */
-  typicalFirstMilliseconds: number;
+  typicalFirstByteMilliseconds: number;
   /** Load above which nothing more is sent to a server, as a multiple of its slots. */
   maxFill: number;
   /**
@@ -75,7 +75,7 @@
   const distance = candidate.sameDataCentre ? 0 : OTHER_DATA_CENTRE_MILLISECONDS;
   const reading = candidate.pendingPrompts * readMilliseconds;
   const link = candidate.slowLink ? SLOW_LINK_MILLISECONDS : 0;
-  const slow = Math.max(0, candidate.firstAnswerMilliseconds - service.typicalFirstMilliseconds);
+  const slow = Math.max(0, candidate.firstByteMilliseconds - service.typicalFirstByteMilliseconds);
   const outdated = candidate.outdated ? OUTDATED_MILLISECONDS : 0;
   const preparing = candidate.preparing ? PREPARING_MILLISECONDS : 0;
   const busy = filled * service.batchSlowdown * serviceMilliseconds;
--- a/src/serving/serverHealth.ts
+++ b/src/serving/serverHealth.ts
@@ -35,8 +35,8 @@
   private _consecutiveFailures = 0;
   private _decayedAt: number;
   private _avoidedUntil = 0;
-  private _firstAnswer = 0;
-  private _firstAnswerAt = 0;
+  private _firstByte = 0;
+  private _firstByteAt = 0;
 
   constructor(clock: Clock) {
     this._clock = clock;
@@ -50,15 +50,15 @@
   }
 
   /** Recent time to the first byte or event in milliseconds; decays over time, so that the server is retried. */
-  get firstAnswerMilliseconds(): number {
-    const age = this._clock.now() - this._firstAnswerAt;
-    return this._firstAnswer * 0.5 ** (age / HALF_LIFE_MILLISECONDS);
+  get firstByteMilliseconds(): number {
+    const age = this._clock.now() - this._firstByteAt;
+    return this._firstByte * 0.5 ** (age / HALF_LIFE_MILLISECONDS);
   }
 
   /** Records the time that an attempt waited for its first byte or event. */
-  noteFirstAnswer(milliseconds: number): void {
-    this._firstAnswer += (milliseconds - this._firstAnswer) * NEWEST_WEIGHT;
-    this._firstAnswerAt = this._clock.now();
+  noteFirstByte(milliseconds: number): void {
+    this._firstByte += (milliseconds - this._firstByte) * NEWEST_WEIGHT;
+    this._firstByteAt = this._clock.now();
   }
 
   /** Whether to avoid the server for now. */
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -60,7 +60,7 @@
 const PLAIN_COST: ServiceCost = {
   serviceMilliseconds: 60,
   readMilliseconds: 0,
-  typicalFirstMilliseconds: 100,
+  typicalFirstByteMilliseconds: 100,
   maxFill: 3,
   batchSlowdown: 0.25,
   tieMilliseconds: 0,
@@ -274,7 +274,7 @@
       load: load.estimate(this._options.clock.now()),
       pendingPrompts: server.pendingPrompts,
       failureRate: health.failureRate,
-      firstAnswerMilliseconds: health.firstAnswerMilliseconds,
+      firstByteMilliseconds: health.firstByteMilliseconds,
       slowLink: server.slowLink,
       outdated:
         requirements.model !== '' && server.version(requirements.model) < requirements.preferredVersion,
@@ -294,7 +294,7 @@
     return {
       serviceMilliseconds: reading + writing,
       readMilliseconds: reading,
-      typicalFirstMilliseconds,
+      typicalFirstByteMilliseconds: typicalFirstMilliseconds,
       maxFill: isContinuation ? MAX_CONTINUATION_FILL : MAX_ENGINE_FILL,
       batchSlowdown: 0,
       tieMilliseconds: reading * TIE_PROMPTS,
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -172,7 +172,7 @@
 
   /** Whether a request that is sent now is expected to begin within a few hundred milliseconds. */
   get startsPromptly(): boolean {
-    const isPrompt = this.health.firstAnswerMilliseconds < PROMPT_RESPONSE_MILLISECONDS;
+    const isPrompt = this.health.firstByteMilliseconds < PROMPT_RESPONSE_MILLISECONDS;
     const isFree =
       this.pendingPrompts < MANY_PENDING_PROMPTS && this.load.estimate(this._clock.now()) < this.record.slots;
     const isReachable = !this.agentSilent && !this.slowLink && !this.health.avoided;
--- a/tests/serverChoice.spec.ts
+++ b/tests/serverChoice.spec.ts
@@ -10,7 +10,7 @@
 const ENGINE = {
   serviceMilliseconds: 900,
   readMilliseconds: 30,
-  typicalFirstMilliseconds: 180,
+  typicalFirstByteMilliseconds: 180,
   maxFill: 1,
   batchSlowdown: 0,
   tieMilliseconds: 24,
@@ -24,7 +24,7 @@
     load: 0,
     pendingPrompts: 0,
     failureRate: 0,
-    firstAnswerMilliseconds: 100,
+    firstByteMilliseconds: 100,
     slowLink: false,
     outdated: false,
     preparing: false,
@@ -81,7 +81,7 @@
 });
 
 test('should avoid a server that has become slow', () => {
-  const slow = candidate('slow', { firstAnswerMilliseconds: 900 });
+  const slow = candidate('slow', { firstByteMilliseconds: 900 });
   const chosen = chooseServer([slow, candidate('busy', { load: 12 })], ENGINE, 400, new SeededRandom(1));
   expect(chosen?.id).toEqual('busy');
 });
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -45,10 +45,10 @@
 test('should forget that a server was slow, so that it is used again', () => {
   const clock = new ManualClock();
   const health = new ServerHealth(clock);
-  for (let attempt = 0; attempt < 10; attempt++) health.noteFirstAnswer(1_000);
-  expect(health.firstAnswerMilliseconds).toBeGreaterThan(900);
+  for (let attempt = 0; attempt < 10; attempt++) health.noteFirstByte(1_000);
+  expect(health.firstByteMilliseconds).toBeGreaterThan(900);
   clock.advance(10_000);
-  expect(health.firstAnswerMilliseconds).toBeLessThan(100);
+  expect(health.firstByteMilliseconds).toBeLessThan(100);
 });
 
 test('should rate a server by its failures until they are old', () => {
