--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -13,7 +13,7 @@
   pendingPrompts: number;
   /** Share of recent attempts that failed, from 0 to 1. */
   failureRate: number;
-  /** Recent time to the first byte of a response or the first event of a stream, in milliseconds. */
+  /** Recent time to the first byte of a response, in milliseconds. */
   firstByteMilliseconds: number;
   /** Whether the link of its box is slow. */
   slowLink: boolean;
@@ -33,7 +33,7 @@
   serviceMilliseconds: number;
   /** Mean time that a server needs to read a prompt, in milliseconds; 0 for services without prompts. */
   readMilliseconds: number;
-  /** Time to the first byte or event from a healthy server, in milliseconds. */
+  /** Time to the first byte from a healthy server, in milliseconds. */
   typicalFirstByteMilliseconds: number;
   /** Load above which nothing more is sent to a server, as a multiple of its slots. */
   maxFill: number;
@@ -87,7 +87,7 @@
 const BASE_SHARE = 0.4;
 
 /**
- * Whether a request sent to `candidate` is likely to get its first byte or event within its objective. If no
+ * Whether a request sent to `candidate` is likely to get its first byte within its objective. If no
  * candidate qualifies, the request is refused, because more work on a full server would delay all of its requests.
  */
 export function canMeetObjective(
--- a/src/serving/serverHealth.ts
+++ b/src/serving/serverHealth.ts
@@ -49,13 +49,13 @@
     return this._failures / (this._failures + this._successes + PRIOR_SUCCESSES);
   }
 
-  /** Recent time to the first byte or event in milliseconds; decays over time, so that the server is retried. */
+  /** Recent time to the first byte in milliseconds; decays over time, so that the server is retried. */
   get firstByteMilliseconds(): number {
     const age = this._clock.now() - this._firstByteAt;
     return this._firstByte * 0.5 ** (age / HALF_LIFE_MILLISECONDS);
   }
 
-  /** Records the time that an attempt waited for its first byte or event. */
+  /** Records the time that an attempt waited for its first byte. */
   noteFirstByte(milliseconds: number): void {
     this._firstByte += (milliseconds - this._firstByte) * NEWEST_WEIGHT;
     this._firstByteAt = this._clock.now();
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -289,12 +289,12 @@
     if (!engine) return PLAIN_COST;
     const reading = engine.usualPromptTokens / (engine.readTokensPerSecond / 1000);
     const writing = engine.usualAnswerTokens * engine.stepMilliseconds;
-    const typicalFirstMilliseconds =
+    const typicalFirstByteMilliseconds =
       TYPICAL_FIRST_READS * reading + TYPICAL_FIRST_STEPS * engine.stepMilliseconds;
     return {
       serviceMilliseconds: reading + writing,
       readMilliseconds: reading,
-      typicalFirstByteMilliseconds: typicalFirstMilliseconds,
+      typicalFirstByteMilliseconds,
       maxFill: isContinuation ? MAX_CONTINUATION_FILL : MAX_ENGINE_FILL,
       batchSlowdown: 0,
       tieMilliseconds: reading * TIE_PROMPTS,
--- a/src/serving/serverRequirements.ts
+++ b/src/serving/serverRequirements.ts
@@ -11,7 +11,7 @@
   preferredVersion: number;
   /** Newest version that has been announced. */
   newestVersion: number;
-  /** Target time to the first byte or event. */
+  /** Target time to the response, or to the first event of a stream. */
   objectiveMilliseconds: number;
   /** Whether the request continues from another server, which still runs it or broke off its response. */
   isContinuation: boolean;
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -15,7 +15,7 @@
 const MAX_STATUS_DELAY_MILLISECONDS = 1_500;
 /** Agents send their status at least once per second; the rest is a margin for delays. */
 const AGENT_SILENCE_MILLISECONDS = 1_400;
-/** A longer time to the first byte or event means that requests wait, on the network or at the server. */
+/** A longer time to the first byte means that requests wait, on the network or at the server. */
 const PROMPT_RESPONSE_MILLISECONDS = 350;
 /**
  * A longer round trip to the box means that requests are delayed on the way. Chunks of a version delay a round trip
