--- a/src/serving/answerHead.ts
+++ b/src/serving/answerHead.ts
@@ -18,5 +18,5 @@
   const version = Number(headers[names.version]);
   if (model !== '' && version > 0) server.noteVersion(model, version);
   // the answer to a misdirected request may come from another server
-  if (status !== MISDIRECTED_REQUEST) server.backpressure.note(readSignals(status, headers, names));
+  if (status !== MISDIRECTED_REQUEST) server.backpressure.applySignals(readSignals(status, headers, names));
 }
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -119,7 +119,7 @@
     const { names } = this._context;
     const { exchange, model } = this._request;
     if (headers[names.requestId] !== exchange.requestId) return this._onForeignAnswer(server);
-    server.health.noteFirstAnswer(this._current.elapsedMilliseconds);
+    server.health.noteFirstByte(this._current.elapsedMilliseconds);
     recordAnswerHead(server, status, headers, names, model);
     this._receiver.onHead(status, headers, headers[names.seal] !== undefined);
   }
@@ -138,7 +138,7 @@
     const answer = this._receiver.answer!;
     this._current.clear(server);
     if (this._receiver.isForwarding) {
-      server.health.note('succeeded');
+      server.health.noteOutcome('succeeded');
       this._turn.recordSuccess();
       return this._final.endStream(server, answer.status);
     }
@@ -151,7 +151,7 @@
     const kind = classifyAnswer(status, headers, this._context.names);
     if (kind === 'not-run') return this._onRejected(server, status);
     this._mayHaveRun = true;
-    server.health.note(kind === 'failed' || kind === 'unclear' ? 'failed' : 'succeeded');
+    server.health.noteOutcome(kind === 'failed' || kind === 'unclear' ? 'failed' : 'succeeded');
     if (isSuccessfulRun(kind, status)) this._turn.recordSuccess();
     if (kind !== 'answered' && this._attempts.repeatable && this._continueElsewhere()) return;
     if (kind === 'unclear') return this._final.refuse(OWN_STATUS.unknown, `status ${status} from server`);
@@ -166,7 +166,7 @@
   }
 
   private _noteRejected(server: TrackedServer, status: number): void {
-    server.health.note(status === MISDIRECTED_REQUEST ? 'displaced' : 'rejected');
+    server.health.noteOutcome(status === MISDIRECTED_REQUEST ? 'displaced' : 'rejected');
     this._attempts.noteNotRun(server);
     this._trace.rejected(server, status);
   }
@@ -176,8 +176,8 @@
     this._trace.attemptFailed(server, failure, this._current.elapsedMilliseconds);
     if (!failure.sent && !this._handover.inProgress) return this._afterUnreachable(server);
     this._mayHaveRun = true;
-    if (failure.reason === 'silent') server.health.note('silent');
-    else server.health.note('failed');
+    if (failure.reason === 'silent') server.health.noteOutcome('silent');
+    else server.health.noteOutcome('failed');
     if (failure.brokeOff) void this._afterDisconnect(server, failure);
     else this._continueAfter(failure);
   }
@@ -262,7 +262,7 @@
     if (!stalled || this._takeRetry()) return;
     this._current.abort('silent');
     this._mayHaveRun = true;
-    server.health.note('silent');
+    server.health.noteOutcome('silent');
     this._trace.attemptFailed(server, { sent: true, reason: 'silent' }, elapsed);
     this._attempt();
   }
--- a/src/serving/noAttemptReason.ts
+++ b/src/serving/noAttemptReason.ts
@@ -1,5 +1,5 @@
 /** Reasons for which a request is not sent to another server at the moment. */
-import type { ServerFound } from './serverPool.js';
+import type { ServerSelection } from './serverPool.js';
 
 /**
  * - `attempts used`: the maximum number of attempts of its route has been made.
@@ -40,7 +40,7 @@
 } as const;
 
 /** Returns the reason for which no server was found, undefined when one was found. */
-export function noAttemptReasonOf(found: ServerFound): NoAttemptReason | undefined {
+export function noAttemptReasonOf(found: ServerSelection): NoAttemptReason | undefined {
   return found.kind === 'none' ? REASON_BY_CHOICE[found.reason] : undefined;
 }
 
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -6,7 +6,7 @@
 import { noAttemptReasonOf } from './noAttemptReason.js';
 import { outgoingRequest } from './outgoingRequest.js';
 import { computeRetryAfter } from './retryAfter.js';
-import type { ServerFound } from './serverPool.js';
+import type { ServerSelection } from './serverPool.js';
 import { HANDOVER_TIMEOUT_MILLISECONDS } from './streamHandover.js';
 import type { TrackedServer } from './trackedServer.js';
 
@@ -65,22 +65,22 @@
    * server. Once its answer has begun, a request is no longer subject to the latency objective, and may be sent again
    * to a server that has not run it.
    */
-  find(isHandover = false): ServerFound {
+  find(isHandover = false): ServerSelection {
     const { service, model } = this._request;
     const { gate, pool } = this._context;
-    const preferredVersion = gate.preferred(model);
+    const preferredVersion = gate.preferredMinVersion(model);
     // a stream handed over to an older version shortly before that version's bound would have to move again, and
     // might begin too late
     const lowestForHandover = isHandover ? preferredVersion : 0;
     const found = pool.find({
       service,
       model,
-      lowestVersion: Math.max(gate.lowest(model), lowestForHandover),
-      lowestVersionSlow: Math.max(gate.lowest(model, true), lowestForHandover),
+      minVersion: Math.max(gate.minVersionToSend(model), lowestForHandover),
+      minVersionIfSlow: Math.max(gate.minVersionToSend(model, true), lowestForHandover),
       preferredVersion,
       newestVersion: gate.newest(model),
       objectiveMilliseconds: this._objectiveMilliseconds(isHandover),
-      isCarriedOver: isHandover || this._hasBegun(),
+      isContinuation: isHandover || this._hasBegun(),
       tried: this._hasBegun() && !isHandover ? this._excludedServers() : this._tried,
     });
     this._waitMilliseconds = 'waitMilliseconds' in found ? found.waitMilliseconds : 0;
@@ -102,7 +102,7 @@
   mayBeginTooLate(server: TrackedServer): boolean {
     const { model } = this._request;
     const mayBeDelayed = server.slowLink || server.agentSilent;
-    return model !== '' && server.version(model) < this._context.gate.lowestToBegin(model, mayBeDelayed);
+    return model !== '' && server.version(model) < this._context.gate.minVersionToBegin(model, mayBeDelayed);
   }
 
   /** Counts an attempt at `server`. */
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -1,37 +1,38 @@
-/** Which backend servers a request may be sent to, as far as versions are concerned. Pure. */
-import type { ServerNeed } from './serverNeed.js';
+/** Selects the backend servers whose model version allows them to take a request. No state, no I/O. */
+import type { ServerRequirements } from './serverRequirements.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** What eligibility depends on. */
+/** Properties of a server that its eligibility depends on. */
 export type VersionedServer = Pick<
   TrackedServer,
-  'version' | 'beginsSoon' | 'switching' | 'agentSilent' | 'suspicious' | 'slowLink'
+  'version' | 'startsPromptly' | 'switching' | 'agentSilent' | 'suspicious' | 'slowLink'
 >;
 
 /**
- * The servers that hold a version on which the request may begin and are not changing it. A server of an older version
- * that nothing has been heard of may be frozen or cut off, and begin the request only when it is back, after the bound
- * for its version; on a narrow link a request may be on its way for as long. Such a server is left out as long as there
- * is any other, and late in the time of its version altogether: no request is sent whose time on the way nobody knows.
+ * Returns the servers that serve a version on which the request may begin and are not switching versions.
+ *
+ * A silent server of an older version may be frozen or unreachable, and begin the request only after the deadline
+ * of its version; on a slow link the request may be delayed as much. Such a server is used only if there is no
+ * other, and not at all close to the deadline, when a delay of unknown length cannot be accepted.
  */
 export function eligibleServers<Server extends VersionedServer>(
   servers: readonly Server[],
-  need: ServerNeed,
+  requirements: ServerRequirements,
 ): Server[] {
-  if (need.model === '') return [...servers];
-  const able = servers.filter((server) => isAble(server, need));
-  const sure = able.filter((server) => !mayBeginTooLate(server, need));
-  if (sure.length > 0) return sure;
-  return able.filter((server) => server.version(need.model) >= need.preferredVersion);
+  if (requirements.model === '') return [...servers];
+  const eligible = servers.filter((server) => isEligible(server, requirements));
+  const safe = eligible.filter((server) => !mayBeginTooLate(server, requirements));
+  if (safe.length > 0) return safe;
+  return eligible.filter((server) => server.version(requirements.model) >= requirements.preferredVersion);
 }
 
-function isAble(server: VersionedServer, need: ServerNeed): boolean {
-  const version = server.version(need.model);
-  const lowest = server.beginsSoon ? need.lowestVersion : need.lowestVersionSlow;
-  return version > 0 && version >= lowest && !server.switching;
+function isEligible(server: VersionedServer, requirements: ServerRequirements): boolean {
+  const version = server.version(requirements.model);
+  const minVersion = server.startsPromptly ? requirements.minVersion : requirements.minVersionIfSlow;
+  return version > 0 && version >= minVersion && !server.switching;
 }
 
-function mayBeginTooLate(server: VersionedServer, need: ServerNeed): boolean {
-  const isOutdated = server.version(need.model) < need.newestVersion;
+function mayBeginTooLate(server: VersionedServer, requirements: ServerRequirements): boolean {
+  const isOutdated = server.version(requirements.model) < requirements.newestVersion;
   return isOutdated && (server.agentSilent || server.suspicious || server.slowLink);
 }
--- a/src/serving/decodedServers.ts
+++ b/src/serving/serverRecordDecoder.ts
@@ -1,11 +1,11 @@
-/** Records of backend servers, each decoded once. */
+/** Decodes the records of backend servers and caches the result for each stored object. */
 import type { ChangeUrgency } from '../records/recordReplica.js';
 import type { UnreadableRecords } from '../records/unreadableRecords.js';
 import type { StoredObject } from '../records/watchableStore.js';
 import type { BackendServerRecord } from './backendServerRecord.js';
 import type { RecordReader } from './platformRecords.js';
 
-export class DecodedServers {
+export class ServerRecordDecoder {
   private readonly _reader: RecordReader;
   private readonly _unreadable: UnreadableRecords;
   private readonly _decoded = new WeakMap<StoredObject, { record: BackendServerRecord | undefined }>();
@@ -15,8 +15,8 @@
     this._unreadable = unreadable;
   }
 
-  /** The record that an object holds; undefined if it cannot be understood. */
-  of(object: StoredObject): BackendServerRecord | undefined {
+  /** Returns the record in an object; undefined if it is invalid. */
+  decode(object: StoredObject): BackendServerRecord | undefined {
     let decoded = this._decoded.get(object);
     if (!decoded) {
       decoded = { record: this._read(object) };
@@ -25,14 +25,14 @@
     return decoded.record;
   }
 
-  /** How much a change matters to those who choose servers: which version one serves is told sooner by its agent. */
-  weigh(before: StoredObject | undefined, after: StoredObject | undefined): ChangeUrgency {
-    const old = before && this.of(before);
-    const next = after && this.of(after);
+  /** Rates how much a change affects server selection. Models are minor, since agents report them sooner. */
+  weighChange(before: StoredObject | undefined, after: StoredObject | undefined): ChangeUrgency {
+    const old = before && this.decode(before);
+    const next = after && this.decode(after);
     if (!old || !next) return old === next ? 'none' : 'urgent';
-    const { models: oldModels, ...oldPlace } = old;
-    const { models: nextModels, ...nextPlace } = next;
-    if (JSON.stringify(oldPlace) !== JSON.stringify(nextPlace)) return 'urgent';
+    const { models: oldModels, ...oldRest } = old;
+    const { models: nextModels, ...nextRest } = next;
+    if (JSON.stringify(oldRest) !== JSON.stringify(nextRest)) return 'urgent';
     return JSON.stringify(oldModels) === JSON.stringify(nextModels) ? 'none' : 'minor';
   }
 
--- /dev/null
+++ b/src/serving/serverRequirements.ts
@@ -0,0 +1,20 @@
+/** Requirements of a request on the server that it is sent to. */
+export interface ServerRequirements {
+  service: string;
+  /** The model; '' for services without one. */
+  model: string;
+  /** Lowest version on which the request may begin. */
+  minVersion: number;
+  /** The same for a server on which requests may take long to begin. */
+  minVersionIfSlow: number;
+  /** Servers below this version are used only if necessary. */
+  preferredVersion: number;
+  /** Newest version that has been announced. */
+  newestVersion: number;
+  /** Target time to the response, or to the first event of a stream. */
+  objectiveMilliseconds: number;
+  /** Whether the request continues from another server, which still runs it or broke off its response. */
+  isContinuation: boolean;
+  /** Ids of the servers that the request was already sent to. */
+  tried: ReadonlySet<string>;
+}
--- a/tests/answerSignals.spec.ts
+++ b/tests/answerSignals.spec.ts
@@ -1,7 +1,7 @@
-/** What the head of a backend server's answer says of the server. */
+/** Tests the parsing of backpressure headers. */
 import { test } from 'node:test';
 import { expect } from 'earl';
-import { LONGEST_RETRY_AFTER_MILLISECONDS, readSignals } from '../src/backpressure/answerSignals.js';
+import { MAX_RETRY_AFTER_MILLISECONDS, readSignals } from '../src/backpressure/answerSignals.js';
 import { OWN_HEADER_NAMES as NAMES } from '../src/serving/headerNames.js';
 
 const NOW = Date.UTC(2026, 0, 2, 3, 4, 5);
@@ -10,7 +10,7 @@
   return readSignals(status, headers, NAMES, () => NOW);
 }
 
-test('should read nothing from an answer that says nothing', () => {
+test('should return no signals for a response without backpressure headers', () => {
   const { unreadable, ...signals } = read(200, { 'content-type': 'text/plain', 'retry-after': '3' });
   expect(signals).toEqual({ limitPerSecond: undefined, leaving: false, retryAfterMilliseconds: 0 });
   expect(unreadable).toEqual(undefined);
@@ -22,7 +22,7 @@
   expect(read(200, { [NAMES.serverLimit]: ['3', '1'] }).limitPerSecond).toEqual(1);
 });
 
-test('should read that a server leaves', () => {
+test('should read that a server is shutting down', () => {
   expect(read(200, { [NAMES.serverLeaving]: '1' }).leaving).toEqual(true);
   expect(read(200, { [NAMES.serverLeaving]: '0' }).leaving).toEqual(false);
 });
@@ -33,7 +33,7 @@
   ['0', 0],
   ['Fri, 02 Jan 2026 03:04:09 GMT', 4_000],
   ['Fri, 02 Jan 2026 03:04:01 GMT', 0],
-  ['31536000', LONGEST_RETRY_AFTER_MILLISECONDS],
+  ['31536000', MAX_RETRY_AFTER_MILLISECONDS],
 ] as const) {
   test(`should read a Retry-After of "${text}" from a rejection`, () => {
     expect(read(503, { 'retry-after': text }).retryAfterMilliseconds).toEqual(milliseconds);
@@ -43,7 +43,7 @@
 }
 
 for (const text of ['', 'NaN', '-1', '1e309', 'Infinity', 'soon', '9'.repeat(400)]) {
-  test(`should take "${text.slice(0, 10)}" for no limit and no Retry-After, and say so`, () => {
+  test(`should ignore and report "${text.slice(0, 10)}" as a limit and as a Retry-After`, () => {
     const limit = read(200, { [NAMES.serverLimit]: text });
     expect(limit.limitPerSecond).toEqual(undefined);
     expect(limit.unreadable).toEqual(`${NAMES.serverLimit}: ${text}`.slice(0, 40));
--- a/tests/crashingRequest.spec.ts
+++ b/tests/crashingRequest.spec.ts
@@ -59,7 +59,7 @@
 async function send(body: string, attempt: number, more: CallerRequest = {}): Promise<CallerAnswer> {
   const entry = attempt % 2 === 0 ? first : second;
   const headers = { 'larklatch-request-id': `${body}-${attempt}` };
-  return await entry.ask({ method: 'POST', body, headers, ...more });
+  return await entry.request({ method: 'POST', body, headers, ...more });
 }
 
 test('should limit a request that crashes every server to three servers', async () => {
@@ -78,7 +78,7 @@
   const later = new GatewayFixture();
   try {
     await later.startBeside(first);
-    expect((await later.ask({ method: 'POST', body: 'crash' })).status).toEqual(503);
+    expect((await later.request({ method: 'POST', body: 'crash' })).status).toEqual(503);
   } finally {
     later.stop();
   }
--- a/tests/gatewayRequests.spec.ts
+++ b/tests/gatewayRequests.spec.ts
@@ -35,7 +35,7 @@
     'larklatch-customer': 'forged',
     'larklatch-deadline-milliseconds': '3000',
   };
-  const answer = await fixture.ask({ method: 'POST', path: '/a/x?q=%20', body: 'the body', headers });
+  const answer = await fixture.request({ method: 'POST', path: '/a/x?q=%20', body: 'the body', headers });
   expect([answer.status, answer.body, answer.headers['larklatch-seal']]).toEqual([200, 'body', 'seal']);
   const [arrived] = fixture.backends[0].arrived;
   expect([arrived.method, arrived.path, arrived.body]).toEqual(['POST', '/a/x?q=%20', 'the body']);
@@ -54,7 +54,7 @@
 ] as const) {
   test(`should answer ${status} to a request with ${what}`, async () => {
     await fixture.start([answers()]);
-    expect((await fixture.ask(request)).status).toEqual(status);
+    expect((await fixture.request(request)).status).toEqual(status);
     expect(fixture.arrivals).toEqual(0);
   });
 }
@@ -73,7 +73,7 @@
 ] as const) {
   test(`should answer ${status} and send a non-repeatable request once, when the answer ${what}`, async () => {
     await fixture.start([script, script], ONCE);
-    const answer = await fixture.ask({ method: 'POST', body: 'x' });
+    const answer = await fixture.request({ method: 'POST', body: 'x' });
     expect(answer.status).toEqual(status);
     expect(fixture.arrivals).toEqual(1);
     expect(answer.headers['retry-after'] !== undefined).toEqual(status === 503);
@@ -96,7 +96,7 @@
       script(request);
     };
     await fixture.start([failsOnce, failsOnce]);
-    const answer = await fixture.ask();
+    const answer = await fixture.request();
     expect([answer.status, answer.body]).toEqual([200, 'body']);
     expect(fixture.arrivals).toEqual(2);
   });
@@ -106,27 +106,28 @@
   await fixture.start([answers()]);
   fixture.store.lost = true;
   await until(() => fixture.lines.some((line) => line.includes('store.lost')));
-  let answer = await fixture.ask({ headers: { authorization: 'Bearer other' } });
-  while (answer.status === 401) answer = await fixture.ask({ headers: { authorization: 'Bearer other' } });
+  let answer = await fixture.request({ headers: { authorization: 'Bearer other' } });
+  while (answer.status === 401)
+    answer = await fixture.request({ headers: { authorization: 'Bearer other' } });
   expect([answer.status, answer.headers['retry-after'] !== undefined]).toEqual([503, true]);
-  expect((await fixture.ask()).status).toEqual(200);
+  expect((await fixture.request()).status).toEqual(200);
 });
 
 test('should send a request to no more servers than its route allows', async () => {
   await fixture.start([resets, resets, resets]);
-  expect((await fixture.ask()).status).toEqual(502);
+  expect((await fixture.request()).status).toEqual(502);
   expect(fixture.arrivals).toEqual(2);
 });
 
 test('should answer 504 at the timeout of the route, and close the connection to the server', async () => {
   await fixture.start([silence], { routes: [routeFixture({ kind: 'once', timeoutMilliseconds: 150 })] });
-  expect((await fixture.ask({ method: 'POST' })).status).toEqual(504);
+  expect((await fixture.request({ method: 'POST' })).status).toEqual(504);
   await until(() => fixture.backends[0].closed === 1);
 });
 
 test('should reset the connection of an aborted attempt, so that a request in transit does not begin', async () => {
   await fixture.start([silence], { routes: [routeFixture({ kind: 'once', timeoutMilliseconds: 150 })] });
-  expect((await fixture.ask({ method: 'POST' })).status).toEqual(504);
+  expect((await fixture.request({ method: 'POST' })).status).toEqual(504);
   await until(() => fixture.backends[0].closed === 1);
   expect(fixture.backends[0].resets).toEqual(1);
 });
@@ -141,7 +142,7 @@
 
 test('should treat an answer without length as complete when its connection is closed', async () => {
   await fixture.start([unframed(({ socket }) => void socket.end())], ONCE);
-  const answer = await fixture.ask({ method: 'POST' });
+  const answer = await fixture.request({ method: 'POST' });
   expect([answer.status, answer.body]).toEqual([200, 'part']);
   // a truncated answer could not be detected, so that it must not be forwarded with a known length
   expect(answer.headers['content-length']).toEqual(undefined);
@@ -151,13 +152,13 @@
 
 test('should not treat an answer without length as complete when its connection is reset', async () => {
   await fixture.start([unframed(({ socket }) => void socket.resetAndDestroy())], ONCE);
-  expect((await fixture.ask({ method: 'POST' })).status).toEqual(502);
+  expect((await fixture.request({ method: 'POST' })).status).toEqual(502);
 });
 
 test('should close the connection to the server when the caller disconnects', async () => {
   await fixture.start([silence]);
   const leave = new AbortController();
-  const asked = fixture.ask({ signal: leave.signal });
+  const asked = fixture.request({ signal: leave.signal });
   await until(() => fixture.arrivals === 1);
   leave.abort();
   await expect(asked).toBeRejected();
@@ -166,15 +167,15 @@
 
 test('should reuse a connection, but not one that sent surplus data', async () => {
   await fixture.start([answers()]);
-  await fixture.ask();
-  await fixture.ask();
+  await fixture.request();
+  await fixture.request();
   expect(fixture.backends[0].opened).toEqual(1);
   fixture.backends[0].answerWith((request) => {
     request.socket.write(answerBytes(request) + answerBytes(request, { body: 'surplus' }));
   });
-  await fixture.ask();
+  await fixture.request();
   await until(() => fixture.backends[0].closed === 1);
-  expect((await fixture.ask()).body).toEqual('body');
+  expect((await fixture.request()).body).toEqual('body');
   expect(fixture.backends[0].opened).toEqual(2);
 });
 
@@ -182,10 +183,10 @@
   await fixture.start([answers({ body: 'zero' }), answers({ body: 'one' })]);
   fixture.setServer(0, { draining: true });
   await until(() => fixture.lines.some((line) => line.includes('server.draining')));
-  for (let request = 0; request < 4; request++) expect((await fixture.ask()).body).toEqual('one');
+  for (let request = 0; request < 4; request++) expect((await fixture.request()).body).toEqual('one');
   fixture.setServer(1, undefined);
   await until(() => fixture.lines.some((line) => line.includes('server.gone')));
-  const refused = await fixture.ask();
+  const refused = await fixture.request();
   expect([refused.status, refused.headers['retry-after'] !== undefined]).toEqual([503, true]);
 });
 
@@ -194,12 +195,12 @@
   fixture.store.set('configuration', { main: servingConfiguration({ version: 5, customers: [] }) });
   await until(() => fixture.lines.some((line) => line.includes('"version":5')));
   fixture.store.set('configuration', { main: servingConfiguration({ version: 4, routes: [] }) });
-  expect((await fixture.ask({ headers: { authorization: '' } })).status).toEqual(200);
+  expect((await fixture.request({ headers: { authorization: '' } })).status).toEqual(200);
 });
 
 test('should drain: report not ready, close kept connections, answer requests in flight', async () => {
   await fixture.start([(request) => void setTimeout(() => answers()(request), 200)]);
-  const inFlight = fixture.ask();
+  const inFlight = fixture.request();
   await until(() => fixture.arrivals === 1);
   const stopped = fixture.gateway.stop();
   const ready = await fetch(`http://${fixture.directory}/ready`);
@@ -236,8 +237,8 @@
   await fixture.start([answers()]);
   const stopped = fixture.gateway.stop();
   const short = { 'larklatch-deadline-milliseconds': '400' };
-  expect((await fixture.ask({ headers: short })).status).toEqual(200);
-  const refused = await fixture.ask();
+  expect((await fixture.request({ headers: short })).status).toEqual(200);
+  const refused = await fixture.request();
   expect([refused.status, refused.headers['retry-after'], refused.headers.connection]).toEqual([
     503,
     '0.01',
@@ -249,10 +250,10 @@
 
 test('should learn from an agent of a version that other entries know', async () => {
   await fixture.startEngines([answers({ status: 200 })]);
-  fixture.tellStatus(0, {});
-  fixture.tellHeard(0, 2, 100);
+  fixture.sendStatus(0, {});
+  fixture.sendVersionsHeard(0, 2, 100);
   await until(() => fixture.lines.some((line) => line.includes('version.heard')));
-  await fixture.ask({ headers: { 'larklatch-model': 'model' } });
+  await fixture.request({ headers: { 'larklatch-model': 'model' } });
   expect(fixture.backends[0].arrived[0].headers.get('larklatch-expected-version')).toEqual('1');
 });
 
@@ -265,10 +266,10 @@
     const changes = { contactMilliseconds: 100 };
     const silent = (): void => undefined;
     await fixture.startEngines([silent], { routes: [routeFixture({ ...route, attempts: 1 })] }, changes);
-    fixture.tellStatus(0, {});
-    const asked = fixture.ask({ method: 'POST', headers: { 'larklatch-model': 'model' }, body: 'b' });
+    fixture.sendStatus(0, {});
+    const asked = fixture.request({ method: 'POST', headers: { 'larklatch-model': 'model' }, body: 'b' });
     await until(() => fixture.arrivals === 1);
-    fixture.tellHeard(0, 2, 60_000);
+    fixture.sendVersionsHeard(0, 2, 60_000);
     expect((await asked).status).toEqual(502);
     expect(fixture.lines.some((line) => line.includes('request.taken-back'))).toEqual(true);
   });
--- a/tests/gatewayStreams.spec.ts
+++ b/tests/gatewayStreams.spec.ts
@@ -34,7 +34,7 @@
     ],
     STREAM,
   );
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([events(1, 2, 3), true]);
 });
 
@@ -54,7 +54,7 @@
       request.socket.write('0\r\n\r\n');
     };
     await fixture.start([script, script], STREAM);
-    const answer = await fixture.ask();
+    const answer = await fixture.request();
     expect(answer.whole).toEqual(true);
     const ids = [...answer.body.matchAll(/id: (\d+)/g)].map((match) => Number(match[1]));
     expect(ids).toEqual(ids.map((_id, index) => index + 1));
@@ -65,7 +65,7 @@
 
 /** Sends the gateway the status messages by which the servers' agents report whether they are switching versions. */
 function tellState(states: readonly ('serving' | 'switching')[]): void {
-  states.forEach((state, index) => fixture.tellStatus(index, { state }));
+  states.forEach((state, index) => fixture.sendStatus(index, { state }));
 }
 
 /** Sends events at an interval, starting after the last event id of the request, up to `last`. */
@@ -86,7 +86,7 @@
 
 test('should hand a stream over before its server switches versions, without gap, repeat or pause', async () => {
   await fixture.startEngines([streamsOn(20, 150), streamsOn(20, 150)], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends[0].arrived.length === 1 ? 0 : 1;
   tellState(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
@@ -102,7 +102,7 @@
   let arrived = 0;
   const script: Script = (request) => (arrived++ === 0 ? streamsOn(20, 150) : rejects)(request);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends[0].arrived.length === 1 ? 0 : 1;
   tellState(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
@@ -119,7 +119,7 @@
     void until(() => arrived === 2).then(() => request.socket.resetAndDestroy());
   };
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   tellState(fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching']);
   const answer = await asked;
@@ -136,7 +136,7 @@
   // ends during the handover, which begins within a second and times out after 600 ms
   const routes = [routeFixture({ kind: 'stream', resumable: true, timeoutMilliseconds: 1_500 })];
   await fixture.startEngines([rejectsOnceHandedOver, rejectsOnceHandedOver], { routes });
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   tellState(fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching']);
   const { status } = await asked;
@@ -150,13 +150,13 @@
     setTimeout(() => request.socket.destroy(), 30);
   };
   await fixture.start([script], STREAM);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.status, answer.whole]).toEqual([200, false]);
 });
 
 test('should resume after the last event id of the caller', async () => {
   await fixture.start([answers()], STREAM);
-  await fixture.ask({ headers: { 'last-event-id': '7' } });
+  await fixture.request({ headers: { 'last-event-id': '7' } });
   expect(fixture.backends[0].arrived[0].headers.get('last-event-id')).toEqual('7');
 });
 
@@ -171,17 +171,17 @@
   const holds = (request: ArrivedRequest): void => void sent.push(request);
   const changes = { contactMilliseconds: 100, retrySlack: 10_000 };
   await fixture.startEngines([holds, holds], STREAM, changes);
-  fixture.tellStatus(0, {});
-  fixture.tellStatus(1, {});
-  void fixture.ask({ headers: { 'larklatch-model': 'model' } }).catch(() => undefined);
+  fixture.sendStatus(0, {});
+  fixture.sendStatus(1, {});
+  void fixture.request({ headers: { 'larklatch-model': 'model' } }).catch(() => undefined);
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends.findIndex((backend) => backend.arrived.length === 1);
-  fixture.tellStatus(1 - first, { version: 2 });
-  fixture.tellStatus(first, { state: 'switching' });
+  fixture.sendStatus(1 - first, { version: 2 });
+  fixture.sendStatus(first, { state: 'switching' });
   await until(() => fixture.arrivals === 2);
   const closed: number[] = [];
   sent.forEach(({ socket }, index) => socket.once('close', () => closed.push(index)));
-  fixture.tellHeard(1 - first, 2, 60_000);
+  fixture.sendVersionsHeard(1 - first, 2, 60_000);
   await until(() => closed.length > 0);
   expect(closed).toEqual([0]);
 });
@@ -197,6 +197,6 @@
     answers({ status: 200, seal: null, body: events(3, 4) })(request);
   };
   await fixture.start([script, script], STREAM);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([events(1, 2), false]);
 });
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -6,8 +6,8 @@
 import type { NoAttemptReason } from '../src/serving/noAttemptReason.js';
 import { RequestAttempts } from '../src/serving/requestAttempts.js';
 import { RetryAllowance } from '../src/serving/retryAllowance.js';
-import type { ServerNeed } from '../src/serving/serverNeed.js';
-import type { ServerFound } from '../src/serving/serverPool.js';
+import type { ServerRequirements } from '../src/serving/serverRequirements.js';
+import type { ServerSelection } from '../src/serving/serverPool.js';
 import type { TrackedServer } from '../src/serving/trackedServer.js';
 import { VersionGate } from '../src/serving/versionGate.js';
 import { ManualClock } from '../src/utils/clock.js';
@@ -16,10 +16,10 @@
 test('should not hand a stream over to a server of an older version close to the bound', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
-  const needs: ServerNeed[] = [];
+  gate.noteTarget('m', 2, 0);
+  const needs: ServerRequirements[] = [];
   const pool = {
-    find: (need: ServerNeed) => {
+    find: (need: ServerRequirements) => {
       needs.push(need);
       return { kind: 'none', reason: 'no-server' } as const;
     },
@@ -32,14 +32,14 @@
   clock.advance(200);
   attempts.find(true);
   attempts.find();
-  expect(needs.map(({ lowestVersion }) => lowestVersion)).toEqual([0, 2, 0]);
-  expect(needs.map(({ lowestVersionSlow }) => lowestVersionSlow)).toEqual([0, 2, 0]);
+  expect(needs.map(({ minVersion }) => minVersion)).toEqual([0, 2, 0]);
+  expect(needs.map(({ minVersionIfSlow }) => minVersionIfSlow)).toEqual([0, 2, 0]);
 });
 
 test('should take a request back earlier from a server with a slow link', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
+  gate.noteTarget('m', 2, 0);
   const services = { clock, gate } as unknown as ForwardingContext;
   const request = { service: 's', model: 'm', route: routeFixture() } as AdmittedRequest;
   const attempts = new RequestAttempts(services, request);
@@ -52,10 +52,10 @@
 });
 
 const SERVER = { record: { id: 'server-1' } } as TrackedServer;
-const FOUND: ServerFound = { kind: 'found', server: SERVER };
+const FOUND: ServerSelection = { kind: 'found', server: SERVER };
 
 interface Situation {
-  found?: ServerFound;
+  found?: ServerSelection;
   slack?: number;
   sent?: number;
   left?: number;
@@ -92,16 +92,16 @@
 }
 
 /** Creates the attempts of a stream that has begun, with their clock and the needs that they passed to the pool. */
-function begunStream(found: ServerFound): {
+function begunStream(found: ServerSelection): {
   attempts: RequestAttempts;
-  needs: ServerNeed[];
+  needs: ServerRequirements[];
   clock: ManualClock;
 } {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
-  gate.note('m', 2, 0);
-  const needs: ServerNeed[] = [];
-  const pool = { find: (need: ServerNeed) => (needs.push(need), found) };
+  gate.noteTarget('m', 2, 0);
+  const needs: ServerRequirements[] = [];
+  const pool = { find: (need: ServerRequirements) => (needs.push(need), found) };
   const services = { clock, gate, pool } as unknown as ForwardingContext;
   const retries = new RetryAllowance({ ratio: 0, windowMilliseconds: 10_000, slack: 100 }, clock, () => 1);
   const route = routeFixture({ attempts: 2, objectiveMilliseconds: 200 });
@@ -117,8 +117,8 @@
   clock.advance(8_000);
   attempts.find();
   expect(needs.map((need) => need.objectiveMilliseconds)).toEqual([Infinity, 600, Infinity]);
-  expect(needs.map((need) => need.isCarriedOver)).toEqual([true, true, true]);
-  expect(needs.map((need) => need.lowestVersion)).toEqual([0, 0, 2]);
+  expect(needs.map((need) => need.isContinuation)).toEqual([true, true, true]);
+  expect(needs.map((need) => need.minVersion)).toEqual([0, 0, 2]);
 });
 
 test('should try a server that has not run a begun stream again after a while', () => {
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -205,7 +205,7 @@
   const readers = entries.filter((entry) => entry.followers.isReading);
   await until(() => readers.every(({ lines }) => lines.some((line) => line.includes('store.rolled-back'))));
   // while an outage is recent, missing servers may only have expired; load on the test machine can cause one
-  await all((entry) => hasRolledBack(entry) && !entry.followers.isEchoing);
+  await all((entry) => hasRolledBack(entry) && !entry.followers.serversMayBeMissing);
   const copy = copyThenWrite();
   standin.remove('servers', 'b');
   await all((entry) => serversAt(entry).join() === 'a ready');
--- a/tests/streamResumption.spec.ts
+++ b/tests/streamResumption.spec.ts
@@ -62,7 +62,7 @@
 test('should resume a begun stream on a server that rejected it before', async () => {
   const script = inTurn(disconnects, rejects, rejects, resumes);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([ALL_EVENTS, true]);
   expect(fixture.arrivals).toEqual(4);
 });
@@ -73,8 +73,8 @@
   const script: Script = (request) => (request.path.startsWith('/b/') ? rejects : begun)(request);
   const settings = { retryPercent: 100, retrySlack: 0 };
   await fixture.start([script, script], { routes: [STREAM_ROUTE, surge] }, settings);
-  for (let request = 0; request < 20; request++) await fixture.ask({ path: '/b/x' });
-  const answer = await fixture.ask();
+  for (let request = 0; request < 20; request++) await fixture.request({ path: '/b/x' });
+  const answer = await fixture.request();
   expect([answer.body, answer.whole]).toEqual([ALL_EVENTS, true]);
 });
 
@@ -85,13 +85,13 @@
   // with this objective a single queued prompt makes the first answer of a new request too late
   const routes = [routeFixture({ kind: 'stream', resumable: true, objectiveMilliseconds: 1 })];
   await fixture.startEngines([script, script], { routes });
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const others = new AbortController();
   for (let number = 2; fixture.arrivals < 3; number++) {
     const name = `request-${number}`;
     const headers = { 'larklatch-request-id': name };
-    void fixture.ask({ headers, signal: others.signal }).catch(() => undefined);
+    void fixture.request({ headers, signal: others.signal }).catch(() => undefined);
     await until(() => fixture.lines.some((line) => line.includes(name)));
   }
   expect(fixture.backends.map(({ arrived }) => arrived.length).sort()).toEqual([1, 2]);
@@ -115,21 +115,21 @@
 test('should resume a begun stream on a server that rejected it before it had begun', async () => {
   const script = inTurn(rejects, disconnects, resumes);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.body, answer.whole, fixture.arrivals]).toEqual([ALL_EVENTS, true, 3]);
 });
 
 test('should cut a begun stream when its attempts are used up', async () => {
   const script = inTurn(disconnects, disconnects, resumes);
   await fixture.start([script, script, script], STREAM);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.status, answer.whole, fixture.arrivals]).toEqual([200, false, 2]);
   expect([logged('request.cut', 'attempts used'), logged('request.waiting')]).toEqual([true, false]);
 });
 
 test('should refuse a stream that has not begun without waiting, as not run', async () => {
   await fixture.start([rejects, rejects, rejects], STREAM);
-  const { status, headers } = await fixture.ask();
+  const { status, headers } = await fixture.request();
   expect([status, headers['retry-after'] !== undefined, fixture.arrivals]).toEqual([503, true, 2]);
   expect(logged('request.waiting')).toEqual(false);
 });
@@ -145,12 +145,12 @@
   const script = onlySecondResumes();
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
   const caller = new AbortController();
-  void fixture.ask({ signal: caller.signal }).catch(() => undefined);
+  void fixture.request({ signal: caller.signal }).catch(() => undefined);
   await until(() => logged('request.waiting'));
   caller.abort();
   await until(() => logged('request.caller-gone'));
   const sent = arrivalsOf('request-1');
-  const other = await fixture.ask({ headers: { 'larklatch-request-id': 'request-2' } });
+  const other = await fixture.request({ headers: { 'larklatch-request-id': 'request-2' } });
   expect([other.whole, arrivalsOf('request-1')]).toEqual([true, sent]);
 });
 
@@ -158,18 +158,18 @@
   const script = onlySecondResumes();
   const routes = [routeFixture({ kind: 'stream', resumable: true, timeoutMilliseconds: 600 })];
   await fixture.start([script, script], { routes }, UNLIMITED_RETRIES);
-  const answer = await fixture.ask();
+  const answer = await fixture.request();
   expect([answer.status, answer.whole, logged('request.waiting')]).toEqual([200, false, true]);
   expect(logged('request.cut', '"noAttempt"')).toEqual(true);
   const sent = arrivalsOf('request-1');
-  const other = await fixture.ask({ headers: { 'larklatch-request-id': 'request-2' } });
+  const other = await fixture.request({ headers: { 'larklatch-request-id': 'request-2' } });
   expect([other.whole, arrivalsOf('request-1')]).toEqual([true, sent]);
 });
 
 test('should end a waiting stream when the entry stops', async () => {
   const script = inTurn(disconnects, rejects);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => logged('request.waiting'));
   await fixture.gateway.stop();
   const answer = await asked;
@@ -184,7 +184,7 @@
   };
   const script = inTurn(breaksOffAlone, resumes);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => logged('request.waiting', 'no server'));
   const closed = fixture.backends.findIndex((backend) => backend.arrived.length === 0);
   const found = fixture.lines.find(
@@ -199,15 +199,15 @@
 /** Reports the server that has the only request as switching, and the other one as serving. */
 function switchFirst(): void {
   const first = fixture.backends.findIndex((backend) => backend.arrived.length === 1);
-  fixture.tellStatus(first, { state: 'switching' });
-  fixture.tellStatus(1 - first, { state: 'serving' });
+  fixture.sendStatus(first, { state: 'switching' });
+  fixture.sendStatus(1 - first, { state: 'serving' });
 }
 
 test('should resume a stream whose server disconnects after the second server rejected the handover', async () => {
   let first: ArrivedRequest | undefined;
   const script = inTurn((request) => sendsTwoEvents((first = request)), rejects, resumes);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   await until(() => logged('request.rejected'));
@@ -224,7 +224,7 @@
   };
   const script = inTurn((request) => sendsTwoEvents((first = request)), rejectsLater, resumes);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   const answer = await asked;
@@ -236,7 +236,7 @@
   const holds: Script = () => undefined;
   const script = inTurn((request) => void (first = request), holds);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   await until(() => logged('request.attempt-failed', 'handover was silent'));
@@ -252,7 +252,7 @@
   };
   const script = inTurn((request) => void (first = request), bothReject);
   await fixture.startEngines([script, script], STREAM);
-  const asked = fixture.ask();
+  const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   switchFirst();
   expect([(await asked).status, fixture.arrivals]).toEqual([503, 2]);
--- a/tests/trackedServer.spec.ts
+++ b/tests/trackedServer.spec.ts
@@ -1,4 +1,4 @@
-/** What a gateway believes of one backend server. */
+/** Tests the state that an entry tracks for one backend server. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { BackendConnections } from '../src/serving/backendConnections.js';
@@ -24,14 +24,14 @@
   };
   const options = { address: record.address, connectMilliseconds: 1, clock, limit: () => 1 };
   const connections = new BackendConnections(options);
-  const backpressure = servingSignals(clock).of(record.id, record.dataCentre, record.startedAt);
+  const backpressure = servingSignals(clock).backpressureOf(record.id, record.dataCentre, record.startedAt);
   const served = { ...record, models };
   const server = new TrackedServer(served, connections, backpressure, clock, () => 3, linkDelay);
   server.update(server.record);
   return server;
 }
 
-test('should believe the agent that a server has lost its version', () => {
+test('should apply a lost version reported by the agent', () => {
   const server = trackedServer(new ManualClock(), [{ name: 'model', version: 2 }]);
   expect(server.version('model')).toEqual(2);
   const load = { type: 'box-status', running: 0, queued: 0, model: 'model', slowLink: false } as const;
@@ -41,7 +41,7 @@
   expect(server.version('model')).toEqual(3);
 });
 
-test('should not are retained a server with prompts before it to begin soon', () => {
+test('should not expect a request to start promptly behind pending prompts', () => {
   const clock = new ManualClock();
   clock.advance(10_000);
   const server = trackedServer(clock);
@@ -53,39 +53,39 @@
     model: 'model',
     slowLink: false,
   } as const;
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
   server.noteStatus({ ...status, queued: 0 });
-  expect(server.beginsSoon).toEqual(true);
+  expect(server.startsPromptly).toEqual(true);
   server.noteStatus({ ...status, queued: 5 });
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
   server.noteStatus({ ...status, running: 17, queued: 0 });
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
   server.noteStatus({ ...status, queued: 0, slowLink: true });
-  expect(server.beginsSoon).toEqual(false);
+  expect(server.startsPromptly).toEqual(false);
 });
 
-test('should take other entries to have sent as many prompts as this one', () => {
+test('should assume that other entries have sent as many prompts as this one', () => {
   const server = trackedServer(new ManualClock());
   server.noteSent(1);
   server.noteSent(1);
-  expect(server.unread).toEqual(6);
+  expect(server.pendingPrompts).toEqual(6);
   server.noteRead(1);
-  expect(server.unread).toEqual(3);
+  expect(server.pendingPrompts).toEqual(3);
   server.noteRead(1);
-  expect(server.unread).toEqual(0);
+  expect(server.pendingPrompts).toEqual(0);
 });
 
-test('should count what waits by the size of prompts, not by their number', () => {
+test('should count pending prompts by their size, not by their number', () => {
   const large = trackedServer(new ManualClock());
   const small = trackedServer(new ManualClock());
   large.noteSent(4);
   for (const size of [0.1, 0.2, 0.3]) small.noteSent(size);
-  expect(large.unread).toBeGreaterThan(small.unread * 3);
+  expect(large.pendingPrompts).toBeGreaterThan(small.pendingPrompts * 3);
   for (const size of [0.3, 0.1, 0.2]) small.noteRead(size);
-  expect(small.unread).toEqual(0);
+  expect(small.pendingPrompts).toEqual(0);
 });
 
-test('should tell the size of a prompt from its tokens', () => {
+test('should compute the size of a prompt from its tokens', () => {
   expect(promptSize('3880,80', 970)).toEqual(4);
   expect(promptSize('97', 970)).toEqual(0.1);
   expect(promptSize(undefined, 970)).toEqual(1);
@@ -94,25 +94,25 @@
   expect(promptSize('100,1', 0)).toEqual(1);
 });
 
-test('should believe the agent that more prompts wait, for as long as they take to be read', () => {
+test('should apply a higher number of queued prompts reported by the agent while it is recent', () => {
   const clock = new ManualClock();
   const server = trackedServer(clock);
   const status = { type: 'box-status', state: 'serving', version: 1, running: 4, slowLink: false } as const;
   server.noteStatus({ ...status, model: 'model', queued: 8 });
-  expect(server.unread).toEqual(8);
+  expect(server.pendingPrompts).toEqual(8);
   clock.advance(120);
-  expect(server.unread).toEqual(4);
+  expect(server.pendingPrompts).toEqual(4);
 });
 
-test('should call a link slow on which a probe has been waiting', () => {
+test('should consider a link slow when its round trip is long', () => {
   let delay = 400;
   const server = trackedServer(new ManualClock(), [], () => delay);
   expect(server.slowLink).toEqual(false);
   delay = 401;
-  expect([server.slowLink, server.beginsSoon]).toEqual([true, false]);
+  expect([server.slowLink, server.startsPromptly]).toEqual([true, false]);
 });
 
-test('should not call a link slow for ever by the last word of a lost agent', () => {
+test('should not consider a link slow after its agent has been lost for a while', () => {
   const clock = new ManualClock();
   const server = trackedServer(clock);
   const status = { type: 'box-status', state: 'serving', version: 1, running: 0, queued: 0 } as const;
