--- a/src/staging/localBackend.ts
+++ b/src/staging/localBackend.ts
@@ -18,7 +18,7 @@
 export type OrderOutcome = 'begun' | 'done' | 'refused' | 'unknown';
 
 /** The system's code, at the cause of a StepError, for a connection that nobody accepts: the call has reached nothing. */
-export const NOTHING_LISTENS = 'ECONNREFUSED';
+export const CONNECTION_REFUSED = 'ECONNREFUSED';
 
 /** Reads throw a StepError when there is no answer. */
 export interface LocalBackend {
--- a/src/staging/stagingPlace.ts
+++ b/src/staging/stagingPlace.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../utils/clock.js';
 import { errorCode } from '../utils/stepError.js';
 import type { LocalBackend, OrderOutcome } from './localBackend.js';
-import { NOTHING_LISTENS } from './localBackend.js';
+import { CONNECTION_REFUSED } from './localBackend.js';
 
 /** What the place works with. */
 export interface StagingPlaceOptions {
@@ -105,7 +105,7 @@
 
   /** Where nothing listens nothing was written; any other failure leaves that open. */
   private _onFailed(error: unknown): void {
-    if (errorCode((error as Error).cause) !== NOTHING_LISTENS) this._unsettle();
+    if (errorCode((error as Error).cause) !== CONNECTION_REFUSED) this._unsettle();
   }
 
   private _unsettle(): void {
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -5,11 +5,11 @@
 import type { Clock } from '../utils/clock.js';
 import { errorCode, errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
-import { isAnotherLife, isUnchanged, lifeFields } from './backendLife.js';
+import { hasRestarted, isUnchanged, restartLogFields } from './backendRun.js';
 import { switchOrder } from './drawSchedule.js';
 import { POLL_MILLISECONDS, SWITCHING_POLL_MILLISECONDS, pollInterval } from './pollInterval.js';
 import type { LocalBackend, LocalBackendStatus } from './localBackend.js';
-import { NOTHING_LISTENS } from './localBackend.js';
+import { CONNECTION_REFUSED } from './localBackend.js';
 import type { StageQueue } from './stageQueue.js';
 import type { StagingPlace } from './stagingPlace.js';
 import type { SwitchPeer, SwitchStage } from './switchTurn.js';
@@ -143,7 +143,7 @@
   private _onUnreachable(error: unknown): void {
     const { log, onChange } = this._options;
     log.decision('backend.unreachable', { reason: errorText(error) });
-    if (this._isGone || errorCode((error as Error).cause) !== NOTHING_LISTENS) return;
+    if (this._isGone || errorCode((error as Error).cause) !== CONNECTION_REFUSED) return;
     this._isGone = true;
     this._options.place.noteEnd();
     log.state('backend.gone', { version: this._status?.versions.get(this._options.stages.model) });
@@ -169,7 +169,7 @@
   /** Notes which life of the backend server `status` is the word of; it becomes the last word after that. */
   private _noteLife(status: LocalBackendStatus): void {
     const former = this._status;
-    const isAnother = former !== undefined && isAnotherLife(former, status);
+    const isAnother = former !== undefined && hasRestarted(former, status);
     if (isAnother) this._onAnotherLife(former, status);
     if (status.startedAt === 0) this._lifeSeenAt = Number.POSITIVE_INFINITY;
     else if (isAnother || former === undefined) this._lifeSeenAt = this._options.clock.now();
@@ -178,7 +178,10 @@
   /** Forgets the turn and the order of the former life; what lies staged is read back before each order. */
   private _onAnotherLife(former: LocalBackendStatus, status: LocalBackendStatus): void {
     const { log, place } = this._options;
-    log.state('backend.started-again', { ...lifeFields(former, status), switchingTo: this._switchingTo });
+    log.state('backend.started-again', {
+      ...restartLogFields(former, status),
+      switchingTo: this._switchingTo,
+    });
     place.noteEnd();
     this._switchingTo = 0;
     this._preparingFor = 0;
@@ -285,7 +288,7 @@
   private _isAsRead(status: LocalBackendStatus): boolean {
     const before = this._status!;
     if (isUnchanged(before, status)) return true;
-    this._options.log.state('version.reading-void', lifeFields(before, status));
+    this._options.log.state('version.reading-void', restartLogFields(before, status));
     return false;
   }
 
--- a/tests/serverLife.spec.ts
+++ b/tests/serverLife.spec.ts
@@ -6,7 +6,7 @@
 import { ServerLife, judgeLife, supersededServers } from '../src/serving/serverLife.js';
 import type { LifeJudgement, LifeSource } from '../src/serving/serverLife.js';
 import type { TrackedServer } from '../src/serving/trackedServer.js';
-import { isAnotherLife } from '../src/staging/backendLife.js';
+import { hasRestarted } from '../src/staging/backendRun.js';
 import { ServerPool } from '../src/serving/serverPool.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { SeededRandom } from '../src/utils/random.js';
@@ -61,7 +61,7 @@
 ] as const) {
   test(`should ${isAnother ? '' : 'not '}take ${what} for another life`, () => {
     const signs = ([startedAt, revision]: readonly [number, number]) => ({ startedAt, revision });
-    expect(isAnotherLife(signs(before), signs(now))).toEqual(isAnother);
+    expect(hasRestarted(signs(before), signs(now))).toEqual(isAnother);
   });
 }
 
