--- a/src/staging/drawSchedule.ts
+++ b/src/staging/downloadSchedule.ts
@@ -7,7 +7,7 @@
  * How long a box may bring nothing before another one draws its chunks too, in milliseconds. Twelve boxes that share an
  * origin of 9.9 Mbit/s each bring a chunk of 32 KB every 320 ms.
  */
-export const DRAW_TURN_MILLISECONDS = 900;
+export const DOWNLOAD_TURN_MILLISECONDS = 900;
 
 /** Boxes in the order in which they switch, data centres in turn so that each of them has its share of early ones. */
 export function switchOrder(rollout: string, members: readonly Member[]): string[] {
@@ -18,7 +18,7 @@
  * Boxes in the order in which they draw: those that exchange with other data centres come first. What another one draws is
  * announced there with the next refresh only, up to 2 s later.
  */
-export function drawOrder(rollout: string, members: readonly Member[]): string[] {
+export function downloadOrder(rollout: string, members: readonly Member[]): string[] {
   const gateways = new Set(exchangeGateways(members));
   const others = members.filter((member) => !gateways.has(member));
   return [...switchOrder(rollout, [...gateways]), ...switchOrder(rollout, others)];
@@ -33,7 +33,7 @@
 const FIRST_TURNS = 3;
 
 /** The boxes that draw from the origin, unless they are gone. */
-export function firstDrawers(order: readonly string[]): string[] {
+export function initialDownloaders(order: readonly string[]): string[] {
   return order.slice(0, FIRST_DRAWERS);
 }
 
@@ -46,17 +46,17 @@
  * closes up gave nearly every chunk another drawer while the one before had it half, and the origin sent 2.4 copies of two
  * versions in place of 2.1 on a day on which one of nine boxes was killed amid a draw.
  */
-export function withSubstitutes(order: readonly string[], lost: ReadonlySet<string>): string[] {
+export function replaceLostDownloaders(order: readonly string[], lost: ReadonlySet<string>): string[] {
   const spare = order.slice(FIRST_DRAWERS).filter((box) => !lost.has(box));
-  const places = firstDrawers(order).map((box) => (lost.has(box) ? (spare.shift() ?? NOBODY) : box));
+  const places = initialDownloaders(order).map((box) => (lost.has(box) ? (spare.shift() ?? NOBODY) : box));
   return [...places, ...spare];
 }
 
 /** The box whose turn it is to draw `chunk` when the first one has brought nothing for `elapsed` milliseconds. */
-export function drawerOf(order: readonly string[], chunk: number, elapsed: number): string | undefined {
+export function downloaderOf(order: readonly string[], chunk: number, elapsed: number): string | undefined {
   if (order.length === 0) return undefined;
-  const turn = Math.floor(Math.max(0, elapsed) / DRAW_TURN_MILLISECONDS);
-  const drawers = turn < FIRST_TURNS ? firstDrawers(order) : order;
+  const turn = Math.floor(Math.max(0, elapsed) / DOWNLOAD_TURN_MILLISECONDS);
+  const drawers = turn < FIRST_TURNS ? initialDownloaders(order) : order;
   const drawer = drawers[(chunk + turn) % drawers.length];
   if (drawer !== NOBODY) return drawer;
   const sound = drawers.filter((box) => box !== NOBODY);
@@ -64,7 +64,7 @@
 }
 
 /** Notes which boxes bring the chunks that they are to draw. */
-export class DrawProgress {
+export class DownloadProgress {
   private readonly _startedAt: number;
   private readonly _broughtAt = new Map<string, number>();
   private _unseen: ReadonlySet<number>;
@@ -79,15 +79,15 @@
   update(order: readonly string[], unseen: readonly number[], now: number): void {
     const still = new Set(unseen);
     for (const chunk of this._unseen) {
-      const drawer = drawerOf(order, chunk, 0);
+      const drawer = downloaderOf(order, chunk, 0);
       if (!still.has(chunk) && drawer !== undefined) this._broughtAt.set(drawer, now);
     }
     this._unseen = still;
   }
 
   /** Milliseconds for which the box that is first to draw `chunk` has brought nothing. */
-  silentFor(order: readonly string[], chunk: number, now: number): number {
-    const drawer = drawerOf(order, chunk, 0) ?? '';
+  millisecondsWithoutProgress(order: readonly string[], chunk: number, now: number): number {
+    const drawer = downloaderOf(order, chunk, 0) ?? '';
     return now - Math.max(this._startedAt, this._broughtAt.get(drawer) ?? 0);
   }
 }
--- a/src/staging/manifestReader.ts
+++ b/src/staging/manifestReader.ts
@@ -18,7 +18,7 @@
   /** Other agents of the service. */
   peers: () => readonly Member[];
   /** Boxes that read the origin; the others ask them. */
-  drawers: (rollout: string) => readonly string[];
+  downloaders: (rollout: string) => readonly string[];
   box: string;
   token: string;
   random: Random;
@@ -46,7 +46,7 @@
     signal: AbortSignal,
   ): Promise<Manifest | undefined> {
     const backoff = new Backoff(RETRY, this._options.random);
-    const drawers = this._options.drawers(rollout);
+    const drawers = this._options.downloaders(rollout);
     const isDrawer = drawers.length === 0 || drawers.includes(this._options.box);
     for (let round = 0; !signal.aborted; round++) {
       const mayAskOrigin = isDrawer || round >= PATIENT_ROUNDS;
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -30,7 +30,7 @@
 import { boxStatus } from './boxStatus.js';
 import { ChunkServer } from './chunkServer.js';
 import { ConnectedEntries } from './connectedEntries.js';
-import { drawOrder, firstDrawers } from './drawSchedule.js';
+import { downloadOrder, initialDownloaders } from './downloadSchedule.js';
 import { HeardVersions } from './heardVersions.js';
 import type { LocalBackend } from './localBackend.js';
 import { receiveRate, sendRate } from './linkRates.js';
@@ -197,7 +197,7 @@
         origin: () => this._origin,
         box: settings.box,
         peers: () => this._members.filter((member) => member.box !== settings.box),
-        drawers: (rollout) => firstDrawers(drawOrder(rollout, this._members)),
+        downloaders: (rollout) => initialDownloaders(downloadOrder(rollout, this._members)),
         token,
         random,
         log: parts.log,
--- a/src/staging/uploadPriorities.ts
+++ b/src/staging/uploadPriorities.ts
@@ -1,7 +1,7 @@
 /** How urgent a chunk is to the box that asks for it. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { UploadPriority } from '../weights/uploadQueue.js';
-import { switchOrder } from './drawSchedule.js';
+import { switchOrder } from './downloadSchedule.js';
 
 /**
  * Part of the boxes that come first in the order of switching. They get their chunks before the others, so that the
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -6,7 +6,7 @@
 import { errorCode, errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 import { hasRestarted, isUnchanged, restartLogFields } from './backendRun.js';
-import { switchOrder } from './drawSchedule.js';
+import { switchOrder } from './downloadSchedule.js';
 import { POLL_MILLISECONDS, SWITCHING_POLL_MILLISECONDS, pollInterval } from './pollInterval.js';
 import type { LocalBackend, LocalBackendStatus } from './localBackend.js';
 import { CONNECTION_REFUSED } from './localBackend.js';
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -8,7 +8,7 @@
 import type { ExchangeServices } from '../weights/exchangeServices.js';
 import { RolloutExchange } from '../weights/rolloutExchange.js';
 import { ChunkStager } from './chunkStager.js';
-import { DrawProgress, drawOrder, drawerOf, withSubstitutes } from './drawSchedule.js';
+import { DownloadProgress, downloadOrder, downloaderOf, replaceLostDownloaders } from './downloadSchedule.js';
 import { LinkRate } from './linkRate.js';
 import { ScarceChunks } from './scarceChunks.js';
 import type { StagedChunks } from './stagedChunks.js';
@@ -63,7 +63,7 @@
   private _order: readonly string[] = [];
   private _nearOrder: readonly string[] = [];
   private _peers: ReadonlySet<string> = new Set();
-  private readonly _progress: DrawProgress;
+  private readonly _progress: DownloadProgress;
   private readonly _scarce = new ScarceChunks();
   private readonly _redrawn = new Set<number>();
   private _drawTimer: NodeJS.Timeout | undefined;
@@ -79,7 +79,7 @@
     this._startedAt = options.clock.now();
     this._linkRate = new LinkRate(options.bytesPerSecond, this._startedAt);
     this.index = new ManifestIndex(options.manifest);
-    this._progress = new DrawProgress(this.index.chunkCount, this._startedAt);
+    this._progress = new DownloadProgress(this.index.chunkCount, this._startedAt);
     this._stager = new ChunkStager({ ...options, index: this.index });
     this.exchange = new RolloutExchange(
       { ...options.services, mayFetch: options.mayFetch },
@@ -196,7 +196,8 @@
     this._progress.update(order, unseen, now);
     const { box } = this._options.services;
     const due = unseen.filter(
-      (chunk) => drawerOf(order, chunk, this._progress.silentFor(order, chunk, now)) === box,
+      (chunk) =>
+        downloaderOf(order, chunk, this._progress.millisecondsWithoutProgress(order, chunk, now)) === box,
     );
     this.exchange.keepDraws(due);
     const open = new Set(this.exchange.openDraws);
@@ -215,7 +216,7 @@
       .update(this.exchange.soleHolders(), now)
       .filter(({ chunk, holder, overdueMilliseconds }) => {
         const others = order.filter((candidate) => candidate !== holder);
-        return drawerOf(others, chunk, overdueMilliseconds) === box;
+        return downloaderOf(others, chunk, overdueMilliseconds) === box;
       })
       .map(({ chunk }) => chunk)
       .filter((chunk) => !this._redrawn.has(chunk));
@@ -230,8 +231,8 @@
     const { box } = this._options.services;
     const own = this._members.find((member) => member.box === box);
     const near = this._members.filter((member) => member.dataCentre === own?.dataCentre);
-    this._order = drawOrder(this.exchange.rollout, this._members);
-    this._nearOrder = drawOrder(this.exchange.rollout, near);
+    this._order = downloadOrder(this.exchange.rollout, this._members);
+    this._nearOrder = downloadOrder(this.exchange.rollout, near);
     const peers = connectedPeers(box, this._members);
     this._peers = new Set(peers.map((member) => member.box));
   }
@@ -242,7 +243,7 @@
     const lost = new Set([...this._peers].filter((box) => peers.isLost(box)));
     const reachable = this._peers.size - lost.size + 1;
     if (reachable * 2 <= this._peers.size + 1) return order;
-    return withSubstitutes(order, lost);
+    return replaceLostDownloaders(order, lost);
   }
 
   private _onChange(): void {
--- a/tests/stagingDecisions.spec.ts
+++ b/tests/stagingDecisions.spec.ts
@@ -5,13 +5,13 @@
 import { pollInterval } from '../src/staging/pollInterval.js';
 import type { Member } from '../src/protocol/rolloutMessages.js';
 import {
-  DRAW_TURN_MILLISECONDS,
-  DrawProgress,
-  drawOrder,
-  drawerOf,
-  firstDrawers,
-  withSubstitutes,
-} from '../src/staging/drawSchedule.js';
+  DOWNLOAD_TURN_MILLISECONDS,
+  DownloadProgress,
+  downloadOrder,
+  downloaderOf,
+  initialDownloaders,
+  replaceLostDownloaders,
+} from '../src/staging/downloadSchedule.js';
 import type { SwitchPeer, SwitchSituation } from '../src/staging/switchTurn.js';
 import { mayOrder, maySwitch } from '../src/staging/switchTurn.js';
 import { membersOf } from './fixtures/memberFixture.js';
@@ -24,25 +24,25 @@
 }
 
 test('should work out the same order from members in any order', () => {
-  const forward = drawOrder('r', members(14));
-  expect(drawOrder('r', members(14).reverse())).toEqual(forward);
+  const forward = downloadOrder('r', members(14));
+  expect(downloadOrder('r', members(14).reverse())).toEqual(forward);
   expect(new Set(forward).size).toEqual(14);
 });
 
 test('should share the draws evenly', () => {
-  const order = drawOrder('r', members(14));
+  const order = downloadOrder('r', members(14));
   const counts = new Map<string, number>();
   for (let chunk = 0; chunk < CHUNKS; chunk++) {
-    const drawer = drawerOf(order, chunk, 0) ?? '';
+    const drawer = downloaderOf(order, chunk, 0) ?? '';
     counts.set(drawer, (counts.get(drawer) ?? 0) + 1);
   }
   expect(Math.max(...counts.values()) - Math.min(...counts.values())).toBeLessThanOrEqual(1);
 });
 
 test('should give every chunk exactly one drawer at any time, and another one each turn', () => {
-  const order = drawOrder('r', members(5));
+  const order = downloadOrder('r', members(5));
   const drawers = Array.from({ length: 5 }, (_unused, turn) =>
-    drawerOf(order, 3, turn * DRAW_TURN_MILLISECONDS),
+    downloaderOf(order, 3, turn * DOWNLOAD_TURN_MILLISECONDS),
   );
   expect(new Set(drawers).size).toEqual(5);
 });
@@ -53,60 +53,64 @@
   [9, 6],
 ] as const) {
   test(`should give other drawers only to the chunks of the one of ${boxes} boxes that is lost`, () => {
-    const order = drawOrder('r', members(boxes));
-    for (const lost of firstDrawers(order)) {
-      const after = withSubstitutes(order, new Set([lost]));
+    const order = downloadOrder('r', members(boxes));
+    for (const lost of initialDownloaders(order)) {
+      const after = replaceLostDownloaders(order, new Set([lost]));
       const chunks = Array.from({ length: CHUNKS }, (_unused, chunk) => chunk);
-      const changed = chunks.filter((chunk) => drawerOf(order, chunk, 0) !== drawerOf(after, chunk, 0));
+      const changed = chunks.filter(
+        (chunk) => downloaderOf(order, chunk, 0) !== downloaderOf(after, chunk, 0),
+      );
       expect(changed.length).toBeLessThanOrEqual(moved);
-      expect(changed.every((chunk) => drawerOf(order, chunk, 0) === lost)).toEqual(true);
+      expect(changed.every((chunk) => downloaderOf(order, chunk, 0) === lost)).toEqual(true);
       expect(after.includes(lost)).toEqual(false);
     }
   });
 }
 
 test('should leave no chunk without a drawer while any box is there', () => {
-  const order = drawOrder('r', members(14));
+  const order = downloadOrder('r', members(14));
   for (let lost = 0; lost < order.length; lost++) {
-    const after = withSubstitutes(order, new Set(order.slice(0, lost)));
-    const drawers = Array.from({ length: CHUNKS }, (_unused, chunk) => drawerOf(after, chunk, 0) ?? '');
+    const after = replaceLostDownloaders(order, new Set(order.slice(0, lost)));
+    const drawers = Array.from({ length: CHUNKS }, (_unused, chunk) => downloaderOf(after, chunk, 0) ?? '');
     expect(drawers.every((box) => order.indexOf(box) >= lost)).toEqual(true);
   }
-  expect(drawerOf(withSubstitutes(order, new Set(order)), 0, 0)).toEqual(undefined);
+  expect(downloaderOf(replaceLostDownloaders(order, new Set(order)), 0, 0)).toEqual(undefined);
 });
 
 test('should share the chunks of a lost drawer among the others where no box stands by', () => {
-  const order = drawOrder('r', members(9));
-  const after = withSubstitutes(order, new Set([order[2]]));
+  const order = downloadOrder('r', members(9));
+  const after = replaceLostDownloaders(order, new Set([order[2]]));
   const chunks = Array.from({ length: CHUNKS }, (_unused, chunk) => chunk);
-  const moved = chunks.filter((chunk) => drawerOf(order, chunk, 0) === order[2]);
-  expect(new Set(moved.map((chunk) => drawerOf(after, chunk, 0))).size).toEqual(moved.length);
+  const moved = chunks.filter((chunk) => downloaderOf(order, chunk, 0) === order[2]);
+  expect(new Set(moved.map((chunk) => downloaderOf(after, chunk, 0))).size).toEqual(moved.length);
 });
 
 test('should let few boxes of a large service draw at first, and any box once those seem to be gone', () => {
-  const order = drawOrder('r', members(54));
+  const order = downloadOrder('r', members(54));
   const drawersAfter = (turns: number): Set<string | undefined> =>
     new Set(
       Array.from({ length: CHUNKS }, (_unused, chunk) =>
-        drawerOf(order, chunk, turns * DRAW_TURN_MILLISECONDS),
+        downloaderOf(order, chunk, turns * DOWNLOAD_TURN_MILLISECONDS),
       ),
     );
-  expect([...drawersAfter(0)].sort()).toEqual(firstDrawers(order).sort());
+  expect([...drawersAfter(0)].sort()).toEqual(initialDownloaders(order).sort());
   expect(drawersAfter(0).size).toEqual(12);
   expect(drawersAfter(3).size).toEqual(48);
 });
 
 test('should let another box draw the chunks of one that brings nothing, and leave those of a slow one to it', () => {
-  const order = drawOrder('r', members(4));
-  const progress = new DrawProgress(8, 0);
+  const order = downloadOrder('r', members(4));
+  const progress = new DownloadProgress(8, 0);
   const broughtBy = (box: string): number[] =>
-    Array.from({ length: 8 }, (_unused, chunk) => chunk).filter((chunk) => drawerOf(order, chunk, 0) === box);
+    Array.from({ length: 8 }, (_unused, chunk) => chunk).filter(
+      (chunk) => downloaderOf(order, chunk, 0) === box,
+    );
   const [slow] = order;
   const [first, second] = broughtBy(slow);
   const unseen = Array.from({ length: 8 }, (_unused, chunk) => chunk).filter((chunk) => chunk !== first);
   progress.update(order, unseen, 800);
   const drawerAt = (chunk: number, now: number): string | undefined =>
-    drawerOf(order, chunk, progress.silentFor(order, chunk, now));
+    downloaderOf(order, chunk, progress.millisecondsWithoutProgress(order, chunk, now));
   expect(drawerAt(second, 1_500)).toEqual(slow);
   const [dead] = order.slice(1);
   const [undrawn] = broughtBy(dead);
@@ -115,7 +119,7 @@
 });
 
 test('should have no drawer without members', () => {
-  expect(drawerOf([], 1, 0)).toEqual(undefined);
+  expect(downloaderOf([], 1, 0)).toEqual(undefined);
 });
 
 function peers(
--- a/tests/switchGroup.spec.ts
+++ b/tests/switchGroup.spec.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Member } from '../src/protocol/rolloutMessages.js';
-import { drawOrder, firstDrawers } from '../src/staging/drawSchedule.js';
+import { downloadOrder, initialDownloaders } from '../src/staging/downloadSchedule.js';
 import { connectedPeers, switchGroup } from '../src/staging/switchGroup.js';
 import { exchangeGateways } from '../src/weights/exchangeTopology.js';
 import { membersOf } from './fixtures/memberFixture.js';
@@ -46,7 +46,7 @@
 test('should draw at boxes that hand on to other data centres', () => {
   const all = members(144);
   const gateways = new Set(exchangeGateways(all).map(({ box }) => box));
-  const drawers = firstDrawers(drawOrder('model@2', all));
+  const drawers = initialDownloaders(downloadOrder('model@2', all));
   expect(drawers).toHaveLength(12);
   expect(drawers.every((box) => gateways.has(box))).toEqual(true);
 });
