--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -5,7 +5,7 @@
 import type { ManifestIndex } from '../weights/manifestIndex.js';
 import type { Clock } from '../utils/clock.js';
 import type { StagedChunk } from './stagedChunks.js';
-import type { StagingPlace } from './stagingPlace.js';
+import type { StagingArea } from './stagingArea.js';
 
 /**
  * A chunk that was read back so lately need not be read again before an order: a chunk that turns bad after it was read is
@@ -17,7 +17,7 @@
 
 /** What a stager works with. */
 export interface ChunkStagerOptions {
-  place: StagingPlace;
+  stagingArea: StagingArea;
   model: string;
   version: number;
   index: ManifestIndex;
@@ -51,10 +51,10 @@
    * Takes the place and lays what waits, and lays again what lay there before another version had it; false while the place
    * cannot be had.
    */
-  async takePlace(): Promise<boolean> {
-    const { place, version } = this._options;
-    if (!(await place.give(version))) return false;
-    if (this._laidSince !== place.heldSince) this._layAgain();
+  async acquireStagingArea(): Promise<boolean> {
+    const { stagingArea: place, version } = this._options;
+    if (!(await place.acquire(version))) return false;
+    if (this._laidSince !== place.ownedSince) this._layAgain();
     this._resume();
     return true;
   }
@@ -70,8 +70,8 @@
    * of the server, or another version may have been laid over them.
    */
   async verify(data: (chunk: number) => Buffer | undefined, lifeSeenAt: number): Promise<boolean> {
-    const { index, model, log, place } = this._options;
-    const readSince = Math.max(lifeSeenAt, place.heldSince);
+    const { index, model, log, stagingArea: place } = this._options;
+    const readSince = Math.max(lifeSeenAt, place.ownedSince);
     const all = Array.from({ length: index.chunkCount }, (_unused, chunk) => chunk);
     let suspects = all.filter((chunk) => !this._wasReadLately(chunk, readSince));
     for (let round = 0; round < REPAIR_ROUNDS; round++) {
@@ -105,7 +105,7 @@
   private async _spoilt(suspects: readonly number[]): Promise<number[]> {
     const spoilt: number[] = [];
     for (const chunk of suspects) {
-      const bytes = await this._options.place.read(this._options.model, chunk);
+      const bytes = await this._options.stagingArea.read(this._options.model, chunk);
       if (!bytes || !this._matches(chunk, bytes)) spoilt.push(chunk);
     }
     return spoilt;
@@ -116,12 +116,12 @@
   }
 
   private async _lay(chunk: number, data: Buffer): Promise<void> {
-    const { place, model, version } = this._options;
-    await place.lay(model, version, chunk, data);
+    const { stagingArea: place, model, version } = this._options;
+    await place.write(model, version, chunk, data);
   }
 
   private _layAgain(): void {
-    this._laidSince = this._options.place.heldSince;
+    this._laidSince = this._options.stagingArea.ownedSince;
     for (const [chunk, data] of this._laid) this._waiting.push({ chunk, data });
     this._laid.clear();
   }
@@ -131,7 +131,7 @@
   }
 
   private get _mayLay(): boolean {
-    return !this._stopped && this._options.place.holder === this._options.version;
+    return !this._stopped && this._options.stagingArea.owner === this._options.version;
   }
 
   private async _layWaiting(): Promise<void> {
--- a/src/staging/stagingPlace.ts
+++ b/src/staging/stagingArea.ts
@@ -10,7 +10,7 @@
 import { CONNECTION_REFUSED } from './localBackend.js';
 
 /** What the place works with. */
-export interface StagingPlaceOptions {
+export interface StagingAreaOptions {
   backend: Pick<LocalBackend, 'putChunk' | 'getChunk' | 'startVersion'>;
   clock: Clock;
   log: EventLog;
@@ -22,8 +22,8 @@
  */
 const SETTLING_MILLISECONDS = 1_000;
 
-export class StagingPlace {
-  private readonly _options: StagingPlaceOptions;
+export class StagingArea {
+  private readonly _options: StagingAreaOptions;
   private _holder = 0;
   private _heldSince = Number.NEGATIVE_INFINITY;
   /** Writes that have not ended; these promises never reject. */
@@ -33,34 +33,34 @@
   /** Monotonic milliseconds from which on it cannot be any more; infinite until the server has answered since. */
   private _settledAt = Number.POSITIVE_INFINITY;
 
-  constructor(options: StagingPlaceOptions) {
+  constructor(options: StagingAreaOptions) {
     this._options = options;
   }
 
   /** The version whose chunks may be laid, 0 while none ever was. */
-  get holder(): number {
+  get owner(): number {
     return this._holder;
   }
 
   /** Monotonic milliseconds from which on the holder's chunks alone were laid; minus infinity for the first holder. */
-  get heldSince(): number {
+  get ownedSince(): number {
     return this._heldSince;
   }
 
   /** Whether a write or an order of the holder may still be carried out, though nobody waits for it any more. */
-  get isUnsettled(): boolean {
+  get hasUncertainCall(): boolean {
     return this._isUnsettled && this._options.clock.now() < this._settledAt;
   }
 
   /** Gives the place to `version` once no write of its holder is under way; whether it has it. */
-  async give(version: number): Promise<boolean> {
+  async acquire(version: number): Promise<boolean> {
     if (version === this._holder) return true;
-    if (this.isUnsettled) return false;
+    if (this.hasUncertainCall) return false;
     const { clock, log } = this._options;
     const former = this._holder;
     this._holder = 0;
     await Promise.all(this._underWay);
-    if (this.isUnsettled) {
+    if (this.hasUncertainCall) {
       this._holder = former;
       return false;
     }
@@ -72,7 +72,7 @@
   }
 
   /** Lays a chunk of `version`, which must be the holder. Throws when it is not, and a StepError when the chunk may not lie there. */
-  async lay(model: string, version: number, chunk: number, data: Buffer): Promise<void> {
+  async write(model: string, version: number, chunk: number, data: Buffer): Promise<void> {
     if (version !== this._holder) throw new Error(`version ${version} does not hold the staging place`);
     const write = this._options.backend.putChunk(model, chunk, data);
     const ended = write.catch((error) => this._onFailed(error)).finally(() => this._underWay.delete(ended));
@@ -93,13 +93,13 @@
   }
 
   /** The server has answered something else: what was given up is carried out soon or never. */
-  noteAnswer(): void {
+  onAnswer(): void {
     if (!this._isUnsettled || this._settledAt < Number.POSITIVE_INFINITY) return;
     this._settledAt = this._options.clock.now() + SETTLING_MILLISECONDS;
   }
 
   /** The server has ended: what was sent to it is gone with that. */
-  noteEnd(): void {
+  onServerExit(): void {
     this._isUnsettled = false;
   }
 
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -38,7 +38,7 @@
 import { PeerMessages } from './peerMessages.js';
 import { StageQueue } from './stageQueue.js';
 import { StagedChunks } from './stagedChunks.js';
-import { StagingPlace } from './stagingPlace.js';
+import { StagingArea } from './stagingArea.js';
 import { stagingMetrics } from './stagingMetrics.js';
 import { StatusSender } from './statusSender.js';
 import { SwitchNotices } from './switchNotices.js';
@@ -77,7 +77,7 @@
   private readonly _peers: AgentPeers;
   private readonly _messages: PeerMessages;
   private readonly _staged: StagedChunks;
-  private readonly _place: StagingPlace;
+  private readonly _place: StagingArea;
   private readonly _stages: StageQueue;
   private readonly _reconciler: VersionReconciler;
   private readonly _control: ControlServer;
@@ -124,7 +124,7 @@
       clock: this._clock,
       log: parts.log,
     });
-    this._place = new StagingPlace({ backend: parts.backend, clock: this._clock, log: parts.log });
+    this._place = new StagingArea({ backend: parts.backend, clock: this._clock, log: parts.log });
     this._stages = this._createStages(random, uploads);
     this._reconciler = this._createReconciler();
     const priorities = new UploadPriorities(settings.dataCentre, () => this._members);
@@ -185,7 +185,7 @@
     const { _settings: settings, _parts: parts, _clock: clock } = this;
     const token = httpToken(settings.sharedKey, settings.box);
     return new StageQueue({
-      place: this._place,
+      stagingArea: this._place,
       staged: this._staged,
       clock,
       log: parts.log,
@@ -231,7 +231,7 @@
     return new VersionReconciler({
       box: settings.box,
       backend: parts.backend,
-      place: this._place,
+      stagingArea: this._place,
       stages: this._stages,
       clock: this._clock,
       log: parts.log,
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -11,7 +11,7 @@
 import type { LocalBackend, LocalBackendStatus } from './localBackend.js';
 import { CONNECTION_REFUSED } from './localBackend.js';
 import type { StageQueue } from './stageQueue.js';
-import type { StagingPlace } from './stagingPlace.js';
+import type { StagingArea } from './stagingArea.js';
 import type { SwitchPeer, SwitchStage } from './switchTurn.js';
 import { PREPARING_MILLISECONDS, maySwitch, mayOrder } from './switchTurn.js';
 import type { VersionStage } from './versionStage.js';
@@ -20,7 +20,7 @@
 export interface VersionReconcilerOptions {
   box: string;
   backend: LocalBackend;
-  place: StagingPlace;
+  stagingArea: StagingArea;
   stages: StageQueue;
   clock: Clock;
   log: EventLog;
@@ -112,8 +112,8 @@
    * with 0.3 s without service. A call that got no answer keeps the place for its version until it cannot be carried out any more.
    */
   private get _nextOfEmpty(): VersionStage | undefined {
-    const { stages, place } = this._options;
-    const held = place.isUnsettled ? stages.of(place.holder) : undefined;
+    const { stages, stagingArea: place } = this._options;
+    const held = place.hasUncertainCall ? stages.of(place.owner) : undefined;
     if (held?.complete) return held;
     return stages.newestWhole ?? stages.after(0);
   }
@@ -145,7 +145,7 @@
     log.decision('backend.unreachable', { reason: errorText(error) });
     if (this._isGone || errorCode((error as Error).cause) !== CONNECTION_REFUSED) return;
     this._isGone = true;
-    this._options.place.noteEnd();
+    this._options.stagingArea.onServerExit();
     log.state('backend.gone', { version: this._status?.versions.get(this._options.stages.model) });
     onChange();
   }
@@ -154,7 +154,7 @@
     this._polledAt = this._options.clock.now();
     const before = this.servedVersion;
     const status = await this._options.backend.status();
-    this._options.place.noteAnswer();
+    this._options.stagingArea.onAnswer();
     this._noteLife(status);
     this._status = status;
     this._isGone = false;
@@ -177,12 +177,12 @@
 
   /** Forgets the turn and the order of the former life; what lies staged is read back before each order. */
   private _onAnotherLife(former: LocalBackendStatus, status: LocalBackendStatus): void {
-    const { log, place } = this._options;
+    const { log, stagingArea: place } = this._options;
     log.state('backend.started-again', {
       ...restartLogFields(former, status),
       switchingTo: this._switchingTo,
     });
-    place.noteEnd();
+    place.onServerExit();
     this._switchingTo = 0;
     this._preparingFor = 0;
   }
@@ -191,7 +191,7 @@
     this._options.stages.dropSuperseded();
     const stage = this._next;
     if (!stage) return;
-    if (!(await stage.takePlace())) return;
+    if (!(await stage.acquireStagingArea())) return;
     if (this._switchingTo > 0 && !this._orderIsLost()) return;
     if (this.servedVersion > 0 && !this._isPrepared(stage)) return;
     if (stage.complete) await this._switch(stage);
@@ -248,7 +248,7 @@
   }
 
   private async _switch(stage: VersionStage): Promise<void> {
-    const { place, clock, log, onChange } = this._options;
+    const { stagingArea: place, clock, log, onChange } = this._options;
     this._switchingTo = stage.version;
     this._orderedAt = clock.now();
     const isEmpty = this.servedVersion === 0;
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -12,7 +12,7 @@
 import { LinkRate } from './linkRate.js';
 import { ScarceChunks } from './scarceChunks.js';
 import type { StagedChunks } from './stagedChunks.js';
-import type { StagingPlace } from './stagingPlace.js';
+import type { StagingArea } from './stagingArea.js';
 import { connectedPeers } from './switchGroup.js';
 
 /** What a stage works with. */
@@ -22,7 +22,7 @@
   manifest: Manifest;
   members: readonly Member[];
   services: ExchangeServices;
-  place: StagingPlace;
+  stagingArea: StagingArea;
   staged: StagedChunks;
   clock: Clock;
   log: EventLog;
@@ -124,8 +124,8 @@
   }
 
   /** Lets the chunks lie before the backend server from now on; false while another version's may still come there. */
-  async takePlace(): Promise<boolean> {
-    return await this._stager.takePlace();
+  async acquireStagingArea(): Promise<boolean> {
+    return await this._stager.acquireStagingArea();
   }
 
   /** Opens the exchange; `adopt` takes over what lies staged from an earlier life of this process. */
--- a/tests/stagedChunks.spec.ts
+++ b/tests/stagedChunks.spec.ts
@@ -4,7 +4,7 @@
 import { ChunkStager } from '../src/staging/chunkStager.js';
 import type { LocalBackend } from '../src/staging/localBackend.js';
 import { StagedChunks } from '../src/staging/stagedChunks.js';
-import { StagingPlace } from '../src/staging/stagingPlace.js';
+import { StagingArea } from '../src/staging/stagingArea.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { sha256Hex } from '../src/utils/hash.js';
 import { ManifestIndex } from '../src/weights/manifestIndex.js';
@@ -29,8 +29,15 @@
   const staged = new StagedChunks({ backend, models, clock, log: quietLog() });
   const chunks = CHUNKS.map((chunk) => ({ digest: sha256Hex(bytesOf(chunk)), size: bytesOf(chunk).length }));
   const index = new ManifestIndex({ model: 'm', version: '1', chunks });
-  const place = new StagingPlace({ backend: backend as LocalBackend, clock, log: quietLog() });
-  const stager = new ChunkStager({ place, model: 'm', version: 1, index, clock, log: quietLog() });
+  const place = new StagingArea({ backend: backend as LocalBackend, clock, log: quietLog() });
+  const stager = new ChunkStager({
+    stagingArea: place,
+    model: 'm',
+    version: 1,
+    index,
+    clock,
+    log: quietLog(),
+  });
   return { clock, reads, lying, staged, stager };
 }
 
@@ -78,7 +85,7 @@
   const { staged, stager, lying } = fixture();
   lying.set(2, Buffer.from('spoilt'));
   stager.adopt(await staged.take('m'), () => undefined);
-  expect(await stager.takePlace()).toEqual(true);
+  expect(await stager.acquireStagingArea()).toEqual(true);
   expect(await stager.verify(bytesOf, -1)).toEqual(true);
   expect(lying.get(2)).toEqual(bytesOf(2));
 });
@@ -89,7 +96,7 @@
   const lifeSeenAt = clock.now();
   lying.clear();
   reads.length = 0;
-  expect(await stager.takePlace()).toEqual(true);
+  expect(await stager.acquireStagingArea()).toEqual(true);
   expect(await stager.verify(bytesOf, lifeSeenAt)).toEqual(true);
   expect(reads.slice(0, CHUNKS.length)).toEqual(CHUNKS);
   expect([...lying.keys()]).toEqual(CHUNKS);
--- a/tests/stagingPlace.spec.ts
+++ b/tests/stagingArea.spec.ts
@@ -19,7 +19,7 @@
 import { expect } from 'earl';
 import { ChunkStager } from '../src/staging/chunkStager.js';
 import type { OrderOutcome } from '../src/staging/localBackend.js';
-import { StagingPlace } from '../src/staging/stagingPlace.js';
+import { StagingArea } from '../src/staging/stagingArea.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { sha256Hex } from '../src/utils/hash.js';
 import { StepError } from '../src/utils/stepError.js';
@@ -105,7 +105,7 @@
     getChunk: async (_model: string, chunk: number): Promise<Buffer | undefined> => lying.get(chunk),
     startVersion: async (): Promise<OrderOutcome> => script.outcome,
   };
-  const place = new StagingPlace({ backend, clock, log: quietLog() });
+  const place = new StagingArea({ backend, clock, log: quietLog() });
   return { place, clock, lying, ends, script };
 }
 
@@ -113,11 +113,11 @@
 
 function stagerOf(
   version: number,
-  { place, clock }: { place: StagingPlace; clock: ManualClock },
+  { place, clock }: { place: StagingArea; clock: ManualClock },
 ): ChunkStager {
   const chunks = [0, 1].map((chunk) => ({ digest: sha256Hex(bytesOf(version, chunk)), size: 3 }));
   const index = new ManifestIndex({ model: 'm', version: String(version), chunks });
-  return new ChunkStager({ place, model: 'm', version, index, clock, log: quietLog() });
+  return new ChunkStager({ stagingArea: place, model: 'm', version, index, clock, log: quietLog() });
 }
 
 function failure(code: string): StepError {
@@ -126,14 +126,14 @@
 
 test('should not give the place to another version while a write is under way', async () => {
   const { place, ends, script } = scriptedPlace();
-  await place.give(1);
+  await place.acquire(1);
   script.isHeld = true;
-  const write = place.lay('m', 1, 0, bytesOf(1));
+  const write = place.write('m', 1, 0, bytesOf(1));
   let isGiven = false;
-  const given = place.give(2).then((result) => (isGiven = result));
+  const given = place.acquire(2).then((result) => (isGiven = result));
   await Promise.resolve();
   expect(isGiven).toEqual(false);
-  await expect(place.lay('m', 1, 1, bytesOf(1, 1))).toBeRejected();
+  await expect(place.write('m', 1, 1, bytesOf(1, 1))).toBeRejected();
   ends[0]();
   await write;
   expect(await given).toEqual(true);
@@ -141,60 +141,60 @@
 
 test('should lay nothing of a version that does not hold the place', async () => {
   const { place, lying } = scriptedPlace();
-  await place.give(1);
-  await expect(place.lay('m', 2, 0, bytesOf(2))).toBeRejected();
+  await place.acquire(1);
+  await expect(place.write('m', 2, 0, bytesOf(2))).toBeRejected();
   expect(lying.size).toEqual(0);
 });
 
 test('should keep the place for a version whose write got no answer, until it cannot be done any more', async () => {
   const { place, clock, ends, script } = scriptedPlace();
-  await place.give(1);
+  await place.acquire(1);
   script.isHeld = true;
-  const write = place.lay('m', 1, 0, bytesOf(1));
+  const write = place.write('m', 1, 0, bytesOf(1));
   ends[0](failure('UND_ERR_HEADERS_TIMEOUT'));
   await expect(write).toBeRejected();
   clock.advance(10 * SETTLED_MILLISECONDS);
-  expect(await place.give(2)).toEqual(false);
-  place.noteAnswer();
+  expect(await place.acquire(2)).toEqual(false);
+  place.onAnswer();
   clock.advance(SETTLED_MILLISECONDS - 1);
-  expect(await place.give(2)).toEqual(false);
+  expect(await place.acquire(2)).toEqual(false);
   clock.advance(1);
-  expect(await place.give(2)).toEqual(true);
+  expect(await place.acquire(2)).toEqual(true);
 });
 
 test('should give the place on after a write that reached nothing', async () => {
   const { place, ends, script } = scriptedPlace();
-  await place.give(1);
+  await place.acquire(1);
   script.isHeld = true;
-  const write = place.lay('m', 1, 0, bytesOf(1));
+  const write = place.write('m', 1, 0, bytesOf(1));
   ends[0](failure('ECONNREFUSED'));
   await expect(write).toBeRejected();
-  expect(await place.give(2)).toEqual(true);
+  expect(await place.acquire(2)).toEqual(true);
 });
 
 test('should keep the place for a version whose order got no answer, until the server has ended', async () => {
   const { place, script } = scriptedPlace();
-  await place.give(1);
+  await place.acquire(1);
   script.outcome = 'unknown';
   await place.order('m', 0);
-  expect(await place.give(2)).toEqual(false);
-  expect(await place.give(1)).toEqual(true);
-  place.noteEnd();
-  expect(await place.give(2)).toEqual(true);
+  expect(await place.acquire(2)).toEqual(false);
+  expect(await place.acquire(1)).toEqual(true);
+  place.onServerExit();
+  expect(await place.acquire(2)).toEqual(true);
 });
 
 test('should lay a version again that had the place before another one', async () => {
   const scripted = scriptedPlace();
   const [older, newer] = [stagerOf(1, scripted), stagerOf(2, scripted)];
-  await older.takePlace();
+  await older.acquireStagingArea();
   older.add(0, bytesOf(1, 0));
   await until(() => scripted.lying.size === 1);
-  await newer.takePlace();
+  await newer.acquireStagingArea();
   newer.add(0, bytesOf(2, 0));
   older.add(1, bytesOf(1, 1));
   await until(() => scripted.lying.get(0)!.equals(bytesOf(2, 0)));
   expect(scripted.lying.size).toEqual(1);
-  await older.takePlace();
+  await older.acquireStagingArea();
   await until(() => scripted.lying.get(0)!.equals(bytesOf(1, 0)) && scripted.lying.size === 2);
   expect(scripted.lying.get(1)).toEqual(bytesOf(1, 1));
 });
@@ -202,14 +202,14 @@
 test('should not trust what was read before another version had the place', async () => {
   const scripted = scriptedPlace();
   const [older, newer] = [stagerOf(1, scripted), stagerOf(2, scripted)];
-  await older.takePlace();
+  await older.acquireStagingArea();
   const staged = [0, 1].map((chunk) => ({ chunk, data: bytesOf(1, chunk), readAt: scripted.clock.now() }));
   older.adopt(staged, () => undefined);
   scripted.clock.advance(1);
-  await newer.takePlace();
+  await newer.acquireStagingArea();
   newer.add(0, bytesOf(2, 0));
   await until(() => scripted.lying.size === 1);
-  await older.takePlace();
+  await older.acquireStagingArea();
   expect(await older.verify((chunk) => bytesOf(1, chunk), -1)).toEqual(true);
   expect([...scripted.lying.values()]).toEqual([bytesOf(1, 0), bytesOf(1, 1)]);
 });
