--- a/src/staging/connectedEntries.ts
+++ b/src/staging/connectedEntries.ts
@@ -18,7 +18,7 @@
 const GATHER_PER_LISTENER_MILLISECONDS = 5;
 const SHORTEST_GATHER_MILLISECONDS = 15;
 /** Reached with 120 listeners; an entry that is off is named until its end has been told. */
-export const LONGEST_GATHER_MILLISECONDS = 600;
+export const MAX_BATCH_DELAY_MILLISECONDS = 600;
 
 interface ConnectedEntry {
   address: EntryAddress;
@@ -59,7 +59,7 @@
   }
 
   /** Notes what an entry says of itself; returns whether it has not heard a status yet that it wants. */
-  note(connection: ControlConnection, presence: EntryPresence): boolean {
+  update(connection: ControlConnection, presence: EntryPresence): boolean {
     const known = this._entries.get(connection);
     const { entry: address, hearsStatus, hearsEntries } = presence;
     if (!this._isConnected(address.box)) this._log.state('entry.connected', { entry: address.box });
@@ -77,7 +77,7 @@
   }
 
   /** The connection has ended, for `reason`. */
-  forget(connection: ControlConnection, reason: string): void {
+  remove(connection: ControlConnection, reason: string): void {
     const box = this._entries.get(connection)?.address.box;
     this._entries.delete(connection);
     if (box !== undefined && !this._isConnected(box))
@@ -87,13 +87,13 @@
   }
 
   /** Sends a message to all entries that send requests to the backend server of this box. */
-  broadcastToRouted(message: Message): void {
+  broadcastToStatusListeners(message: Message): void {
     this.broadcastStatus(message, 'all');
   }
 
   /** Takes what an entry has heard from servers, and passes on to all what is new. */
-  takeServerNotices(notices: readonly ServerNotice[]): void {
-    const changed = this._serverNotices.take(notices);
+  mergeServerNotices(notices: readonly ServerNotice[]): void {
+    const changed = this._serverNotices.merge(notices);
     if (changed.length === 0) return;
     ControlConnection.broadcast(
       this._listeners().map(([connection]) => connection),
@@ -176,7 +176,7 @@
 
 function gatherMilliseconds(listeners: number): number {
   const wanted = GATHER_PER_LISTENER_MILLISECONDS * listeners;
-  return Math.min(LONGEST_GATHER_MILLISECONDS, Math.max(SHORTEST_GATHER_MILLISECONDS, wanted));
+  return Math.min(MAX_BATCH_DELAY_MILLISECONDS, Math.max(SHORTEST_GATHER_MILLISECONDS, wanted));
 }
 
 function isSame(a: EntryAddress, b: EntryAddress | undefined): boolean {
--- a/src/staging/heardVersions.ts
+++ b/src/staging/heardVersions.ts
@@ -22,7 +22,7 @@
   }
 
   /** Takes what an entry tells; returns what is new to this agent, or was heard of earlier than it knew. */
-  take(versions: readonly HeardVersion[]): HeardVersion[] {
+  merge(versions: readonly HeardVersion[]): HeardVersion[] {
     return versions.filter((item) => this._takeOne(item));
   }
 
--- a/src/staging/linkRate.ts
+++ b/src/staging/linkRate.ts
@@ -50,7 +50,7 @@
   }
 
   /** Whether chunks come much more slowly than the box may take them, or came so until a moment ago. */
-  isNarrow(now: number): boolean {
+  isSlow(now: number): boolean {
     if (now - this._completedAt > STILL_NARROW_MILLISECONDS) return false;
     if (this._measuredMilliseconds < LEAST_MEASURED_MILLISECONDS) return false;
     return this._recentBytes < this._bytesPerMillisecond * this._recentMilliseconds * NARROW_SHARE;
--- a/src/staging/peerMessages.ts
+++ b/src/staging/peerMessages.ts
@@ -31,7 +31,7 @@
    * Counts only these boxes from now on. What the others told is kept for as long as they are connected: a box that is listed
    * again in a moment has nothing new to tell.
    */
-  keep(boxes: readonly string[]): void {
+  setPeers(boxes: readonly string[]): void {
     this._wanted = new Set(boxes);
   }
 
--- a/src/staging/serverNotices.ts
+++ b/src/staging/serverNotices.ts
@@ -28,7 +28,7 @@
   }
 
   /** Takes what an entry tells; returns what is new to this agent by it, as it is remembered now. */
-  take(notices: readonly ServerNotice[]): ServerNotice[] {
+  merge(notices: readonly ServerNotice[]): ServerNotice[] {
     const changed = new Set(notices.filter((notice) => this._takeOne(notice)).map(({ server }) => server));
     return this.all().filter(({ server }) => changed.has(server));
   }
--- a/src/staging/stageQueue.ts
+++ b/src/staging/stageQueue.ts
@@ -11,7 +11,7 @@
   model: string;
   version: number;
   /** Monotonic milliseconds at which it was named. */
-  namedAt: number;
+  announcedAt: number;
 }
 
 /** What the queue works with. */
@@ -59,24 +59,24 @@
   }
 
   /** The oldest stage of a version newer than `version`. */
-  after(version: number): VersionStage | undefined {
+  nextAfter(version: number): VersionStage | undefined {
     return this._stages.find((stage) => stage.version > version);
   }
 
-  get newestWhole(): VersionStage | undefined {
+  get newestComplete(): VersionStage | undefined {
     return this._stages.filter((stage) => stage.complete).at(-1);
   }
 
-  of(version: number): VersionStage | undefined {
+  stageOf(version: number): VersionStage | undefined {
     return this._stages.find((stage) => stage.version === version);
   }
 
-  find(rollout: string): VersionStage | undefined {
+  findByRollout(rollout: string): VersionStage | undefined {
     return this._stages.find((stage) => stage.exchange.rollout === rollout);
   }
 
   /** Takes a target if it is newer than the one before. */
-  want(target: TargetVersion): void {
+  setTarget(target: TargetVersion): void {
     if (this._target && target.version <= this._target.version) return;
     this._target = target;
     this._reading.abort();
@@ -94,7 +94,7 @@
   }
 
   /** Drops what is older than the version in service. */
-  served(version: number): void {
+  dropOlderThan(version: number): void {
     for (const stage of this._stages) {
       if (stage.version < version) this._drop(stage);
     }
@@ -116,14 +116,14 @@
     const { clock, versionMilliseconds } = this._options;
     const newer = this._stages.find((other) => other.version === target.version);
     return isWorthFinishing({
-      namedAt: stage.namedAt,
-      newerNamedAt: target.namedAt,
+      announcedAt: stage.announcedAt,
+      newerAnnouncedAt: target.announcedAt,
       now: clock.now(),
       switchMilliseconds: versionMilliseconds,
       copyMilliseconds: stage.copyMilliseconds,
       missingMilliseconds: stage.copyMilliseconds * (1 - stage.heldShare),
-      seenShare: stage.seenShare,
-      newerSeenShare: newer?.seenShare ?? 0,
+      availableShare: stage.availableShare,
+      newerAvailableShare: newer?.availableShare ?? 0,
     });
   }
 
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -33,7 +33,7 @@
 import { downloadOrder, initialDownloaders } from './downloadSchedule.js';
 import { HeardVersions } from './heardVersions.js';
 import type { LocalBackend } from './localBackend.js';
-import { receiveRate, sendRate } from './linkRates.js';
+import { receiveRate, sendRate } from './weightRates.js';
 import { ManifestReader } from './manifestReader.js';
 import { PeerMessages } from './peerMessages.js';
 import { StageQueue } from './stageQueue.js';
@@ -41,7 +41,7 @@
 import { StagingArea } from './stagingArea.js';
 import { stagingMetrics } from './stagingMetrics.js';
 import { StatusSender } from './statusSender.js';
-import { SwitchNotices } from './switchNotices.js';
+import { SwitchStateBroadcaster } from './switchStateBroadcaster.js';
 import { connectedPeers, switchGroup } from './switchGroup.js';
 import type { SwitchPeer } from './switchTurn.js';
 import { UploadPriorities } from './uploadPriorities.js';
@@ -49,7 +49,7 @@
 import { WatchedOrigin } from './watchedOrigin.js';
 
 /** What an agent is built from beside its settings. */
-export interface StagingParts {
+export interface StagingDependencies {
   backend: LocalBackend;
   /** Models of which a version has been named, as the platform has it; rejects where that cannot be found out. */
   namedModels: () => Promise<readonly string[]>;
@@ -71,7 +71,7 @@
 
 export class StagingDaemon {
   private readonly _settings: StagingSettings;
-  private readonly _parts: StagingParts;
+  private readonly _parts: StagingDependencies;
   private readonly _clock = new SystemClock();
   private readonly _log: EventLog;
   private readonly _peers: AgentPeers;
@@ -86,7 +86,7 @@
   private readonly _statusSender: StatusSender;
   private readonly _entries: ConnectedEntries;
   private readonly _heard = new HeardVersions(this._clock);
-  private readonly _notices = new SwitchNotices({
+  private readonly _notices = new SwitchStateBroadcaster({
     state: () => this._switchState(),
     send: (boxes, state) => this._peers.broadcast(boxes, state),
   });
@@ -99,7 +99,7 @@
   private _agentsRevision = 0;
   private _statusTimer: NodeJS.Timeout | undefined;
 
-  constructor(settings: StagingSettings, parts: StagingParts) {
+  constructor(settings: StagingSettings, parts: StagingDependencies) {
     const random = new SeededRandom(settings.seed + placementHash(settings.box));
     this._settings = settings;
     this._parts = parts;
@@ -131,9 +131,9 @@
     this._chunks = new ChunkServer({
       sharedKey: settings.sharedKey,
       uploads,
-      chunk: (rollout, chunk) => this._stages.find(rollout)?.chunk(chunk),
-      manifest: (rollout) => this._stages.find(rollout)?.index.manifest,
-      priority: (box, rollout) => priorities.of(box, rollout),
+      chunk: (rollout, chunk) => this._stages.findByRollout(rollout)?.chunk(chunk),
+      manifest: (rollout) => this._stages.findByRollout(rollout)?.index.manifest,
+      priority: (box, rollout) => priorities.priorityFor(box, rollout),
     });
     const metrics = stagingMetrics({
       stages: this._stages,
@@ -245,15 +245,15 @@
   private _onConnection(connection: ControlConnection): void {
     if (connection.peer.role === 'agent') return this._peers.attach(connection);
     connection.on('message', (message) => this._onEntryMessage(connection, message));
-    connection.once('close', (reason) => this._entries.forget(connection, reason));
+    connection.once('close', (reason) => this._entries.remove(connection, reason));
     connection.start();
   }
 
   private _onEntryMessage(connection: ControlConnection, message: Message): void {
     if (message.type === 'agent-list') this._takeAgents(message);
-    if (message.type === 'server-notices') this._entries.takeServerNotices(message.notices);
+    if (message.type === 'server-notices') this._entries.mergeServerNotices(message.notices);
     if (message.type !== 'entry-presence') return;
-    const wantsStatus = this._entries.note(connection, message);
+    const wantsStatus = this._entries.update(connection, message);
     if (wantsStatus) {
       connection.send(this._status());
       connection.send({ type: 'versions-heard', versions: this._heard.all() });
@@ -278,9 +278,9 @@
     const boxes = connected.map(({ box }) => box);
     this._group = switchGroup(this._settings.box, members);
     this._peers.want(connected);
-    this._messages.keep(boxes);
+    this._messages.setPeers(boxes);
     this._stages.updateMembers();
-    this._notices.list(boxes);
+    this._notices.setRecipients(boxes);
   }
 
   private _memberOf(agent: AgentAddress): Member {
@@ -290,17 +290,18 @@
   }
 
   private _takeVersions(presence: EntryPresence): void {
-    const updates = this._heard.take(presence.heard ?? []);
-    if (updates.length > 0) this._entries.broadcastToRouted({ type: 'versions-heard', versions: updates });
+    const updates = this._heard.merge(presence.heard ?? []);
+    if (updates.length > 0)
+      this._entries.broadcastToStatusListeners({ type: 'versions-heard', versions: updates });
     for (const { model, version, knownMilliseconds } of presence.wanted) {
-      this._stages.want({ model, version, namedAt: this._clock.now() - knownMilliseconds });
+      this._stages.setTarget({ model, version, announcedAt: this._clock.now() - knownMilliseconds });
     }
   }
 
   /** Tells the other boxes and the entries when this box comes to another stage. */
   private _onStage(): void {
     this._statusSender.onChange();
-    this._notices.onStage();
+    this._notices.onStageChange();
   }
 
   /** Where the other boxes of the group stand on the way to `version`. */
--- a/src/staging/stagingMetrics.ts
+++ b/src/staging/stagingMetrics.ts
@@ -8,7 +8,7 @@
 import type { VersionReconciler } from './versionReconciler.js';
 
 /** What the figures are read from. */
-export interface StagingFigures {
+export interface StagingMetricSources {
   stages: StageQueue;
   reconciler: VersionReconciler;
   uploads: UploadQueue;
@@ -27,7 +27,7 @@
   log,
   entries,
   originLostFor,
-}: StagingFigures): ServingMetrics {
+}: StagingMetricSources): ServingMetrics {
   const metrics = new ServingMetrics();
   const counts = (): TransferCounts | undefined => stages.stages.at(-1)?.exchange.counts;
   metrics.gauge('version_wanted', () => stages.wantedVersion);
--- a/src/staging/uploadPriorities.ts
+++ b/src/staging/uploadPriorities.ts
@@ -23,7 +23,7 @@
   }
 
   /** How urgent a chunk of `rollout` is to `box`. */
-  of(box: string, rollout: string): UploadPriority {
+  priorityFor(box: string, rollout: string): UploadPriority {
     const member = this._members().find((candidate) => candidate.box === box);
     if (member && member.dataCentre !== this._dataCentre) return 'other-data-centre';
     return this._earlyBoxes(rollout).has(box) ? 'early' : 'usual';
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -102,9 +102,9 @@
   /** The version that was ordered, until it serves; else where a server without any goes, or the lowest of the newer ones. */
   private get _next(): VersionStage | undefined {
     const { stages } = this._options;
-    const ordered = stages.of(this._switchingTo);
+    const ordered = stages.stageOf(this._switchingTo);
     if (ordered) return ordered;
-    return this.servedVersion > 0 ? stages.after(this.servedVersion) : this._nextOfEmpty;
+    return this.servedVersion > 0 ? stages.nextAfter(this.servedVersion) : this._nextOfEmpty;
   }
 
   /**
@@ -113,9 +113,9 @@
    */
   private get _nextOfEmpty(): VersionStage | undefined {
     const { stages, stagingArea: place } = this._options;
-    const held = place.hasUncertainCall ? stages.of(place.owner) : undefined;
+    const held = place.hasUncertainCall ? stages.stageOf(place.owner) : undefined;
     if (held?.complete) return held;
-    return stages.newestWhole ?? stages.after(0);
+    return stages.newestComplete ?? stages.nextAfter(0);
   }
 
   private async _run(): Promise<void> {
@@ -162,7 +162,7 @@
     if (served !== before) this._options.log.state('version.serving', { version: served, before });
     if (this._switchingTo > 0 && served >= this._switchingTo) this._switchingTo = 0;
     if (served >= this._preparingFor) this._preparingFor = 0;
-    this._options.stages.served(served);
+    this._options.stages.dropOlderThan(served);
     this._options.onChange();
   }
 
@@ -228,7 +228,7 @@
   /** Milliseconds until no request may begin on an older version than that of `stage`. */
   private _leftMilliseconds(stage: VersionStage): number {
     const { clock, versionMilliseconds } = this._options;
-    return stage.namedAt + versionMilliseconds - clock.now();
+    return stage.announcedAt + versionMilliseconds - clock.now();
   }
 
   /** Whether an order that was given has had no effect, so that it has to be given again. */
@@ -276,7 +276,7 @@
       outcome,
       revision,
       verifyMilliseconds,
-      milliseconds: Math.round(clock.now() - stage.namedAt),
+      milliseconds: Math.round(clock.now() - stage.announcedAt),
     });
     if (outcome === 'refused') this._switchingTo = 0;
   }
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -27,7 +27,7 @@
   clock: Clock;
   log: EventLog;
   /** Monotonic milliseconds at which the version was named. */
-  namedAt: number;
+  announcedAt: number;
   /** What the box may take of chunks. */
   bytesPerSecond: number;
   /** Whether this version may fetch from other boxes, and draw from the origin, or leaves these to an older one. */
@@ -52,7 +52,7 @@
   readonly model: string;
   readonly exchange: RolloutExchange;
   readonly index: ManifestIndex;
-  readonly namedAt: number;
+  readonly announcedAt: number;
   private readonly _options: VersionStageOptions;
   private readonly _stager: ChunkStager;
   private readonly _seen = new Set<number>();
@@ -74,7 +74,7 @@
     this._options = options;
     this.version = options.version;
     this.model = options.model;
-    this.namedAt = options.namedAt;
+    this.announcedAt = options.announcedAt;
     this._members = options.members;
     this._startedAt = options.clock.now();
     this._linkRate = new LinkRate(options.bytesPerSecond, this._startedAt);
@@ -100,7 +100,7 @@
   }
 
   /** Part of the chunks that have left the origin and are here or at a neighbour, from 0 to 1. */
-  get seenShare(): number {
+  get availableShare(): number {
     return 1 - this.exchange.unseenChunks().length / this.index.chunkCount;
   }
 
@@ -112,7 +112,7 @@
   /** Milliseconds until everything is here, if chunks go on coming as fast as they have; infinite if some are nowhere. */
   get expectedMilliseconds(): number {
     if (this.complete) return 0;
-    if (this.seenShare < 1) return Number.POSITIVE_INFINITY;
+    if (this.availableShare < 1) return Number.POSITIVE_INFINITY;
     const { count, size } = this.exchange.held;
     const elapsed = this._options.clock.now() - this._startedAt;
     return count === 0 ? Number.POSITIVE_INFINITY : (elapsed * (size - count)) / count;
@@ -120,7 +120,7 @@
 
   /** Whether the link is narrow on which chunks come, or was until a moment ago. */
   get isSlow(): boolean {
-    return this._linkRate.isNarrow(this._options.clock.now());
+    return this._linkRate.isSlow(this._options.clock.now());
   }
 
   /** Lets the chunks lie before the backend server from now on; false while another version's may still come there. */
@@ -189,7 +189,7 @@
     if (!this._options.mayDraw()) return;
     this._drawScarce();
     const now = this._options.clock.now();
-    const isNew = this._startedAt - this.namedAt < NEW_VERSION_MILLISECONDS;
+    const isNew = this._startedAt - this.announcedAt < NEW_VERSION_MILLISECONDS;
     if (!isNew && now - this._startedAt < HEARING_MILLISECONDS) return;
     const order = this._reachable(this._order);
     const unseen = this.exchange.unseenChunks();
@@ -260,7 +260,7 @@
     this._options.log.state('version.whole', {
       model: this.model,
       version: this.version,
-      milliseconds: Math.round(this._options.clock.now() - this.namedAt),
+      milliseconds: Math.round(this._options.clock.now() - this.announcedAt),
       sinceStart: Math.round(this._options.clock.now() - this._startedAt),
       ...counts,
     });
--- a/src/staging/worthFinishing.ts
+++ b/src/staging/worthFinishing.ts
@@ -4,8 +4,8 @@
 /** What the decision depends on; times are monotonic milliseconds. */
 export interface SupersededVersion {
   /** When it was named, and when the newer one was. */
-  namedAt: number;
-  newerNamedAt: number;
+  announcedAt: number;
+  newerAnnouncedAt: number;
   now: number;
   /** Time after its naming in which a newer version has to take the place of older ones. */
   switchMilliseconds: number;
@@ -14,8 +14,8 @@
   /** The same for what this box has yet to receive of the version. */
   missingMilliseconds: number;
   /** Parts of the chunks of the version, and of the newer one, that have left the origin, from 0 to 1. */
-  seenShare: number;
-  newerSeenShare: number;
+  availableShare: number;
+  newerAvailableShare: number;
 }
 
 /** From the first whole box to the last one in service, as measured on the users' bench with 15 boxes. */
@@ -31,11 +31,18 @@
  * is no time left to serve it.
  */
 export function isWorthFinishing(version: SupersededVersion): boolean {
-  const { namedAt, newerNamedAt, now, switchMilliseconds, copyMilliseconds, missingMilliseconds } = version;
+  const {
+    announcedAt: namedAt,
+    newerAnnouncedAt: newerNamedAt,
+    now,
+    switchMilliseconds,
+    copyMilliseconds,
+    missingMilliseconds,
+  } = version;
   const needed = switchMilliseconds - LAST_SEND_MARGIN_MILLISECONDS;
   const newerServes = newerNamedAt + copyMilliseconds + SPREAD_MILLISECONDS;
   const newerInTime = newerServes <= namedAt + needed;
-  const newerIsSafe = version.newerSeenShare === 1 || version.seenShare < LITTLE_SEEN_SHARE;
+  const newerIsSafe = version.newerAvailableShare === 1 || version.availableShare < LITTLE_SEEN_SHARE;
   if (newerInTime && newerIsSafe) return false;
   return now + missingMilliseconds + LEAST_SERVICE_MILLISECONDS <= newerNamedAt + needed;
 }
--- a/tests/connectedEntries.spec.ts
+++ b/tests/connectedEntries.spec.ts
@@ -53,7 +53,7 @@
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
   const connections = Array.from({ length: count }, () => new NotedConnection());
   connections.forEach((connection, index) => {
-    entries.note(connection.asConnection(), presence(`entry-${index}`));
+    entries.update(connection.asConnection(), presence(`entry-${index}`));
   });
   return { entries, connections };
 }
@@ -66,14 +66,14 @@
 
 test('should ask another entry when one that it asked is lost', () => {
   const { entries, connections } = connected(5);
-  entries.forget(connections[0].asConnection(), 'closed by peer');
+  entries.remove(connections[0].asConnection(), 'closed by peer');
   expect(connections.slice(1).filter((connection) => connection.asked)).toHaveLength(3);
   entries.stop();
 });
 
 test('should ask an entry once, however often that tells of itself', () => {
   const { entries, connections } = connected(1);
-  entries.note(connections[0].asConnection(), presence('entry-0'));
+  entries.update(connections[0].asConnection(), presence('entry-0'));
   expect(connections[0].sent).toHaveLength(1);
   entries.stop();
 });
@@ -81,9 +81,9 @@
 test('should want a status for an entry that sends requests, once', () => {
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
   const connection = new NotedConnection().asConnection();
-  expect(entries.note(connection, presence('a', { hearsStatus: false }))).toEqual(false);
-  expect(entries.note(connection, presence('a'))).toEqual(true);
-  expect(entries.note(connection, presence('a'))).toEqual(false);
+  expect(entries.update(connection, presence('a', { hearsStatus: false }))).toEqual(false);
+  expect(entries.update(connection, presence('a'))).toEqual(true);
+  expect(entries.update(connection, presence('a'))).toEqual(false);
   expect(entries.statusListeners).toEqual(1);
   entries.stop();
 });
@@ -93,12 +93,12 @@
   const connections = Array.from({ length: 8 }, () => new NotedConnection());
   const far = connections.slice(0, 3);
   const near = connections.slice(3);
-  far.forEach((connection, index) => entries.note(connection.asConnection(), presence(`far-${index}`)));
+  far.forEach((connection, index) => entries.update(connection.asConnection(), presence(`far-${index}`)));
   near.forEach((connection, index) => {
     const entry = { ...presence(`near-${index}`).entry, dataCentre: 'south' };
-    entries.note(connection.asConnection(), presence(`near-${index}`, { entry }));
+    entries.update(connection.asConnection(), presence(`near-${index}`, { entry }));
   });
-  far.forEach((connection) => entries.forget(connection.asConnection(), 'closed by peer'));
+  far.forEach((connection) => entries.remove(connection.asConnection(), 'closed by peer'));
   expect(near.filter((connection) => connection.asked)).toHaveLength(3);
   entries.stop();
 });
@@ -107,11 +107,11 @@
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
   const listener = new NotedConnection();
   const other = new NotedConnection();
-  entries.note(listener.asConnection(), presence('listener', { hearsEntries: true }));
-  entries.note(other.asConnection(), presence('other'));
+  entries.update(listener.asConnection(), presence('listener', { hearsEntries: true }));
+  entries.update(other.asConnection(), presence('other'));
   await until(() => listener.lists.length === 1);
-  entries.forget(other.asConnection(), 'closed by peer');
-  entries.note(new NotedConnection().asConnection(), presence('third'));
+  entries.remove(other.asConnection(), 'closed by peer');
+  entries.update(new NotedConnection().asConnection(), presence('third'));
   await until(() => listener.lists.length === 2);
   const [first, second] = listener.lists;
   expect(first.whole).toEqual(true);
@@ -127,10 +127,10 @@
   const entries = new ConnectedEntries('north', log, new ManualClock());
   const old = new NotedConnection().asConnection();
   const young = new NotedConnection().asConnection();
-  for (const connection of [old, old, young]) entries.note(connection, presence('a'));
-  entries.forget(old, 'silent for too long');
+  for (const connection of [old, old, young]) entries.update(connection, presence('a'));
+  entries.remove(old, 'silent for too long');
   expect(steps()).toEqual(['entry.connected']);
-  entries.forget(young, 'closed by peer');
+  entries.remove(young, 'closed by peer');
   expect(steps()).toEqual(['entry.connected', 'entry.disconnected']);
   entries.stop();
 });
@@ -139,7 +139,7 @@
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
   const listener = new NotedConnection();
   const tell = (hearsEntries: boolean): boolean =>
-    entries.note(listener.asConnection(), presence('listener', { hearsEntries }));
+    entries.update(listener.asConnection(), presence('listener', { hearsEntries }));
   tell(true);
   await until(() => listener.lists.length === 1);
   tell(false);
@@ -153,19 +153,19 @@
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
   const listener = new NotedConnection();
   const [old, young] = [new NotedConnection().asConnection(), new NotedConnection().asConnection()];
-  entries.note(listener.asConnection(), presence('listener', { hearsEntries: true }));
-  entries.note(old, presence('b', { entry: { ...presence('b').entry, leaving: true } }));
-  entries.note(young, presence('b'));
+  entries.update(listener.asConnection(), presence('listener', { hearsEntries: true }));
+  entries.update(old, presence('b', { entry: { ...presence('b').entry, leaving: true } }));
+  entries.update(young, presence('b'));
   await until(() => listener.lists.length === 1);
   expect(listener.lists[0].entries.map(({ box, leaving }) => [box, leaving])).toEqual([
     ['b', false],
     ['listener', false],
   ]);
-  entries.forget(old, 'silent for too long');
-  entries.note(new NotedConnection().asConnection(), presence('c'));
+  entries.remove(old, 'silent for too long');
+  entries.update(new NotedConnection().asConnection(), presence('c'));
   await until(() => listener.lists.length === 2);
   expect(listener.lists[1].gone).toEqual([]);
-  entries.forget(young, 'silent for too long');
+  entries.remove(young, 'silent for too long');
   await until(() => listener.lists.length === 3);
   expect(listener.lists[2].gone).toEqual(['b']);
   entries.stop();
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -5,7 +5,7 @@
 import { noticedWithin } from '../src/protocol/silence.js';
 import { REMEMBERED_MILLISECONDS } from '../src/serving/entryDirectory.js';
 import { gatewaySettingsSchema } from '../src/settings/gatewaySettings.js';
-import { LONGEST_GATHER_MILLISECONDS } from '../src/staging/connectedEntries.js';
+import { MAX_BATCH_DELAY_MILLISECONDS } from '../src/staging/connectedEntries.js';
 import { PEER_TIMEOUT_MILLISECONDS, asking } from './fixtures/askingDirectory.js';
 import { DirectoryFixture } from './fixtures/directoryFixture.js';
 import { HoldingRelay } from './fixtures/holdingRelay.js';
@@ -190,7 +190,7 @@
   const bound = contactMilliseconds.parse(undefined) + GRACE_MILLISECONDS;
   const timeout = peerTimeoutMilliseconds.parse(undefined);
   expect(timeout).toEqual(PEER_TIMEOUT_MILLISECONDS);
-  const told = noticedWithin(timeout) + LONGEST_GATHER_MILLISECONDS;
+  const told = noticedWithin(timeout) + MAX_BATCH_DELAY_MILLISECONDS;
   const longest = told + Math.max(noticedWithin(timeout), REMEMBERED_MILLISECONDS);
   expect(longest + ON_THE_WAY_MILLISECONDS).toBeLessThan(bound);
 });
--- a/tests/heardVersions.spec.ts
+++ b/tests/heardVersions.spec.ts
@@ -10,24 +10,24 @@
 
 test('should pass on what is new to it, once', () => {
   const versions = new HeardVersions(new ManualClock());
-  expect(versions.take([heard(2, 0)])).toEqual([heard(2, 0)]);
-  expect(versions.take([heard(2, 0), heard(3, 10)])).toEqual([heard(3, 10)]);
+  expect(versions.merge([heard(2, 0)])).toEqual([heard(2, 0)]);
+  expect(versions.merge([heard(2, 0), heard(3, 10)])).toEqual([heard(3, 10)]);
 });
 
 test('should pass on that a version was heard of earlier', () => {
   const clock = new ManualClock();
   const versions = new HeardVersions(clock);
-  versions.take([heard(2, 0)]);
+  versions.merge([heard(2, 0)]);
   clock.advance(1_000);
-  expect(versions.take([heard(2, 1_050)])).toEqual([]);
-  expect(versions.take([heard(2, 1_500)])).toEqual([heard(2, 1_500)]);
+  expect(versions.merge([heard(2, 1_050)])).toEqual([]);
+  expect(versions.merge([heard(2, 1_500)])).toEqual([heard(2, 1_500)]);
   clock.advance(500);
   expect(versions.all()).toEqual([heard(2, 2_000)]);
 });
 
 test('should remember a few versions only', () => {
   const versions = new HeardVersions(new ManualClock());
-  for (let version = 1; version <= 20; version++) versions.take([heard(version, 0)]);
+  for (let version = 1; version <= 20; version++) versions.merge([heard(version, 0)]);
   expect(versions.all().map(({ version }) => version)).toEqual(
     Array.from({ length: 16 }, (_, index) => index + 5),
   );
@@ -38,6 +38,6 @@
   const told = [1, 2, 3, 4, 5].flatMap((model) =>
     [2, 3, 4, 5].map((version) => ({ model: `m${model}`, version, heardMilliseconds: 0 })),
   );
-  versions.take(told);
-  expect(versions.take(told)).toEqual([]);
+  versions.merge(told);
+  expect(versions.merge(told)).toEqual([]);
 });
--- a/tests/linkRate.spec.ts
+++ b/tests/linkRate.spec.ts
@@ -27,7 +27,7 @@
   }
 
   get isNarrow(): boolean {
-    return this.link.isNarrow(this.now);
+    return this.link.isSlow(this.now);
   }
 }
 
@@ -44,15 +44,15 @@
 test('should take a link that was narrow to stay so for four seconds after the last chunk', () => {
   const { link, now } = new Transfer().run(5_000, 300);
   link.complete(now);
-  expect(link.isNarrow(now)).toEqual(true);
-  expect(link.isNarrow(now + 4_000)).toEqual(true);
-  expect(link.isNarrow(now + 4_001)).toEqual(false);
+  expect(link.isSlow(now)).toEqual(true);
+  expect(link.isSlow(now + 4_000)).toEqual(true);
+  expect(link.isSlow(now + 4_001)).toEqual(false);
 });
 
 test('should judge a whole version by the time that it took, not by the time since', () => {
   const { link, now } = new Transfer().run(2_000, 950);
   link.complete(now);
-  expect(link.isNarrow(now + 3_900)).toEqual(false);
+  expect(link.isSlow(now + 3_900)).toEqual(false);
 });
 
 /**
--- a/tests/peerMessages.spec.ts
+++ b/tests/peerMessages.spec.ts
@@ -36,17 +36,17 @@
  */
 test('should know where a box stands that leaves the list and comes back on the same connection', () => {
   const messages = peerMessages();
-  messages.keep(['b']);
+  messages.setPeers(['b']);
   messages.onPeerMessage('b', SWITCHING);
-  messages.keep([]);
+  messages.setPeers([]);
   expect(boxesOf(messages)).toEqual([]);
-  messages.keep(['b']);
+  messages.setPeers(['b']);
   expect(boxesOf(messages)).toEqual(['b']);
 });
 
 test('should forget where a box stands whose connection has ended', () => {
   const messages = peerMessages();
-  messages.keep(['b']);
+  messages.setPeers(['b']);
   messages.onPeerMessage('b', SWITCHING);
   messages.onPeerDown('b');
   expect(boxesOf(messages)).toEqual([]);
--- a/tests/serverNotices.spec.ts
+++ b/tests/serverNotices.spec.ts
@@ -43,46 +43,46 @@
 
 test('should pass on what is new to an agent, once', () => {
   const notices = new ServerNotices(new ManualClock());
-  expect(notices.take([notice()])).toEqual([notice()]);
-  expect(notices.take([notice()])).toEqual([]);
+  expect(notices.merge([notice()])).toEqual([notice()]);
+  expect(notices.merge([notice()])).toEqual([]);
   expect(notices.all()).toEqual([notice()]);
 });
 
 test('should keep the newer of two notices at an agent, whichever comes first', () => {
   const notices = new ServerNotices(new ManualClock());
-  notices.take([notice({ limitPerSecond: null, heardMilliseconds: 100 })]);
-  expect(notices.take([notice({ heardMilliseconds: 2_000 })])).toEqual([]);
-  expect(notices.take([notice({ heardMilliseconds: 50 })])).toEqual([notice({ heardMilliseconds: 50 })]);
+  notices.merge([notice({ limitPerSecond: null, heardMilliseconds: 100 })]);
+  expect(notices.merge([notice({ heardMilliseconds: 2_000 })])).toEqual([]);
+  expect(notices.merge([notice({ heardMilliseconds: 50 })])).toEqual([notice({ heardMilliseconds: 50 })]);
 });
 
 test('should not forget at an agent that a server leaves', () => {
   const notices = new ServerNotices(new ManualClock());
-  notices.take([notice({ leaving: true, heardMilliseconds: 500 })]);
+  notices.merge([notice({ leaving: true, heardMilliseconds: 500 })]);
   const later = notice({ limitPerSecond: 2 });
-  expect(notices.take([later])).toEqual([{ ...later, leaving: true }]);
+  expect(notices.merge([later])).toEqual([{ ...later, leaving: true }]);
 });
 
 test('should take another life of a server for itself at an agent', () => {
   const notices = new ServerNotices(new ManualClock());
-  notices.take([notice({ startedAt: 5, leaving: true, heardMilliseconds: 500 })]);
+  notices.merge([notice({ startedAt: 5, leaving: true, heardMilliseconds: 500 })]);
   const later = notice({ startedAt: 6 });
-  expect(notices.take([later])).toEqual([later]);
+  expect(notices.merge([later])).toEqual([later]);
 });
 
 test('should pass on from time to time at an agent that a limit still holds', () => {
   const clock = new ManualClock();
   const notices = new ServerNotices(clock);
-  notices.take([notice()]);
+  notices.merge([notice()]);
   clock.advance(5_000);
-  expect(notices.take([notice()])).toEqual([]);
+  expect(notices.merge([notice()])).toEqual([]);
   clock.advance(5_000);
-  expect(notices.take([notice()])).toEqual([notice()]);
+  expect(notices.merge([notice()])).toEqual([notice()]);
 });
 
 test('should forget notices at an agent that are very old', () => {
   const clock = new ManualClock();
   const notices = new ServerNotices(clock);
-  notices.take([notice()]);
+  notices.merge([notice()]);
   clock.advance(700_000);
   expect(notices.all()).toEqual([]);
 });
--- a/tests/worthFinishing.spec.ts
+++ b/tests/worthFinishing.spec.ts
@@ -6,14 +6,14 @@
 
 /** Named 2 s apart, seen just after the newer one was named; a copy takes 3.3 s. */
 const NAMED_APART: SupersededVersion = {
-  namedAt: 0,
-  newerNamedAt: 2_000,
+  announcedAt: 0,
+  newerAnnouncedAt: 2_000,
   now: 2_010,
   switchMilliseconds: 8_000,
   copyMilliseconds: 3_300,
   missingMilliseconds: 1_600,
-  seenShare: 1,
-  newerSeenShare: 0,
+  availableShare: 1,
+  newerAvailableShare: 0,
 };
 
 for (const [what, changes, worth] of [
