--- a/tests/peerMessages.spec.ts
+++ b/tests/peerMessages.spec.ts
@@ -63,8 +63,8 @@
   const peer = await fixture.connectAsAgent(fixture.boxes[0], (message) => void heard.push(message));
   const timesServing = (): number =>
     heard.filter((message) => message.type === 'switch-state' && message.state === 'serving').length;
-  fixture.tellAll([peer]);
+  fixture.notifyAll([peer]);
   await until(() => timesServing() > 0);
-  for (const others of [[], [peer], [], [peer]]) fixture.tellAll(others);
+  for (const others of [[], [peer], [], [peer]]) fixture.notifyAll(others);
   await until(() => timesServing() >= 3);
 });
--- a/tests/stagingArea.spec.ts
+++ b/tests/stagingArea.spec.ts
@@ -43,12 +43,12 @@
   server.callMilliseconds = 6;
   fixture.origin.readMilliseconds = 30;
   for (let version = 2; version <= 7; version++) {
-    fixture.name(version);
-    await until(() => server.stagedOf(version) >= 2);
+    fixture.announce(version);
+    await until(() => server.countStaged(version) >= 2);
     server.crash();
     await until(() => fixture.allServe(version));
   }
-  expect(fixture.takenUnwhole).toEqual([]);
+  expect(fixture.corruptLoads).toEqual([]);
 });
 
 test('should read the place again when the server takes an order between the reading and the next one', async () => {
@@ -59,21 +59,21 @@
     server.onRead = () => undefined;
     server.orders.push(1);
   };
-  fixture.name(2);
+  fixture.announce(2);
   await until(() => fixture.allServe(2));
   expect(server.orders).toEqual([1, 1, 2]);
-  expect(fixture.lines.some((line) => line.includes('version.reading-void'))).toEqual(true);
+  expect(fixture.logLines.some((line) => line.includes('version.reading-void'))).toEqual(true);
 });
 
 test('should bring a server that has started again to the newest version that is whole, and not to each', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [{ server }] = fixture.boxes;
-  await until(() => fixture.lines.some((line) => line.includes('version.serving')));
+  await until(() => fixture.logLines.some((line) => line.includes('version.serving')));
   server.busy = true;
   for (const version of [2, 3]) {
-    fixture.name(version);
-    await until(() => fixture.lines.some((line) => isWhole(line, version)));
+    fixture.announce(version);
+    await until(() => fixture.logLines.some((line) => isWhole(line, version)));
   }
   server.busy = false;
   server.crash();
--- a/tests/stagingFleet.spec.ts
+++ b/tests/stagingFleet.spec.ts
@@ -23,13 +23,13 @@
   await fixture.start(4);
   await until(() => fixture.allServe(1));
   expect(readsOf(1)).toEqual(CHUNKS);
-  expect(fixture.takenUnwhole).toEqual([]);
+  expect(fixture.corruptLoads).toEqual([]);
 });
 
 test('should bring a newly named version to all boxes', async () => {
   await fixture.start(4);
   await until(() => fixture.allServe(1));
-  fixture.name(2);
+  fixture.announce(2);
   await until(() => fixture.allServe(2));
   expect(readsOf(2)).toEqual(CHUNKS);
   expect(fixture.boxes.map(({ server }) => server.orders)).toEqual([
@@ -43,9 +43,9 @@
 test('should bring the present version to an added box from the others', async () => {
   await fixture.start(3);
   await until(() => fixture.allServe(1));
-  fixture.age(2_000);
+  fixture.backdate(2_000);
   await fixture.addBox();
-  fixture.tellAll();
+  fixture.notifyAll();
   await until(() => fixture.allServe(1));
   expect(readsOf(1)).toEqual(CHUNKS);
 });
@@ -55,14 +55,14 @@
   await until(() => fixture.allServe(1));
   const [{ server }] = fixture.boxes;
   server.busy = true;
-  fixture.name(2);
+  fixture.announce(2);
   await until(() =>
-    fixture.lines.some((line) => line.includes('"version.whole"') && line.includes('"version":2')),
+    fixture.logLines.some((line) => line.includes('"version.whole"') && line.includes('"version":2')),
   );
   server.staged.set(3, Buffer.from('rotten'));
   server.busy = false;
   await until(() => fixture.allServe(2));
-  expect(fixture.takenUnwhole).toEqual([]);
+  expect(fixture.corruptLoads).toEqual([]);
 });
 
 test('should find a spoilt draw out and draw again', async () => {
@@ -70,13 +70,13 @@
   await fixture.start(3);
   await until(() => fixture.allServe(1));
   expect(readsOf(1)).toEqual(CHUNKS + 1);
-  expect(fixture.takenUnwhole).toEqual([]);
+  expect(fixture.corruptLoads).toEqual([]);
 });
 
 test('should look up an order that got no answer, and not give it twice', async () => {
   await fixture.start(1);
   const [{ server }] = fixture.boxes;
-  server.lostAnswers = 1;
+  server.unansweredOrders = 1;
   await until(() => fixture.allServe(1));
   expect(server.orders).toEqual([1]);
 });
@@ -88,7 +88,7 @@
   await fixture.stopAgent(box);
   box.server.version = 0;
   await fixture.startAgent(box);
-  fixture.tellAll();
+  fixture.notifyAll();
   await until(() => fixture.allServe(1));
   expect(readsOf(1)).toEqual(CHUNKS);
 });
@@ -99,15 +99,15 @@
   const [box] = fixture.boxes;
   for (let life = 0; life < 3; life++) {
     await fixture.stopAgent(box);
-    const whole = (): number => fixture.lines.filter((line) => line.includes('version.whole')).length;
+    const whole = (): number => fixture.logLines.filter((line) => line.includes('version.whole')).length;
     const before = whole();
     box.server.version = 0;
     await fixture.startAgent(box);
-    fixture.tellAll();
+    fixture.notifyAll();
     await until(() => whole() > before);
     box.server.restart();
     await until(() => fixture.allServe(1));
-    expect(fixture.takenUnwhole).toEqual([]);
+    expect(fixture.corruptLoads).toEqual([]);
   }
 });
 
@@ -123,7 +123,7 @@
   await until(() => versions.at(-1) === 1);
   versions.length = 0;
   box.server.unreachable = 'UND_ERR_CONNECT_TIMEOUT';
-  await until(() => fixture.lines.filter((line) => line.includes('backend.unreachable')).length > 2);
+  await until(() => fixture.logLines.filter((line) => line.includes('backend.unreachable')).length > 2);
   expect(versions.includes(0)).toEqual(false);
   box.server.unreachable = 'ECONNREFUSED';
   await until(() => versions.at(-1) === 0);
@@ -138,13 +138,13 @@
   fixture.boxes[0].server.staged.clear();
   await until(() => fixture.allServe(1));
   expect(readsOf(1)).toEqual(CHUNKS);
-  expect(fixture.takenUnwhole).toEqual([]);
+  expect(fixture.corruptLoads).toEqual([]);
 });
 
 test('should go on when the origin comes back', async () => {
   fixture.origin.down = true;
   await fixture.start(3);
-  await until(() => fixture.lines.some((line) => line.includes('manifest.failed')));
+  await until(() => fixture.logLines.some((line) => line.includes('manifest.failed')));
   fixture.origin.down = false;
   await until(() => fixture.allServe(1));
 });
@@ -152,10 +152,10 @@
 test('should bring the newest version when two are named in a moment', async () => {
   await fixture.start(4);
   await until(() => fixture.allServe(1));
-  fixture.name(2);
-  fixture.name(3);
+  fixture.announce(2);
+  fixture.announce(3);
   await until(() => fixture.allServe(3));
-  expect(fixture.takenUnwhole).toEqual([]);
+  expect(fixture.corruptLoads).toEqual([]);
 });
 
 test('should bring a version though a box that was to draw is gone', async () => {
@@ -163,19 +163,19 @@
   await until(() => fixture.allServe(1));
   const [gone] = fixture.boxes.splice(0, 1);
   await fixture.stopAgent(gone);
-  fixture.name(2);
+  fixture.announce(2);
   await until(() => fixture.allServe(2));
-  expect(fixture.takenUnwhole).toEqual([]);
+  expect(fixture.corruptLoads).toEqual([]);
 });
 
 test('should leave its chunks to a box whose first connection is yet to come up', async () => {
   await fixture.start(3);
   await until(() => fixture.allServe(1));
-  fixture.lines.length = 0;
+  fixture.logLines.length = 0;
   const unreachable = { box: '127-0-1-9', dataCentre: 'north', address: '127.0.1.9:1' };
-  fixture.name(2, [unreachable]);
+  fixture.announce(2, [unreachable]);
   await until(() => fixture.allServe(2));
-  const draws = fixture.lines
+  const draws = fixture.logLines
     .filter((line) => line.includes('draws.begun'))
     .map((line) => JSON.parse(line) as { time: number; chunks: number });
   const drawn = draws.reduce((sum, { chunks }) => sum + chunks, 0);
