--- a/src/staging/agentControl.ts
+++ b/src/staging/agentControl.ts
@@ -1,4 +1,4 @@
-/** How an agent makes itself known on control connections. */
+/** The options of an agent's control connections: its identity, shared key and timeout. */
 import type { ControlOptions } from '../protocol/controlConnection.js';
 import type { StagingSettings } from '../settings/stagingSettings.js';
 
--- a/src/staging/backendRun.ts
+++ b/src/staging/backendRun.ts
@@ -1,21 +1,28 @@
-/** What two words of the backend server tell of its life: after a start nothing that it held or was ordered is left. Pure. */
+/**
+ * Detects from two statuses whether the backend server has restarted in between. A restarted server has lost its
+ * loaded versions and its orders. Pure functions.
+ */
 import type { LocalBackendStatus } from './localBackend.js';
 
-/** What tells the lives of a backend server apart. */
+/** The fields of a status that differ between two runs of the backend server process. */
 export type BackendRun = Pick<LocalBackendStatus, 'startedAt' | 'revision'>;
 
-/** By another start, whichever way its clock was set; where no start is told, by orders that it has forgotten. */
+/**
+ * Whether the server has restarted between the two statuses. Any change of the start time counts, also to an
+ * earlier one, since the server's clock may have been set back. If a status has no start time, a lower revision
+ * shows the restart.
+ */
 export function hasRestarted(before: BackendRun, now: BackendRun): boolean {
   if (before.startedAt > 0 && now.startedAt > 0) return before.startedAt !== now.startedAt;
   return now.revision < before.revision;
 }
 
-/** Whether nothing has been ordered since `before`, and the server has not started again. */
+/** Whether the server has neither restarted nor accepted an order since `before`. */
 export function isUnchanged(before: BackendRun, now: BackendRun): boolean {
   return !hasRestarted(before, now) && before.revision === now.revision;
 }
 
-/** The signs of both words, as a log line has them. */
+/** The start times and revisions of both statuses, as fields of a log line. */
 export function restartLogFields(
   former: BackendRun,
   { startedAt, revision }: BackendRun,
--- a/src/staging/boxStatus.ts
+++ b/src/staging/boxStatus.ts
@@ -1,15 +1,15 @@
-/** What an agent tells entries of its backend server. */
+/** Builds the status of a box that its agent sends to entries. */
 import type { BoxStatus, ServingState } from '../protocol/boxMessages.js';
 import type { StageQueue } from './stageQueue.js';
 import type { VersionReconciler } from './versionReconciler.js';
 
-/** The status of a box now. */
+/** Returns the current status of the box. */
 export function boxStatus(reconciler: VersionReconciler, stages: StageQueue): BoxStatus {
   const { status, servedVersion } = reconciler;
   return {
     type: 'box-status',
     state: servingState(reconciler),
-    // before the first word of the backend server nothing is known
+    // The state of the backend server is unknown until its first answer.
     model: reconciler.knowsBackend ? stages.model : '',
     version: servedVersion,
     running: status?.running ?? 0,
--- a/src/staging/chunkServer.ts
+++ b/src/staging/chunkServer.ts
@@ -1,4 +1,4 @@
-/** Serves chunks and manifests of the versions on this box to other agents. */
+/** HTTP server that sends chunks and manifests of the versions on this box to other agents. */
 import http from 'node:http';
 import { senderOfToken } from '../protocol/authentication.js';
 import type { Manifest } from '../protocol/manifest.js';
@@ -7,14 +7,14 @@
 import { errorText } from '../utils/stepError.js';
 import type { UploadPriority, UploadQueue } from '../weights/uploadQueue.js';
 
-/** What the server works with. */
+/** Options of a {@link ChunkServer}. */
 export interface ChunkServerOptions {
   sharedKey: string;
   uploads: UploadQueue;
-  /** A chunk that is held and verified. */
+  /** Returns a chunk that this box has and has verified. */
   chunk: (rollout: string, chunk: number) => Buffer | undefined;
   manifest: (rollout: string) => Manifest | undefined;
-  /** How urgent a chunk of a rollout is to a box. */
+  /** Returns the upload priority of chunks of a rollout for a box. */
   priority: (box: string, rollout: string) => UploadPriority;
 }
 
--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -8,8 +8,9 @@
 import type { StagingArea } from './stagingArea.js';
 
 /**
- * A chunk that was read back so lately need not be read again before an order: a chunk that turns bad after it was read is
- * taken as bad either way, and after a start of everything the second reading of all took 150 of 1,300 ms until a server served.
+ * A chunk that was read back so lately need not be read again before an order: a chunk that turns bad after it was
+ * read is taken as bad either way, and after a start of everything the second reading of all took 150 of 1,300 ms
+ * until a server served.
  */
 const READ_LATELY_MILLISECONDS = 1_000;
 /** Rounds in which spoilt chunks are laid anew. */
@@ -48,13 +49,13 @@
   }
 
   /**
-   * Takes the place and lays what waits, and lays again what lay there before another version had it; false while the place
-   * cannot be had.
+   * Takes the place and lays what waits, and lays again what lay there before another version had it; false while
+   * the place cannot be had.
    */
   async acquireStagingArea(): Promise<boolean> {
-    const { stagingArea: place, version } = this._options;
-    if (!(await place.acquire(version))) return false;
-    if (this._laidSince !== place.ownedSince) this._layAgain();
+    const { stagingArea, version } = this._options;
+    if (!(await stagingArea.acquire(version))) return false;
+    if (this._laidSince !== stagingArea.ownedSince) this._layAgain();
     this._resume();
     return true;
   }
@@ -65,13 +66,13 @@
   }
 
   /**
-   * Reads all chunks back and lays those anew that differ; whether all are as the manifest says. Chunks that were read a moment
-   * ago, and after `lifeSeenAt` in monotonic milliseconds, are not read again: before that they may have lain before another life
-   * of the server, or another version may have been laid over them.
+   * Reads all chunks back and lays those anew that differ; whether all are as the manifest says. Chunks that were
+   * read a moment ago, and after `lifeSeenAt` in monotonic milliseconds, are not read again: before that they may
+   * have lain before another life of the server, or another version may have been laid over them.
    */
   async verify(data: (chunk: number) => Buffer | undefined, lifeSeenAt: number): Promise<boolean> {
-    const { index, model, log, stagingArea: place } = this._options;
-    const readSince = Math.max(lifeSeenAt, place.ownedSince);
+    const { index, model, log, stagingArea } = this._options;
+    const readSince = Math.max(lifeSeenAt, stagingArea.ownedSince);
     const all = Array.from({ length: index.chunkCount }, (_unused, chunk) => chunk);
     let suspects = all.filter((chunk) => !this._wasReadLately(chunk, readSince));
     for (let round = 0; round < REPAIR_ROUNDS; round++) {
@@ -116,8 +117,8 @@
   }
 
   private async _lay(chunk: number, data: Buffer): Promise<void> {
-    const { stagingArea: place, model, version } = this._options;
-    await place.write(model, version, chunk, data);
+    const { stagingArea, model, version } = this._options;
+    await stagingArea.write(model, version, chunk, data);
   }
 
   private _layAgain(): void {
--- a/src/staging/downloadSchedule.ts
+++ b/src/staging/downloadSchedule.ts
@@ -1,22 +1,29 @@
-/** Which box draws which chunk from the origin, and when another steps in. Pure. */
+/**
+ * Decides which box downloads which chunk from the origin, and when another box takes the download over. Log lines
+ * and messages call such a download a draw. Pure functions, so that all boxes come to the same result.
+ */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { orderAcrossDataCentres } from '../utils/dataCentreOrder.js';
 import { exchangeGateways } from '../weights/exchangeTopology.js';
 
 /**
- * How long a box may bring nothing before another one draws its chunks too, in milliseconds. Twelve boxes that share an
- * origin of 9.9 Mbit/s each bring a chunk of 32 KB every 320 ms.
+ * Time without a finished chunk after which another box downloads the chunks of a box too. Twelve boxes that share an
+ * origin link of 9.9 Mbit/s each finish a chunk of 32 KB every 320 ms.
  */
 export const DOWNLOAD_TURN_MILLISECONDS = 900;
 
-/** Boxes in the order in which they switch, data centres in turn so that each of them has its share of early ones. */
+/**
+ * Returns the boxes in the order in which they switch. Data centres alternate, so that each has its share of early
+ * boxes.
+ */
 export function switchOrder(rollout: string, members: readonly Member[]): string[] {
   return orderAcrossDataCentres(rollout, members).map((member) => member.box);
 }
 
 /**
- * Boxes in the order in which they draw: those that exchange with other data centres come first. What another one draws is
- * announced there with the next refresh only, up to 2 s later.
+ * Returns the boxes in the order in which they download. Boxes that exchange chunks with other data centres come
+ * first: a chunk that another box downloads is announced to other data centres only with the next refresh, up to 2
+ * s later.
  */
 export function downloadOrder(rollout: string, members: readonly Member[]): string[] {
   const gateways = new Set(exchangeGateways(members));
@@ -25,69 +32,73 @@
 }
 
 /**
- * Boxes that draw at first. More of them would each have a smaller part of the origin's link, so that the first chunks came
- * later, and may be more than the origin takes connections.
+ * Number of boxes that download at first. With more boxes, each would have a smaller share of the origin's link, so
+ * that the first chunks would arrive later, and the origin might not accept as many connections.
  */
-const FIRST_DRAWERS = 12;
-/** Turns after which any box may step in, since the first drawers seem to be gone. */
-const FIRST_TURNS = 3;
+const INITIAL_DOWNLOADERS = 12;
+/** Turns after which any box may take over, since the initial downloaders seem to be gone. */
+const INITIAL_TURNS = 3;
 
-/** The boxes that draw from the origin, unless they are gone. */
+/** Returns the boxes that download from the origin while they are reachable. */
 export function initialDownloaders(order: readonly string[]): string[] {
-  return order.slice(0, FIRST_DRAWERS);
+  return order.slice(0, INITIAL_DOWNLOADERS);
 }
 
-/** The place of a lost drawer that no box takes: the others share its chunks. */
-const NOBODY = '';
+/** Placeholder for a lost downloader without a substitute; the others share its chunks. */
+const NO_BOX = '';
 
 /**
- * The same order where boxes are `lost`: each of the first drawers that is has its place taken by a box that does not draw yet,
- * or where there is none by nobody. All others keep their places, and with them the chunks that they are drawing: an order that
- * closes up gave nearly every chunk another drawer while the one before had it half, and the origin sent 2.4 copies of two
- * versions in place of 2.1 on a day on which one of nine boxes was killed amid a draw.
+ * Returns the order with each `lost` initial downloader replaced by a box that does not download yet, or by a
+ * placeholder if there is none. All others keep their positions, and so the chunks that they are downloading.
+ * Removing the lost box from the order instead gave nearly every chunk another downloader while the former one had
+ * half of it: on a day on which one of nine boxes was killed during a download, the origin sent 2.4 copies of two
+ * versions instead of 2.1.
  */
 export function replaceLostDownloaders(order: readonly string[], lost: ReadonlySet<string>): string[] {
-  const spare = order.slice(FIRST_DRAWERS).filter((box) => !lost.has(box));
-  const places = initialDownloaders(order).map((box) => (lost.has(box) ? (spare.shift() ?? NOBODY) : box));
-  return [...places, ...spare];
+  const spare = order.slice(INITIAL_DOWNLOADERS).filter((box) => !lost.has(box));
+  const positions = initialDownloaders(order).map((box) => (lost.has(box) ? (spare.shift() ?? NO_BOX) : box));
+  return [...positions, ...spare];
 }
 
-/** The box whose turn it is to draw `chunk` when the first one has brought nothing for `elapsed` milliseconds. */
+/**
+ * Returns the box that is to download `chunk` if the first one for it has finished nothing for `elapsed`
+ * milliseconds.
+ */
 export function downloaderOf(order: readonly string[], chunk: number, elapsed: number): string | undefined {
   if (order.length === 0) return undefined;
   const turn = Math.floor(Math.max(0, elapsed) / DOWNLOAD_TURN_MILLISECONDS);
-  const drawers = turn < FIRST_TURNS ? initialDownloaders(order) : order;
-  const drawer = drawers[(chunk + turn) % drawers.length];
-  if (drawer !== NOBODY) return drawer;
-  const sound = drawers.filter((box) => box !== NOBODY);
-  return sound[Math.floor(chunk / drawers.length) % sound.length];
+  const downloaders = turn < INITIAL_TURNS ? initialDownloaders(order) : order;
+  const downloader = downloaders[(chunk + turn) % downloaders.length];
+  if (downloader !== NO_BOX) return downloader;
+  const reachable = downloaders.filter((box) => box !== NO_BOX);
+  return reachable[Math.floor(chunk / downloaders.length) % reachable.length];
 }
 
-/** Notes which boxes bring the chunks that they are to draw. */
+/** Tracks which boxes finish the chunks that they are to download. */
 export class DownloadProgress {
   private readonly _startedAt: number;
-  private readonly _broughtAt = new Map<string, number>();
+  private readonly _lastFinishedAt = new Map<string, number>();
   private _unseen: ReadonlySet<number>;
 
-  /** `chunks` is how many there are, all of them unseen. */
+  /** `chunks` is the number of chunks; all of them start as unseen. */
   constructor(chunks: number, startedAt: number) {
     this._unseen = new Set(Array.from({ length: chunks }, (_unused, chunk) => chunk));
     this._startedAt = startedAt;
   }
 
-  /** Takes the chunks that are nowhere yet. */
+  /** Updates the unseen chunks: those that neither this box nor a neighbour has yet. */
   update(order: readonly string[], unseen: readonly number[], now: number): void {
     const still = new Set(unseen);
     for (const chunk of this._unseen) {
-      const drawer = downloaderOf(order, chunk, 0);
-      if (!still.has(chunk) && drawer !== undefined) this._broughtAt.set(drawer, now);
+      const downloader = downloaderOf(order, chunk, 0);
+      if (!still.has(chunk) && downloader !== undefined) this._lastFinishedAt.set(downloader, now);
     }
     this._unseen = still;
   }
 
-  /** Milliseconds for which the box that is first to draw `chunk` has brought nothing. */
+  /** Returns the milliseconds for which the first downloader of `chunk` has finished no chunk. */
   millisecondsWithoutProgress(order: readonly string[], chunk: number, now: number): number {
-    const drawer = downloaderOf(order, chunk, 0) ?? '';
-    return now - Math.max(this._startedAt, this._broughtAt.get(drawer) ?? 0);
+    const downloader = downloaderOf(order, chunk, 0) ?? '';
+    return now - Math.max(this._startedAt, this._lastFinishedAt.get(downloader) ?? 0);
   }
 }
--- a/src/staging/heardVersions.ts
+++ b/src/staging/heardVersions.ts
@@ -1,11 +1,14 @@
-/** Versions that the entries connected to this agent have heard of, for those that hear late. */
+/**
+ * Versions that the connected entries have heard of, and when. The agent forwards them to entries that have not
+ * heard of them yet.
+ */
 import type { HeardVersion } from '../protocol/boxMessages.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Versions of a model that are remembered: more than an entry tells. */
-const REMEMBERED = 16;
-/** An earlier time than the one that was told is told again if it differs by more: less is the way of a message. */
-const LEAST_DIFFERENCE_MILLISECONDS = 100;
+/** Versions kept for each model; more than an entry reports. */
+const MAX_VERSIONS = 16;
+/** A report with an earlier time is forwarded only if it is earlier by more than this; less is message latency. */
+const MIN_DIFFERENCE_MILLISECONDS = 100;
 
 interface Heard {
   version: number;
@@ -14,19 +17,19 @@
 
 export class HeardVersions {
   private readonly _clock: Clock;
-  /** By model, in the order of versions. */
+  /** Versions in ascending order, by model. */
   private readonly _heard = new Map<string, Heard[]>();
 
   constructor(clock: Clock) {
     this._clock = clock;
   }
 
-  /** Takes what an entry tells; returns what is new to this agent, or was heard of earlier than it knew. */
+  /** Adds the versions that an entry reports. Returns those that are new, or were heard of earlier than was known. */
   merge(versions: readonly HeardVersion[]): HeardVersion[] {
-    return versions.filter((item) => this._takeOne(item));
+    return versions.filter((item) => this._mergeOne(item));
   }
 
-  /** All that is remembered. */
+  /** Returns all versions that are kept. */
   all(): HeardVersion[] {
     const now = this._clock.now();
     return [...this._heard].flatMap(([model, versions]) =>
@@ -34,17 +37,17 @@
     );
   }
 
-  private _takeOne({ model, version, heardMilliseconds }: HeardVersion): boolean {
+  private _mergeOne({ model, version, heardMilliseconds }: HeardVersion): boolean {
     const heardAt = this._clock.now() - heardMilliseconds;
     const versions = this._heard.get(model) ?? [];
     const known = versions.find((item) => item.version === version);
     if (known) {
-      const isEarlier = known.heardAt - heardAt > LEAST_DIFFERENCE_MILLISECONDS;
+      const isEarlier = known.heardAt - heardAt > MIN_DIFFERENCE_MILLISECONDS;
       if (isEarlier) known.heardAt = heardAt;
       return isEarlier;
     }
     const sorted = [...versions, { version, heardAt }].sort((a, b) => a.version - b.version);
-    this._heard.set(model, sorted.slice(-REMEMBERED));
+    this._heard.set(model, sorted.slice(-MAX_VERSIONS));
     return true;
   }
 }
--- a/src/staging/localBackend.ts
+++ b/src/staging/localBackend.ts
@@ -1,34 +1,37 @@
-/** The backend server on the agent's own box, as far as versions are concerned. */
+/** Interface to the backend server on the agent's own box: staging of chunks and loading of versions. */
 
-/** What the backend server says of itself. */
+/** Status that the backend server reports. */
 export interface LocalBackendStatus {
-  /** Versions in service by model; a model without all its layers is absent. */
+  /** Loaded versions by model. A model whose layers are not all loaded is absent. */
   versions: ReadonlyMap<string, number>;
-  /** Whether it is carrying out an order. */
+  /** Whether it is executing an order. */
   busy: boolean;
-  /** Orders that it has taken in this life. */
+  /** Number of orders that it has accepted since it started. */
   revision: number;
   running: number;
   queued: number;
-  /** When it started, in Unix milliseconds by its own clock; 0 where it does not tell. */
+  /** Start time in Unix milliseconds by its own clock; 0 if it does not report one. */
   startedAt: number;
 }
 
-/** What became of an order. */
+/** Result of an order; `unknown` if there was no answer, so that it may or may not be executed. */
 export type OrderOutcome = 'begun' | 'done' | 'refused' | 'unknown';
 
-/** The system's code, at the cause of a StepError, for a connection that nobody accepts: the call has reached nothing. */
+/**
+ * System error code, in the cause of a StepError, of a call that reached no server since nothing listens at the
+ * address.
+ */
 export const CONNECTION_REFUSED = 'ECONNREFUSED';
 
-/** Reads throw a StepError when there is no answer. */
+/** Calls to the backend server. Those that read throw a StepError if there is no answer. */
 export interface LocalBackend {
   status(): Promise<LocalBackendStatus>;
-  /** Stages a chunk, over whatever lies in its place. */
+  /** Stages a chunk, and overwrites the chunk staged under this number. */
   putChunk(model: string, chunk: number, data: Buffer): Promise<void>;
-  /** What lies staged; undefined when nothing does. */
+  /** Returns a staged chunk; undefined if there is none. */
   getChunk(model: string, chunk: number): Promise<Buffer | undefined>;
-  /** Chunks that lie staged, whole or not. */
+  /** Returns the numbers of the staged chunks, also of incomplete ones. */
   stagedChunks(model: string): Promise<number[]>;
-  /** Orders the backend server to take what lies staged; refused when its revision is another one. */
+  /** Orders the backend server to load the staged chunks as `version`; refused if its revision is not `revision`. */
   startVersion(model: string, version: number, revision: number): Promise<OrderOutcome>;
 }
--- a/src/staging/manifestReader.ts
+++ b/src/staging/manifestReader.ts
@@ -1,4 +1,4 @@
-/** Finds the manifest of a version: at the origin, or at another agent when the origin does not answer. */
+/** Reads the manifest of a version from the origin, or from another agent if the origin does not answer. */
 import type { Origin } from '../external/origin.js';
 import { sendJson } from '../external/httpClient.js';
 import type { Manifest } from '../protocol/manifest.js';
@@ -11,13 +11,13 @@
 import { errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 
-/** What the reader works with. */
+/** Options of a {@link ManifestReader}. */
 export interface ManifestReaderOptions {
-  /** Undefined while it is not known where the origin is. */
+  /** Undefined while the address of the origin is unknown. */
   origin: () => Origin | undefined;
   /** Other agents of the service. */
   peers: () => readonly Member[];
-  /** Boxes that read the origin; the others ask them. */
+  /** Boxes that download from the origin first. Other boxes ask these for the manifest. */
   downloaders: (rollout: string) => readonly string[];
   box: string;
   token: string;
@@ -27,9 +27,9 @@
 
 const RETRY = { firstMilliseconds: 60, longestMilliseconds: 500 };
 const PEER_TIMEOUT_MILLISECONDS = 800;
-const PEERS_ASKED = 3;
-/** Rounds after which a box that does not draw asks the origin all the same. */
-const PATIENT_ROUNDS = 5;
+const MAX_PEERS_ASKED = 3;
+/** Rounds in which a box that is not among the downloaders asks only other agents, before it asks the origin too. */
+const PEER_ONLY_ROUNDS = 5;
 
 export class ManifestReader {
   private readonly _options: ManifestReaderOptions;
@@ -38,7 +38,7 @@
     this._options = options;
   }
 
-  /** Tries until there is a manifest or `signal` is aborted. */
+  /** Retries until a manifest is found or `signal` is aborted. */
   async read(
     model: string,
     version: number,
@@ -46,12 +46,12 @@
     signal: AbortSignal,
   ): Promise<Manifest | undefined> {
     const backoff = new Backoff(RETRY, this._options.random);
-    const drawers = this._options.downloaders(rollout);
-    const isDrawer = drawers.length === 0 || drawers.includes(this._options.box);
+    const downloaders = this._options.downloaders(rollout);
+    const isDownloader = downloaders.length === 0 || downloaders.includes(this._options.box);
     for (let round = 0; !signal.aborted; round++) {
-      const mayAskOrigin = isDrawer || round >= PATIENT_ROUNDS;
+      const mayAskOrigin = isDownloader || round >= PEER_ONLY_ROUNDS;
       const atOrigin = mayAskOrigin ? await this._fromOrigin(model, version) : undefined;
-      const found = atOrigin ?? (await this._fromPeers(rollout, drawers));
+      const found = atOrigin ?? (await this._fromPeers(rollout, downloaders));
       if (found) return found;
       await pause(backoff.nextWait(), signal);
     }
@@ -69,13 +69,13 @@
     }
   }
 
-  /** Asks a few, one that draws first. */
-  private async _fromPeers(rollout: string, drawers: readonly string[]): Promise<Manifest | undefined> {
+  /** Asks a few agents, starting with one that downloads from the origin. */
+  private async _fromPeers(rollout: string, downloaders: readonly string[]): Promise<Manifest | undefined> {
     const { peers, random } = this._options;
-    const mixed = shuffled(peers(), random);
-    const drawer = mixed.find((member) => drawers.includes(member.box));
-    const others = mixed.filter((member) => member !== drawer);
-    for (const member of [...(drawer ? [drawer] : []), ...others].slice(0, PEERS_ASKED)) {
+    const candidates = shuffled(peers(), random);
+    const downloader = candidates.find((member) => downloaders.includes(member.box));
+    const others = candidates.filter((member) => member !== downloader);
+    for (const member of [...(downloader ? [downloader] : []), ...others].slice(0, MAX_PEERS_ASKED)) {
       const found = await this._fromPeer(member, rollout);
       if (found) return found;
     }
--- a/src/staging/peerMessages.ts
+++ b/src/staging/peerMessages.ts
@@ -1,4 +1,4 @@
-/** Hands messages of other agents to the exchange, and remembers where each box stands on the way to a version. */
+/** Passes messages of other agents to the exchanges, and keeps the switch stage that each box last reported. */
 import type { Message } from '../protocol/message.js';
 import type { Clock } from '../utils/clock.js';
 import type { AgentPeersListener } from '../weights/agentPeers.js';
@@ -6,7 +6,7 @@
 import { SwarmMessageHandler } from '../weights/swarmMessageHandler.js';
 import type { SwitchPeer, SwitchStage } from './switchTurn.js';
 
-interface KnownStage {
+interface ReportedStage {
   version: number;
   stage: SwitchStage;
   since: number;
@@ -14,13 +14,13 @@
 
 export class PeerMessages implements AgentPeersListener {
   private readonly _swarm: SwarmMessageHandler;
-  /** What connected boxes told last. */
-  private readonly _stages = new Map<string, KnownStage>();
+  /** The last reports of connected boxes. */
+  private readonly _stages = new Map<string, ReportedStage>();
   private readonly _clock: Clock;
   private readonly _onUp: (box: string) => void;
-  private _wanted = new Set<string>();
+  private _peers = new Set<string>();
 
-  /** `onUp` is called for each box that has been connected. */
+  /** `onUp` is called for each box that connects. */
   constructor(exchanges: () => RolloutExchange[], clock: Clock, onUp: (box: string) => void) {
     this._clock = clock;
     this._onUp = onUp;
@@ -28,25 +28,25 @@
   }
 
   /**
-   * Counts only these boxes from now on. What the others told is kept for as long as they are connected: a box that is listed
-   * again in a moment has nothing new to tell.
+   * Sets the boxes that {@link PeerMessages.stages} returns. Reports of the others are kept while they are connected,
+   * since a box that leaves the list and comes back on the same connection does not report its stage again.
    */
   setPeers(boxes: readonly string[]): void {
-    this._wanted = new Set(boxes);
+    this._peers = new Set(boxes);
   }
 
-  /** Where the connected boxes of the service stand on the way to `version`. */
+  /** Returns the stages of the connected boxes of the service with respect to `version`. */
   stages(version: number): SwitchPeer[] {
     const now = this._clock.now();
-    const wanted = [...this._stages].filter(([box]) => this._wanted.has(box));
-    return wanted.map(([box, known]) => ({
+    const peers = [...this._stages].filter(([box]) => this._peers.has(box));
+    return peers.map(([box, known]) => ({
       box,
       stage: stageTowards(version, known),
       stageMilliseconds: now - known.since,
     }));
   }
 
-  /** Replays what came before the exchange was there. */
+  /** Replays messages that arrived before their exchange was created. */
   replay(): void {
     this._swarm.replayEarlyJoins();
   }
@@ -70,9 +70,12 @@
   }
 }
 
-/** One that has not heard of the version is staging, one that is beyond it serves, unless it has its turn just now. */
-function stageTowards(version: number, known: KnownStage): SwitchStage {
-  const isOnItsTurn = known.stage === 'preparing' || known.stage === 'switching';
-  if (isOnItsTurn || known.version === version) return known.stage;
+/**
+ * Returns the stage of a box with respect to `version`. A box that reports an older version counts as staging, and
+ * one that reports a newer version as serving, unless it is preparing or switching just now.
+ */
+function stageTowards(version: number, known: ReportedStage): SwitchStage {
+  const isSwitching = known.stage === 'preparing' || known.stage === 'switching';
+  if (isSwitching || known.version === version) return known.stage;
   return known.version > version ? 'serving' : 'staging';
 }
--- a/src/staging/pollInterval.ts
+++ b/src/staging/pollInterval.ts
@@ -1,15 +1,21 @@
-/** How often an agent asks its backend server how it stands. Pure. */
+/** How often an agent polls the status of its backend server. Pure functions. */
 import type { LocalBackendStatus } from './localBackend.js';
 import type { SwitchStage } from './switchTurn.js';
 
-/** Entries choose by loads that are at least as old as this. */
+/** Usual interval, and so the age that a reported load can have before an entry chooses by it. */
 export const POLL_MILLISECONDS = 120;
-/** On its turn, a box has to notice at once when it may be ordered, and when it serves. */
+/**
+ * Interval while the box prepares or switches, so that the agent learns soon when it may send the order and when
+ * the server serves.
+ */
 export const SWITCHING_POLL_MILLISECONDS = 40;
-/** A server without requests is asked more seldom: entries know what they send it, and nothing else changes there. */
+/**
+ * Interval for a server without requests: nothing but new requests changes its load, and entries know those they
+ * send.
+ */
 const IDLE_POLL_MILLISECONDS = 360;
 
-/** Milliseconds between two questions; `status` is what the backend server last said. */
+/** Returns the milliseconds between two polls; `status` is the last status of the backend server. */
 export function pollInterval(stage: SwitchStage, status: LocalBackendStatus | undefined): number {
   if (stage === 'preparing' || stage === 'switching') return SWITCHING_POLL_MILLISECONDS;
   const isIdle = status !== undefined && status.running + status.queued === 0;
--- a/src/staging/serverNotices.ts
+++ b/src/staging/serverNotices.ts
@@ -1,68 +1,80 @@
-/** What backend servers ask of all entries, as entries have told this agent, for those that have not heard it. */
+/**
+ * Notices of backend servers to all entries, such as a request limit or that the server is leaving. An entry
+ * reports the notices that it receives to the agents, which forward them to the other entries.
+ */
 import { LRUCache } from 'lru-cache';
 import type { ServerNotice } from '../protocol/boxMessages.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Servers whose notices are remembered. */
-const REMEMBERED = 200;
-/** A server that has said nothing new for so long has ended, or tells it again to whoever asks it. */
-const FORGET_MILLISECONDS = 600_000;
+/** Servers whose notices are kept. */
+const MAX_SERVERS = 200;
+/** Notices older than this are not sent: the server has ended, or repeats its notice to each entry that calls it. */
+const MAX_AGE_MILLISECONDS = 600_000;
 
-/** A notice that is the same is passed on again after so long: entries that leave the server to others wait for it. */
-const PASS_ON_MILLISECONDS = 9_000;
+/**
+ * An unchanged notice is forwarded again after this time, for entries that have left the server to others until
+ * then.
+ */
+const REPEAT_MILLISECONDS = 9_000;
 
 /** Times in monotonic milliseconds. */
 interface RememberedNotice {
   notice: ServerNotice;
   heardAt: number;
-  /** When that was heard which was passed on last. */
-  passedOnAt: number;
+  /** Value of `heardAt` when the notice was last forwarded. */
+  forwardedAt: number;
 }
 
 export class ServerNotices {
   private readonly _clock: Clock;
-  private readonly _notices = new LRUCache<string, RememberedNotice>({ max: REMEMBERED });
+  private readonly _notices = new LRUCache<string, RememberedNotice>({ max: MAX_SERVERS });
 
   constructor(clock: Clock) {
     this._clock = clock;
   }
 
-  /** Takes what an entry tells; returns what is new to this agent by it, as it is remembered now. */
+  /**
+   * Merges the notices that an entry reports. Returns the merged notices of the servers for which they brought
+   * news.
+   */
   merge(notices: readonly ServerNotice[]): ServerNotice[] {
-    const changed = new Set(notices.filter((notice) => this._takeOne(notice)).map(({ server }) => server));
+    const changed = new Set(notices.filter((notice) => this._mergeOne(notice)).map(({ server }) => server));
     return this.all().filter(({ server }) => changed.has(server));
   }
 
-  /** All that is remembered. */
+  /** Returns all notices that are kept and not too old. */
   all(): ServerNotice[] {
     const now = this._clock.now();
     return [...this._notices.values()]
       .map(({ notice, heardAt }) => ({ ...notice, heardMilliseconds: now - heardAt }))
-      .filter(({ heardMilliseconds }) => heardMilliseconds <= FORGET_MILLISECONDS);
+      .filter(({ heardMilliseconds }) => heardMilliseconds <= MAX_AGE_MILLISECONDS);
   }
 
-  private _takeOne(notice: ServerNotice): boolean {
+  private _mergeOne(notice: ServerNotice): boolean {
     const heardAt = this._clock.now() - notice.heardMilliseconds;
     const known = this._notices.get(notice.server);
-    const told = { notice, heardAt, passedOnAt: heardAt };
-    const next = known ? merged(known, told) : told;
+    const reported = { notice, heardAt, forwardedAt: heardAt };
+    const next = known ? merged(known, reported) : reported;
     const isNew = known === undefined || !isSame(known.notice, next.notice) || isDue(next);
-    if (isNew) next.passedOnAt = next.heardAt;
+    if (isNew) next.forwardedAt = next.heardAt;
     this._notices.set(notice.server, next);
     return isNew;
   }
 }
 
-/** The newer notice; a server that leaves does so whoever has not heard it yet. */
-function merged(known: RememberedNotice, told: RememberedNotice): RememberedNotice {
-  const newer = told.heardAt > known.heardAt ? told : known;
-  const isSameLife = told.notice.startedAt === known.notice.startedAt;
-  const leaving = isSameLife ? known.notice.leaving || told.notice.leaving : newer.notice.leaving;
-  return { notice: { ...newer.notice, leaving }, heardAt: newer.heardAt, passedOnAt: known.passedOnAt };
+/**
+ * Returns the newer notice. Within one run of a server, `leaving` stays set: a newer notice of an entry may not
+ * know it yet.
+ */
+function merged(known: RememberedNotice, reported: RememberedNotice): RememberedNotice {
+  const newer = reported.heardAt > known.heardAt ? reported : known;
+  const isSameRun = reported.notice.startedAt === known.notice.startedAt;
+  const leaving = isSameRun ? known.notice.leaving || reported.notice.leaving : newer.notice.leaving;
+  return { notice: { ...newer.notice, leaving }, heardAt: newer.heardAt, forwardedAt: known.forwardedAt };
 }
 
-function isDue({ heardAt, passedOnAt }: RememberedNotice): boolean {
-  return heardAt - passedOnAt >= PASS_ON_MILLISECONDS;
+function isDue({ heardAt, forwardedAt }: RememberedNotice): boolean {
+  return heardAt - forwardedAt >= REPEAT_MILLISECONDS;
 }
 
 function isSame(a: ServerNotice, b: ServerNotice): boolean {
--- a/src/staging/stageQueue.ts
+++ b/src/staging/stageQueue.ts
@@ -17,7 +17,7 @@
 /** What the queue works with. */
 export interface StageQueueOptions extends Pick<
   VersionStageOptions,
-  'services' | 'place' | 'staged' | 'clock' | 'log' | 'bytesPerSecond'
+  'services' | 'stagingArea' | 'staged' | 'clock' | 'log' | 'bytesPerSecond'
 > {
   manifests: ManifestReader;
   log: EventLog;
--- a/src/staging/statusSender.ts
+++ b/src/staging/statusSender.ts
@@ -1,29 +1,30 @@
-/** Tells the connected entries how this box stands: when it matters at once, otherwise now and then. */
+/** Sends the status of this box to the connected entries: important changes at once, others at intervals. */
 import type { BoxStatus } from '../protocol/boxMessages.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Requests by which the load has to change to be told at once. */
+/** Change of the load, in requests, that is sent at once. */
 const LOAD_STEP = 2;
 /**
- * Shortest time between two statuses that tell only another load, for each entry that hears them: what an agent sends
- * stays bounded however many there are. Entries of other data centres, which send fewer requests here, hear less often.
- * Where 15 entries hear 13 servers, 4 in place of 10 ms brought 0.79 in place of 0.74 of the credit (one pair of runs).
+ * Shortest time between two statuses in which only the load differs, multiplied by the number of entries that
+ * receive them, so that the traffic of an agent does not grow with the number of entries. Entries of other data
+ * centres, which send fewer requests to this box, receive statuses less often. With 15 entries and 13 servers, 4 ms
+ * instead of 10 ms raised the credit from 0.74 to 0.79 in one pair of runs.
  */
-const SPACING_PER_ENTRY_MILLISECONDS = 4;
-const FAR_SPACING_PER_ENTRY_MILLISECONDS = 10;
-/** A status is sent so often even when nothing has changed, so that entries know how old their reports are. */
-const LONGEST_MILLISECONDS = 1_000;
+const MIN_SPACING_PER_ENTRY_MILLISECONDS = 4;
+const MIN_REMOTE_SPACING_PER_ENTRY_MILLISECONDS = 10;
+/** An unchanged status is sent again after this time, so that entries know how old their information is. */
+const MAX_INTERVAL_MILLISECONDS = 1_000;
 
-/** Who hears a status: all entries, or only those of the own data centre. */
+/** The entries that a status is sent to: all, or only those of the agent's data centre. */
 export type StatusAudience = 'all' | 'near';
 
-/** What a sender works with. */
+/** Options of a {@link StatusSender}. */
 export interface StatusSenderOptions {
   clock: Clock;
-  /** The present status. */
+  /** Returns the current status. */
   build: () => BoxStatus;
   send: (status: BoxStatus, audience: StatusAudience) => void;
-  /** Entries that hear the statuses. */
+  /** Returns the number of entries that receive statuses. */
   listeners: () => number;
 }
 
@@ -37,29 +38,30 @@
     this._options = options;
   }
 
-  /** Sends the status if another state, version or load has to be told at once. */
+  /** Sends the status if the state, version, link or load has changed so that entries must know it at once. */
   onChange(): void {
     const status = this._options.build();
     const last = this._last;
     const sameState = last?.state === status.state && last.version === status.version;
     if (!sameState || last.slowLink !== status.slowLink) this._sendTo('all', status);
-    else if (Math.abs(loadOf(status) - loadOf(last)) >= LOAD_STEP) this._tellLoad(status);
+    else if (Math.abs(loadOf(status) - loadOf(last)) >= LOAD_STEP) this._sendLoad(status);
   }
 
-  /** Sends the status if anything has changed, or if it is old. */
+  /** Sends the status if anything has changed, or if the last one is too old. */
   onInterval(): void {
     const status = this._options.build();
     const now = this._options.clock.now();
-    if (now - this._sentToAllAt >= LONGEST_MILLISECONDS) this._sendTo('all', status);
-    else if (JSON.stringify(status) !== JSON.stringify(this._last)) this._tellLoad(status);
+    if (now - this._sentToAllAt >= MAX_INTERVAL_MILLISECONDS) this._sendTo('all', status);
+    else if (JSON.stringify(status) !== JSON.stringify(this._last)) this._sendLoad(status);
   }
 
-  private _tellLoad(status: BoxStatus): void {
+  private _sendLoad(status: BoxStatus): void {
     const { clock, listeners } = this._options;
     const now = clock.now();
-    if (now - this._sentToAllAt >= FAR_SPACING_PER_ENTRY_MILLISECONDS * listeners())
+    if (now - this._sentToAllAt >= MIN_REMOTE_SPACING_PER_ENTRY_MILLISECONDS * listeners())
       this._sendTo('all', status);
-    else if (now - this._sentAt >= SPACING_PER_ENTRY_MILLISECONDS * listeners()) this._sendTo('near', status);
+    else if (now - this._sentAt >= MIN_SPACING_PER_ENTRY_MILLISECONDS * listeners())
+      this._sendTo('near', status);
   }
 
   private _sendTo(audience: StatusAudience, status: BoxStatus): void {
--- a/src/staging/switchStateBroadcaster.ts
+++ b/src/staging/switchStateBroadcaster.ts
@@ -1,37 +1,37 @@
-/** Tells the other boxes where this one stands on the way to its next version. */
+/** Sends the switch state of this box to the other boxes of the service. */
 import type { SwitchState } from '../protocol/boxMessages.js';
 
-/** What the notices work with. */
+/** Options of a {@link SwitchStateBroadcaster}. */
 export interface SwitchStateBroadcasterOptions {
-  /** Where this box stands now. */
+  /** Returns the current state of this box. */
   state: () => SwitchState;
-  /** Sends to those of these boxes that are connected. */
+  /** Sends a state to those of `boxes` that are connected. */
   send: (boxes: readonly string[], state: SwitchState) => void;
 }
 
-/** Each listed box is told every change, and where this one stands by then when it is listed anew. */
+/** Sends every change of the state to all recipients, and the current state to each new recipient. */
 export class SwitchStateBroadcaster {
   private readonly _options: SwitchStateBroadcasterOptions;
-  private _listed: readonly string[] = [];
-  private _lastState = '';
+  private _recipients: readonly string[] = [];
+  private _lastSent = '';
 
   constructor(options: SwitchStateBroadcasterOptions) {
     this._options = options;
   }
 
-  /** Tells these boxes from now on. */
+  /** Replaces the recipients. */
   setRecipients(boxes: readonly string[]): void {
-    const added = boxes.filter((box) => !this._listed.includes(box));
-    this._listed = boxes;
+    const added = boxes.filter((box) => !this._recipients.includes(box));
+    this._recipients = boxes;
     this._options.send(added, this._options.state());
   }
 
-  /** The stage of this box may have changed. */
+  /** Sends the state if it has changed since the last call. */
   onStageChange(): void {
     const state = this._options.state();
     const text = JSON.stringify(state);
-    if (text === this._lastState) return;
-    this._lastState = text;
-    this._options.send(this._listed, state);
+    if (text === this._lastSent) return;
+    this._lastSent = text;
+    this._options.send(this._recipients, state);
   }
 }
--- a/src/staging/uploadPriorities.ts
+++ b/src/staging/uploadPriorities.ts
@@ -1,28 +1,28 @@
-/** How urgent a chunk is to the box that asks for it. */
+/** Priority of uploads by the box that requests the chunk. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { UploadPriority } from '../weights/uploadQueue.js';
 import { switchOrder } from './downloadSchedule.js';
 
 /**
- * Part of the boxes that come first in the order of switching. They get their chunks before the others, so that the
- * switch can begin early and be spread over all of the time there is.
+ * Share of the boxes, first in the order of switching, that receive their chunks before the others, so that the
+ * switch can begin early and be spread over all of the available time.
  */
 const EARLY_SHARE = 1 / 3;
 
 export class UploadPriorities {
   private readonly _dataCentre: string;
   private readonly _members: () => readonly Member[];
-  /** Early boxes by rollout, for the members that they were worked out from. */
+  /** Early boxes by rollout, computed from the members in `_earlyMembers`. */
   private readonly _early = new Map<string, ReadonlySet<string>>();
-  private _earlyFor: readonly Member[] = [];
+  private _earlyMembers: readonly Member[] = [];
 
-  /** `dataCentre` is that of this box, `members` are all boxes of the service. */
+  /** `dataCentre` is that of this box; `members` returns all boxes of the service. */
   constructor(dataCentre: string, members: () => readonly Member[]) {
     this._dataCentre = dataCentre;
     this._members = members;
   }
 
-  /** How urgent a chunk of `rollout` is to `box`. */
+  /** Returns the priority of chunks of `rollout` that `box` requests. */
   priorityFor(box: string, rollout: string): UploadPriority {
     const member = this._members().find((candidate) => candidate.box === box);
     if (member && member.dataCentre !== this._dataCentre) return 'other-data-centre';
@@ -31,8 +31,8 @@
 
   private _earlyBoxes(rollout: string): ReadonlySet<string> {
     const members = this._members();
-    if (members !== this._earlyFor) this._early.clear();
-    this._earlyFor = members;
+    if (members !== this._earlyMembers) this._early.clear();
+    this._earlyMembers = members;
     let early = this._early.get(rollout);
     if (!early) {
       early = new Set(switchOrder(rollout, members).slice(0, Math.ceil(members.length * EARLY_SHARE)));
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -45,8 +45,8 @@
   private readonly _stopped = new AbortController();
   private _status: LocalBackendStatus | undefined;
   /**
-   * Monotonic milliseconds from which on what is read from the backend server is of its present life; infinite where it does not
-   * tell when it started, so that a loss of all that lay there may have gone unnoticed.
+   * Monotonic milliseconds from which on what is read from the backend server is of its present life; infinite
+   * where it does not tell when it started, so that a loss of all that lay there may have gone unnoticed.
    */
   private _lifeSeenAt = Number.POSITIVE_INFINITY;
   /** Whether nothing listens at the address of the backend server. */
@@ -99,7 +99,10 @@
     this._stopped.abort();
   }
 
-  /** The version that was ordered, until it serves; else where a server without any goes, or the lowest of the newer ones. */
+  /**
+   * The version that was ordered, until it serves; else where a server without any goes, or the lowest of the newer
+   * ones.
+   */
   private get _next(): VersionStage | undefined {
     const { stages } = this._options;
     const ordered = stages.stageOf(this._switchingTo);
@@ -108,12 +111,13 @@
   }
 
   /**
-   * The newest version that is whole: a server that had started again climbed all that were, three orders in place of one, each
-   * with 0.3 s without service. A call that got no answer keeps the place for its version until it cannot be carried out any more.
+   * The newest version that is whole: a server that had started again climbed all that were, three orders in place
+   * of one, each with 0.3 s without service. A call that got no answer keeps the place for its version until it
+   * cannot be carried out any more.
    */
   private get _nextOfEmpty(): VersionStage | undefined {
-    const { stages, stagingArea: place } = this._options;
-    const held = place.hasUncertainCall ? stages.stageOf(place.owner) : undefined;
+    const { stages, stagingArea } = this._options;
+    const held = stagingArea.hasUncertainCall ? stages.stageOf(stagingArea.owner) : undefined;
     if (held?.complete) return held;
     return stages.newestComplete ?? stages.nextAfter(0);
   }
@@ -133,7 +137,9 @@
     }
   }
 
-  /** A box that waits for its turn looks at its peers often, and at its backend server as seldom as one that serves. */
+  /**
+   * A box that waits for its turn looks at its peers often, and at its backend server as seldom as one that serves.
+   */
   private _isPollDue(): boolean {
     const interval = pollInterval(this.switchStage, this._status);
     return this._options.clock.now() - this._polledAt >= interval;
@@ -177,12 +183,12 @@
 
   /** Forgets the turn and the order of the former life; what lies staged is read back before each order. */
   private _onAnotherLife(former: LocalBackendStatus, status: LocalBackendStatus): void {
-    const { log, stagingArea: place } = this._options;
+    const { log, stagingArea } = this._options;
     log.state('backend.started-again', {
       ...restartLogFields(former, status),
       switchingTo: this._switchingTo,
     });
-    place.onServerExit();
+    stagingArea.onServerExit();
     this._switchingTo = 0;
     this._preparingFor = 0;
   }
@@ -248,7 +254,7 @@
   }
 
   private async _switch(stage: VersionStage): Promise<void> {
-    const { stagingArea: place, clock, log, onChange } = this._options;
+    const { stagingArea, clock, log, onChange } = this._options;
     this._switchingTo = stage.version;
     this._orderedAt = clock.now();
     const isEmpty = this.servedVersion === 0;
@@ -268,7 +274,7 @@
       return;
     }
     const { revision } = status;
-    const outcome = await place.order(stage.model, revision);
+    const outcome = await stagingArea.order(stage.model, revision);
     this._orderedAt = clock.now();
     log.state('version.ordered', {
       model: stage.model,
@@ -282,8 +288,8 @@
   }
 
   /**
-   * Whether what was read back still lies before the same life of the server: its revision of before the reading binds the order,
-   * since one that is read after it binds nothing.
+   * Whether what was read back still lies before the same life of the server: its revision of before the reading
+   * binds the order, since one that is read after it binds nothing.
    */
   private _isAsRead(status: LocalBackendStatus): boolean {
     const before = this._status!;
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -109,7 +109,10 @@
     return (this.index.totalBytes * MILLISECONDS_PER_SECOND) / this._options.bytesPerSecond;
   }
 
-  /** Milliseconds until everything is here, if chunks go on coming as fast as they have; infinite if some are nowhere. */
+  /**
+   * Milliseconds until everything is here, if chunks go on coming as fast as they have; infinite if some are
+   * nowhere.
+   */
   get expectedMilliseconds(): number {
     if (this.complete) return 0;
     if (this.availableShare < 1) return Number.POSITIVE_INFINITY;
@@ -123,7 +126,9 @@
     return this._linkRate.isSlow(this._options.clock.now());
   }
 
-  /** Lets the chunks lie before the backend server from now on; false while another version's may still come there. */
+  /**
+   * Lets the chunks lie before the backend server from now on; false while another version's may still come there.
+   */
   async acquireStagingArea(): Promise<boolean> {
     return await this._stager.acquireStagingArea();
   }
@@ -181,7 +186,7 @@
   private _noteLink(): void {
     const { originBytes, peerBytes, crossDataCentreBytes } = this.exchange.counts;
     const receivedBytes = originBytes + peerBytes + crossDataCentreBytes;
-    this._linkRate.note(this._options.clock.now(), receivedBytes, this.exchange.fetching);
+    this._linkRate.record(this._options.clock.now(), receivedBytes, this.exchange.fetching);
   }
 
   /** Draws what is nowhere and whose turn is ours. */
--- a/src/staging/watchedOrigin.ts
+++ b/src/staging/watchedOrigin.ts
@@ -1,16 +1,19 @@
-/** The origin of weights, and since when it answers nothing: an origin that resets all connections looks like a slow version otherwise. */
+/**
+ * Wraps the origin of weights and records since when all calls to it fail. Without this, an origin that resets all
+ * connections could not be told from a slow transfer.
+ */
 import type { Origin, OriginRange } from '../external/origin.js';
 import type { Manifest } from '../protocol/manifest.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import { errorText } from '../utils/stepError.js';
 
-/** Writes a line when the origin is lost, and when it is reached again. */
+/** An origin that logs when it stops answering and when it answers again. */
 export class WatchedOrigin implements Origin {
   private readonly _origin: Origin;
   private readonly _clock: Clock;
   private readonly _log: EventLog;
-  /** Monotonic milliseconds of the first failure since the last answer. */
+  /** Monotonic milliseconds of the first failure since the last answer; undefined while calls are answered. */
   private _lostAt: number | undefined;
 
   constructor(origin: Origin, clock: Clock, log: EventLog) {
@@ -19,7 +22,7 @@
     this._log = log;
   }
 
-  /** Milliseconds since the first of the calls that have failed, 0 while the last one was answered. */
+  /** Milliseconds since the first failure after the last answer; 0 if the last call was answered. */
   get lostFor(): number {
     return this._lostAt === undefined ? 0 : this._clock.now() - this._lostAt;
   }
@@ -38,7 +41,7 @@
       this._onAnswer();
       return answer;
     } catch (error) {
-      // what this process gives up says nothing of the origin
+      // A call that this process aborts does not mean that the origin has failed.
       if (!signal?.aborted) this._onFailure(errorText(error));
       throw error;
     }
--- a/src/staging/weightRates.ts
+++ b/src/staging/weightRates.ts
@@ -1,14 +1,14 @@
-/** What of its link a box may use for weights. */
+/** The share of its link that a box may use to transfer weights. */
 import type { StagingSettings } from '../settings/stagingSettings.js';
 
 const BITS_PER_BYTE = 8;
 
-/** Bytes a second of weights that this box may send. */
+/** Rate in bytes per second at which this box may send weights. */
 export function sendRate({ linkKilobits, weightSendShare }: StagingSettings): number {
   return linkShare(linkKilobits, weightSendShare);
 }
 
-/** Bytes a second of weights that this box may receive. */
+/** Rate in bytes per second at which this box may receive weights. */
 export function receiveRate({ linkKilobits, weightReceiveShare }: StagingSettings): number {
   return linkShare(linkKilobits, weightReceiveShare);
 }
--- a/src/staging/worthFinishing.ts
+++ b/src/staging/worthFinishing.ts
@@ -1,34 +1,40 @@
-/** Whether a version is still worth bringing when a newer one has been named. Pure, and worked out alike by all boxes. */
+/**
+ * Decides whether a version is still worth loading once a newer one has been announced. Pure functions, so that all
+ * boxes come to the same result.
+ */
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 
-/** What the decision depends on; times are monotonic milliseconds. */
+/** Input of the decision. Times are monotonic milliseconds. */
 export interface SupersededVersion {
-  /** When it was named, and when the newer one was. */
+  /** When the version and the newer one were announced. */
   announcedAt: number;
   newerAnnouncedAt: number;
   now: number;
-  /** Time after its naming in which a newer version has to take the place of older ones. */
+  /** Time from its announcement within which a newer version has to replace older ones. */
   switchMilliseconds: number;
-  /** Time for a whole copy at the rate at which a box may receive. */
+  /** Time to receive a whole copy at the rate that a box may use. */
   copyMilliseconds: number;
-  /** The same for what this box has yet to receive of the version. */
+  /** Time to receive the missing chunks of the version at that rate. */
   missingMilliseconds: number;
-  /** Parts of the chunks of the version, and of the newer one, that have left the origin, from 0 to 1. */
+  /**
+   * Shares of the chunks of the version and of the newer one that some box has downloaded from the origin, from 0
+   * to 1.
+   */
   availableShare: number;
   newerAvailableShare: number;
 }
 
-/** From the first whole box to the last one in service, as measured on the users' bench with 15 boxes. */
+/** Time from the first box with a complete copy until the last one serves, on the users' bench with 15 boxes. */
 const SPREAD_MILLISECONDS = 2_500;
-/** With less than this the rest would take the origin as long as the newer version does. */
-const LITTLE_SEEN_SHARE = 1 / 3;
-/** A version that serves for less than this is not worth a switch. */
-const LEAST_SERVICE_MILLISECONDS = 1_000;
+/** Below this share, the rest would load the origin for as long as the newer version. */
+const LITTLE_AVAILABLE_SHARE = 1 / 3;
+/** Shortest time in service for which a switch is worthwhile. */
+const MIN_SERVICE_MILLISECONDS = 1_000;
 
 /**
- * Skipping a version leaves only the newer one to serve once the bound of the skipped one has passed. So it is finished
- * unless the newer one can be in service everywhere by then and cannot be lost with its origin any more, or unless there
- * is no time left to serve it.
+ * If a version is skipped, only the newer one may serve after the deadline of the skipped one. So the version is
+ * finished, with two exceptions: the newer version can be in service everywhere by that deadline and no longer
+ * depends on the origin, or there is no time left in which the version would serve.
  */
 export function isWorthFinishing(version: SupersededVersion): boolean {
   const {
@@ -39,10 +45,10 @@
     copyMilliseconds,
     missingMilliseconds,
   } = version;
-  const needed = switchMilliseconds - LAST_SEND_MARGIN_MILLISECONDS;
-  const newerServes = newerNamedAt + copyMilliseconds + SPREAD_MILLISECONDS;
-  const newerInTime = newerServes <= namedAt + needed;
-  const newerIsSafe = version.newerAvailableShare === 1 || version.availableShare < LITTLE_SEEN_SHARE;
+  const replacementMilliseconds = switchMilliseconds - LAST_SEND_MARGIN_MILLISECONDS;
+  const newerServesAt = newerNamedAt + copyMilliseconds + SPREAD_MILLISECONDS;
+  const newerInTime = newerServesAt <= namedAt + replacementMilliseconds;
+  const newerIsSafe = version.newerAvailableShare === 1 || version.availableShare < LITTLE_AVAILABLE_SHARE;
   if (newerInTime && newerIsSafe) return false;
-  return now + missingMilliseconds + LEAST_SERVICE_MILLISECONDS <= newerNamedAt + needed;
+  return now + missingMilliseconds + MIN_SERVICE_MILLISECONDS <= newerNamedAt + replacementMilliseconds;
 }
--- a/tests/linkRate.spec.ts
+++ b/tests/linkRate.spec.ts
@@ -21,7 +21,7 @@
       const step = Math.min(STEP_MILLISECONDS, end - this.now);
       this.now += step;
       this._received += step * bytesPerMillisecond;
-      this.link.note(this.now, this._received, fetches);
+      this.link.record(this.now, this._received, fetches);
     }
     return this;
   }
