--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -1,4 +1,4 @@
-/** Lays the chunks of a version before the local backend server and verifies what lies there. */
+/** Writes the chunks of a version to the staging area of the local backend server and verifies the staged chunks. */
 import type { EventLog } from '../telemetry/eventLog.js';
 import { sha256Hex } from '../utils/hash.js';
 import { errorText } from '../utils/stepError.js';
@@ -8,15 +8,15 @@
 import type { StagingArea } from './stagingArea.js';
 
 /**
- * A chunk that was read back so lately need not be read again before an order: a chunk that turns bad after it was
- * read is taken as bad either way, and after a start of everything the second reading of all took 150 of 1,300 ms
- * until a server served.
+ * A chunk that was read back within this time is not read again before an order. Reading it again would not exclude
+ * that it becomes corrupt afterwards, and when all processes started at once, the second reading took 150 of the
+ * 1,300 ms until a server served.
  */
-const READ_LATELY_MILLISECONDS = 1_000;
-/** Rounds in which spoilt chunks are laid anew. */
+const RECENT_READ_MILLISECONDS = 1_000;
+/** Rounds in which corrupt chunks are written again. */
 const REPAIR_ROUNDS = 3;
 
-/** What a stager works with. */
+/** Options of a {@link ChunkStager}. */
 export interface ChunkStagerOptions {
   stagingArea: StagingArea;
   model: string;
@@ -26,127 +26,130 @@
   log: EventLog;
 }
 
-/** One version on its way to the backend server. */
+/** Stages the chunks of one version. */
 export class ChunkStager {
   private readonly _options: ChunkStagerOptions;
-  /** Monotonic milliseconds at which chunks were last read back as the manifest says. */
-  private readonly _goodAt = new Map<number, number>();
-  /** What was laid since the place is this version's. */
-  private readonly _laid = new Map<number, Buffer>();
-  private _laidSince = Number.NEGATIVE_INFINITY;
-  private readonly _waiting: { chunk: number; data: Buffer }[] = [];
-  private _laying = false;
+  /** Monotonic milliseconds at which chunks were last read back and matched the manifest. */
+  private readonly _verifiedAt = new Map<number, number>();
+  /** Chunks that were written since this version acquired the staging area. */
+  private readonly _written = new Map<number, Buffer>();
+  private _writtenSince = Number.NEGATIVE_INFINITY;
+  private readonly _queue: { chunk: number; data: Buffer }[] = [];
+  private _isWriting = false;
   private _stopped = false;
 
   constructor(options: ChunkStagerOptions) {
     this._options = options;
   }
 
-  /** Lays a chunk as soon as those before it are laid and the place is free. */
+  /** Queues a chunk, which is written after the chunks before it while this version owns the staging area. */
   add(chunk: number, data: Buffer): void {
-    this._waiting.push({ chunk, data });
-    this._resume();
+    this._queue.push({ chunk, data });
+    this._startWriting();
   }
 
   /**
-   * Takes the place and lays what waits, and lays again what lay there before another version had it; false while
-   * the place cannot be had.
+   * Acquires the staging area for this version and writes the queued chunks, and those that another version may
+   * have overwritten. Returns false if the area cannot be acquired yet.
    */
   async acquireStagingArea(): Promise<boolean> {
     const { stagingArea, version } = this._options;
     if (!(await stagingArea.acquire(version))) return false;
-    if (this._laidSince !== stagingArea.ownedSince) this._layAgain();
-    this._resume();
+    if (this._writtenSince !== stagingArea.ownedSince) this._requeueWritten();
+    this._startWriting();
     return true;
   }
 
-  /** Lays nothing more. */
+  /** Stops writing chunks. */
   stop(): void {
     this._stopped = true;
   }
 
   /**
-   * Reads all chunks back and lays those anew that differ; whether all are as the manifest says. Chunks that were
-   * read a moment ago, and after `lifeSeenAt` in monotonic milliseconds, are not read again: before that they may
-   * have lain before another life of the server, or another version may have been laid over them.
+   * Reads the staged chunks back and writes those again that do not match the manifest. Returns whether all match
+   * in the end. A chunk that was read a moment ago is not read again, unless it was read before `runSeenAt`
+   * (monotonic milliseconds), possibly from an earlier run of the server, or before this version acquired the
+   * staging area, since another version may have overwritten it.
    */
-  async verify(data: (chunk: number) => Buffer | undefined, lifeSeenAt: number): Promise<boolean> {
+  async verify(data: (chunk: number) => Buffer | undefined, runSeenAt: number): Promise<boolean> {
     const { index, model, log, stagingArea } = this._options;
-    const readSince = Math.max(lifeSeenAt, stagingArea.ownedSince);
+    const readSince = Math.max(runSeenAt, stagingArea.ownedSince);
     const all = Array.from({ length: index.chunkCount }, (_unused, chunk) => chunk);
-    let suspects = all.filter((chunk) => !this._wasReadLately(chunk, readSince));
+    let suspects = all.filter((chunk) => !this._wasReadRecently(chunk, readSince));
     for (let round = 0; round < REPAIR_ROUNDS; round++) {
-      const spoilt = await this._spoilt(suspects);
-      if (spoilt.length === 0) return true;
-      for (const chunk of spoilt) {
+      const corrupt = await this._corruptChunks(suspects);
+      if (corrupt.length === 0) return true;
+      for (const chunk of corrupt) {
         const bytes = data(chunk);
         if (!bytes) return false;
-        await this._lay(chunk, bytes);
+        await this._write(chunk, bytes);
       }
-      if (this._laid.size > 0) log.state('chunks.laid-anew', { model, chunks: spoilt.length });
-      suspects = spoilt;
+      if (this._written.size > 0) log.state('chunks.laid-anew', { model, chunks: corrupt.length });
+      suspects = corrupt;
     }
     return false;
   }
 
-  /** Takes over those of the chunks that lie there already that are as the manifest says. */
+  /**
+   * Passes the chunks that are staged already and match the manifest to `take`, and remembers when they were read.
+   */
   adopt(staged: readonly StagedChunk[], take: (chunk: number, data: Buffer) => void): void {
     for (const { chunk, data, readAt } of staged) {
       if (chunk >= this._options.index.chunkCount || !this._matches(chunk, data)) continue;
-      this._goodAt.set(chunk, readAt);
+      this._verifiedAt.set(chunk, readAt);
       take(chunk, data);
     }
   }
 
-  private _wasReadLately(chunk: number, readSince: number): boolean {
-    const goodAt = this._goodAt.get(chunk) ?? Number.NEGATIVE_INFINITY;
-    return goodAt > readSince && this._options.clock.now() - goodAt < READ_LATELY_MILLISECONDS;
+  private _wasReadRecently(chunk: number, readSince: number): boolean {
+    const verifiedAt = this._verifiedAt.get(chunk) ?? Number.NEGATIVE_INFINITY;
+    return verifiedAt > readSince && this._options.clock.now() - verifiedAt < RECENT_READ_MILLISECONDS;
   }
 
-  private async _spoilt(suspects: readonly number[]): Promise<number[]> {
-    const spoilt: number[] = [];
+  private async _corruptChunks(suspects: readonly number[]): Promise<number[]> {
+    const corrupt: number[] = [];
     for (const chunk of suspects) {
       const bytes = await this._options.stagingArea.read(this._options.model, chunk);
-      if (!bytes || !this._matches(chunk, bytes)) spoilt.push(chunk);
+      if (!bytes || !this._matches(chunk, bytes)) corrupt.push(chunk);
     }
-    return spoilt;
+    return corrupt;
   }
 
   private _matches(chunk: number, bytes: Buffer): boolean {
     return sha256Hex(bytes) === this._options.index.chunk(chunk).digest;
   }
 
-  private async _lay(chunk: number, data: Buffer): Promise<void> {
+  private async _write(chunk: number, data: Buffer): Promise<void> {
     const { stagingArea, model, version } = this._options;
     await stagingArea.write(model, version, chunk, data);
   }
 
-  private _layAgain(): void {
-    this._laidSince = this._options.stagingArea.ownedSince;
-    for (const [chunk, data] of this._laid) this._waiting.push({ chunk, data });
-    this._laid.clear();
+  private _requeueWritten(): void {
+    this._writtenSince = this._options.stagingArea.ownedSince;
+    for (const [chunk, data] of this._written) this._queue.push({ chunk, data });
+    this._written.clear();
   }
 
-  private _resume(): void {
-    if (!this._laying) void this._layWaiting();
+  private _startWriting(): void {
+    if (!this._isWriting) void this._writeQueue();
   }
 
-  private get _mayLay(): boolean {
+  private get _mayWrite(): boolean {
     return !this._stopped && this._options.stagingArea.owner === this._options.version;
   }
 
-  private async _layWaiting(): Promise<void> {
-    this._laying = true;
-    while (this._mayLay && this._waiting.length > 0) {
-      const next = this._waiting.shift()!;
+  private async _writeQueue(): Promise<void> {
+    this._isWriting = true;
+    while (this._mayWrite && this._queue.length > 0) {
+      const next = this._queue.shift()!;
       try {
-        await this._lay(next.chunk, next.data);
-        this._laid.set(next.chunk, next.data);
+        await this._write(next.chunk, next.data);
+        this._written.set(next.chunk, next.data);
       } catch (error) {
         const { log, version } = this._options;
         log.decision('chunk.not-laid', { version, chunk: next.chunk, reason: errorText(error) });
       }
     }
-    this._laying = false;
+    this._isWriting = false;
   }
 }
--- a/src/staging/connectedEntries.ts
+++ b/src/staging/connectedEntries.ts
@@ -1,4 +1,4 @@
-/** The entries that are connected to this agent, and what each of them wants to hear or is asked for. */
+/** The entries that are connected to this agent, and the messages that each of them subscribes to. */
 import type { EntryAddress, EntryPresence, ServerNotice } from '../protocol/boxMessages.js';
 import { ControlConnection } from '../protocol/controlConnection.js';
 import type { Message } from '../protocol/message.js';
@@ -9,24 +9,24 @@
 import { ServerNotices } from './serverNotices.js';
 import type { StatusAudience } from './statusSender.js';
 
-/** Entries that are asked who the other agents are: any of them may be lost, and more would only repeat it. */
-const ASKED_ENTRIES = 3;
+/** Entries that are asked for the list of agents: more than one, since any of them may be lost. */
+const MAX_ASKED_ENTRIES = 3;
 /**
- * How long changes are gathered for each entry that is told of them: what a list costs grows with their number, and many
- * entries start or stop together.
+ * How long changes of the entry list are batched, multiplied by the number of entries that receive them: the cost
+ * of a list grows with that number, and many entries start or stop at the same time.
  */
-const GATHER_PER_LISTENER_MILLISECONDS = 5;
-const SHORTEST_GATHER_MILLISECONDS = 15;
-/** Reached with 120 listeners; an entry that is off is named until its end has been told. */
+const BATCH_DELAY_PER_LISTENER_MILLISECONDS = 5;
+const MIN_BATCH_DELAY_MILLISECONDS = 15;
+/** Reached with 120 listeners. For this time at most, entries still list one that has disconnected. */
 export const MAX_BATCH_DELAY_MILLISECONDS = 600;
 
 interface ConnectedEntry {
   address: EntryAddress;
   hearsStatus: boolean;
   hearsEntries: boolean;
-  /** Whether the entry has been asked who the other agents are. */
+  /** Whether the entry has been asked for the list of agents. */
   asked: boolean;
-  /** Whether it has been told all that {@link ConnectedEntries} has told before. */
+  /** Whether the entry has received the whole entry list, and so needs only changes. */
   synced: boolean;
 }
 
@@ -35,12 +35,12 @@
   private readonly _log: EventLog;
   private readonly _serverNotices: ServerNotices;
   private readonly _entries = new Map<ControlConnection, ConnectedEntry>();
-  private readonly _changed = new Gathered(
-    () => gatherMilliseconds(this._listeners().length),
-    () => this._tell(),
+  private readonly _scheduledSend = new Gathered(
+    () => batchDelayMilliseconds(this._listeners().length),
+    () => this._sendEntries(),
   );
-  /** Entries by box, as the listeners have been told. */
-  private _told = new Map<string, EntryAddress>();
+  /** Entries by box, as last sent to the listeners. */
+  private _sentEntries = new Map<string, EntryAddress>();
 
   /** `dataCentre` is that of this box. */
   constructor(dataCentre: string, log: EventLog, clock: Clock) {
@@ -53,12 +53,12 @@
     return this._entries.size;
   }
 
-  /** Entries that hear the status of this box. */
+  /** Number of entries that receive the status of this box. */
   get statusListeners(): number {
     return [...this._entries.values()].filter((entry) => entry.hearsStatus).length;
   }
 
-  /** Notes what an entry says of itself; returns whether it has not heard a status yet that it wants. */
+  /** Updates an entry with its presence message. Returns whether it is to receive its first status. */
   update(connection: ControlConnection, presence: EntryPresence): boolean {
     const known = this._entries.get(connection);
     const { entry: address, hearsStatus, hearsEntries } = presence;
@@ -71,27 +71,27 @@
       synced: known?.synced === true && hearsEntries,
     });
     if (hearsEntries && !known?.hearsEntries) this._sendNotices(connection);
-    this._askEnough();
-    this._changed.call();
+    this._askForAgents();
+    this._scheduledSend.call();
     return hearsStatus && !known?.hearsStatus;
   }
 
-  /** The connection has ended, for `reason`. */
+  /** Removes a connection, which has ended for `reason`. */
   remove(connection: ControlConnection, reason: string): void {
     const box = this._entries.get(connection)?.address.box;
     this._entries.delete(connection);
     if (box !== undefined && !this._isConnected(box))
       this._log.state('entry.disconnected', { entry: box, reason });
-    this._askEnough();
-    this._changed.call();
+    this._askForAgents();
+    this._scheduledSend.call();
   }
 
-  /** Sends a message to all entries that send requests to the backend server of this box. */
-  broadcastToStatusListeners(message: Message): void {
+  /** Sends a message to all entries that receive the status of this box, which are those that send requests to it. */
+  sendToStatusListeners(message: Message): void {
     this.broadcastStatus(message, 'all');
   }
 
-  /** Takes what an entry has heard from servers, and passes on to all what is new. */
+  /** Merges the server notices that an entry reports, and forwards the new ones to all listeners. */
   mergeServerNotices(notices: readonly ServerNotice[]): void {
     const changed = this._serverNotices.merge(notices);
     if (changed.length === 0) return;
@@ -106,38 +106,41 @@
     if (notices.length > 0) connection.send({ type: 'server-notices', notices });
   }
 
-  /** Sends a status to the entries that want it: to all of them, or to those of this data centre. */
+  /** Sends a status to the entries that subscribe to it: to all of them, or to those of this data centre. */
   broadcastStatus(message: Message, audience: StatusAudience): void {
-    const heard = [...this._entries].filter(
+    const receivers = [...this._entries].filter(
       ([, entry]) =>
         entry.hearsStatus && (audience === 'all' || entry.address.dataCentre === this._dataCentre),
     );
     ControlConnection.broadcast(
-      heard.map(([connection]) => connection),
+      receivers.map(([connection]) => connection),
       message,
     );
   }
 
   stop(): void {
-    this._changed.cancel();
+    this._scheduledSend.cancel();
   }
 
-  /** Asks those of this data centre first: lists of agents are long, and bytes between data centres have their price. */
-  private _askEnough(): void {
+  /**
+   * Asks entries of this data centre first, since agent lists are long and traffic between data centres is
+   * expensive.
+   */
+  private _askForAgents(): void {
     let asked = [...this._entries.values()].filter((entry) => entry.asked).length;
-    if (asked >= ASKED_ENTRIES) return;
-    const free = [...this._entries].filter(([, entry]) => !entry.asked && !entry.address.leaving);
-    const isNear = (entry: ConnectedEntry): boolean => entry.address.dataCentre === this._dataCentre;
-    free.sort(([, a], [, b]) => Number(isNear(b)) - Number(isNear(a)));
-    for (const [connection, entry] of free) {
-      if (asked >= ASKED_ENTRIES) return;
+    if (asked >= MAX_ASKED_ENTRIES) return;
+    const unasked = [...this._entries].filter(([, entry]) => !entry.asked && !entry.address.leaving);
+    const isLocal = (entry: ConnectedEntry): boolean => entry.address.dataCentre === this._dataCentre;
+    unasked.sort(([, a], [, b]) => Number(isLocal(b)) - Number(isLocal(a)));
+    for (const [connection, entry] of unasked) {
+      if (asked >= MAX_ASKED_ENTRIES) return;
       entry.asked = true;
       asked++;
       connection.send({ type: 'agent-list-query', wanted: true });
     }
   }
 
-  /** Whether the entry on `box` has any connection: a restarted one may have two for a while. */
+  /** Whether the entry on `box` has any connection. A restarted entry may have two for a while. */
   private _isConnected(box: string): boolean {
     return [...this._entries.values()].some(({ address }) => address.box === box);
   }
@@ -146,13 +149,13 @@
     return [...this._entries].filter(([, entry]) => entry.hearsEntries);
   }
 
-  /** Tells the entries that want to know who is connected: all of it at first, then what has changed. */
-  private _tell(): void {
+  /** Sends the connected entries to the listeners: the whole list at first, then only changes. */
+  private _sendEntries(): void {
     const listeners = this._listeners();
     const current = new Map([...this._entries.values()].map(({ address }) => [address.box, address]));
-    const changed = [...current.values()].filter((entry) => !isSame(entry, this._told.get(entry.box)));
-    const gone = [...this._told.keys()].filter((box) => !current.has(box));
-    this._told = current;
+    const changed = [...current.values()].filter((entry) => !isSame(entry, this._sentEntries.get(entry.box)));
+    const gone = [...this._sentEntries.keys()].filter((box) => !current.has(box));
+    this._sentEntries = current;
     if (changed.length + gone.length > 0)
       this._send(listeners, true, { type: 'entry-list', whole: false, entries: changed, gone });
     const entries = [...current.values()].sort((a, b) => compareText(a.box, b.box));
@@ -165,18 +168,18 @@
     toSynced: boolean,
     message: Message,
   ): void {
-    const told = listeners.filter(([, entry]) => entry.synced === toSynced);
-    if (told.length === 0) return;
+    const receivers = listeners.filter(([, entry]) => entry.synced === toSynced);
+    if (receivers.length === 0) return;
     ControlConnection.broadcast(
-      told.map(([connection]) => connection),
+      receivers.map(([connection]) => connection),
       message,
     );
   }
 }
 
-function gatherMilliseconds(listeners: number): number {
-  const wanted = GATHER_PER_LISTENER_MILLISECONDS * listeners;
-  return Math.min(MAX_BATCH_DELAY_MILLISECONDS, Math.max(SHORTEST_GATHER_MILLISECONDS, wanted));
+function batchDelayMilliseconds(listeners: number): number {
+  const wanted = BATCH_DELAY_PER_LISTENER_MILLISECONDS * listeners;
+  return Math.min(MAX_BATCH_DELAY_MILLISECONDS, Math.max(MIN_BATCH_DELAY_MILLISECONDS, wanted));
 }
 
 function isSame(a: EntryAddress, b: EntryAddress | undefined): boolean {
--- a/src/staging/stageQueue.ts
+++ b/src/staging/stageQueue.ts
@@ -1,4 +1,4 @@
-/** The versions on their way to this box, oldest first. */
+/** The versions that this box is loading, oldest first. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { ManifestReader } from './manifestReader.js';
@@ -6,15 +6,15 @@
 import { VersionStage, rolloutName } from './versionStage.js';
 import { isWorthFinishing } from './worthFinishing.js';
 
-/** A version to bring into service. */
+/** A version to load and serve. */
 export interface TargetVersion {
   model: string;
   version: number;
-  /** Monotonic milliseconds at which it was named. */
+  /** Monotonic milliseconds at which it was announced. */
   announcedAt: number;
 }
 
-/** What the queue works with. */
+/** Options of a {@link StageQueue}. */
 export interface StageQueueOptions extends Pick<
   VersionStageOptions,
   'services' | 'stagingArea' | 'staged' | 'clock' | 'log' | 'bytesPerSecond'
@@ -22,9 +22,9 @@
   manifests: ManifestReader;
   log: EventLog;
   members: () => readonly Member[];
-  /** Time after its naming in which a version has to take the place of older ones. */
+  /** Time from its announcement within which a version has to replace older ones. */
   versionMilliseconds: number;
-  /** A stage was opened. */
+  /** Called when a stage has been opened. */
   onOpened: () => void;
 }
 
@@ -32,19 +32,19 @@
   private readonly _options: StageQueueOptions;
   private _stages: VersionStage[] = [];
   private _target: TargetVersion | undefined;
-  private _reading = new AbortController();
-  private _first = true;
+  private _manifestReading = new AbortController();
+  private _isFirst = true;
 
   constructor(options: StageQueueOptions) {
     this._options = options;
   }
 
-  /** The model that this box serves, '' while unknown. */
+  /** The model that this box serves; empty while unknown. */
   get model(): string {
     return this._target?.model ?? '';
   }
 
-  /** The newest version that is wanted, 0 while unknown. */
+  /** The newest wanted version; 0 while unknown. */
   get wantedVersion(): number {
     return this._target?.version ?? 0;
   }
@@ -53,12 +53,12 @@
     return this._stages;
   }
 
-  /** Whether a version comes so slowly that the link must be narrow. */
+  /** Whether a version arrives so slowly that the link must be slow. */
   get isSlow(): boolean {
     return this._stages.some((stage) => stage.isSlow);
   }
 
-  /** The oldest stage of a version newer than `version`. */
+  /** Returns the oldest stage of a version newer than `version`. */
   nextAfter(version: number): VersionStage | undefined {
     return this._stages.find((stage) => stage.version > version);
   }
@@ -75,38 +75,38 @@
     return this._stages.find((stage) => stage.exchange.rollout === rollout);
   }
 
-  /** Takes a target if it is newer than the one before. */
+  /** Sets the target if it is newer than the current one, and opens a stage for it. */
   setTarget(target: TargetVersion): void {
     if (this._target && target.version <= this._target.version) return;
     this._target = target;
-    this._reading.abort();
-    this._reading = new AbortController();
+    this._manifestReading.abort();
+    this._manifestReading = new AbortController();
     this._options.log.state('version.wanted', { model: target.model, version: target.version });
     this.dropSuperseded();
-    void this._open(target, this._reading.signal);
+    void this._open(target, this._manifestReading.signal);
   }
 
-  /** Drops versions that are not worth finishing, since a newer one has been named. */
+  /** Drops incomplete versions that are not worth finishing now that a newer one is wanted. */
   dropSuperseded(): void {
     for (const stage of this._stages) {
       if (!stage.complete && !this._isWorthFinishing(stage)) this._drop(stage);
     }
   }
 
-  /** Drops what is older than the version in service. */
+  /** Drops versions older than `version`, which is in service. */
   dropOlderThan(version: number): void {
     for (const stage of this._stages) {
       if (stage.version < version) this._drop(stage);
     }
   }
 
-  /** Takes over a change of the members of the service. */
+  /** Passes the current members of the service to all stages. */
   updateMembers(): void {
     for (const stage of this._stages) stage.updateMembers(this._options.members());
   }
 
   close(): void {
-    this._reading.abort();
+    this._manifestReading.abort();
     for (const stage of this._stages) this._drop(stage);
   }
 
@@ -127,14 +127,14 @@
     });
   }
 
-  /** Whether all older versions are here or cannot go on, so that `version` may take the link. */
+  /** Whether no older version is fetching any more, so that `version` may use the link. */
   private _mayFetch(version: number): boolean {
     return this._stages.every(
       (stage) => stage.version >= version || stage.complete || !stage.exchange.isFetching,
     );
   }
 
-  /** Whether this box has drawn its part of all older versions, so that `version` may have the origin's link. */
+  /** Whether this box has no open downloads of older versions, so that `version` may use the origin's link. */
   private _mayDraw(version: number): boolean {
     return this._stages.every((stage) => stage.version >= version || stage.exchange.openDraws.length === 0);
   }
@@ -163,8 +163,8 @@
       mayDraw: () => this._mayDraw(version),
     });
     this._stages.push(stage);
-    const adopt = this._first;
-    this._first = false;
+    const adopt = this._isFirst;
+    this._isFirst = false;
     log.state('version.staging', {
       model,
       version,
--- a/src/staging/stagedChunks.ts
+++ b/src/staging/stagedChunks.ts
@@ -1,48 +1,48 @@
 /**
- * What lies staged from an earlier life of this process, read while it is not known yet which version is wanted: after a loss
- * of power all entries start as well, and an agent hears from them only when they do.
+ * Reads the chunks that an earlier run of this process has staged, before the agent knows the wanted version. After
+ * a power loss the entries start at the same time, and the agent learns the version only once one of them is up.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import { errorText } from '../utils/stepError.js';
 import type { LocalBackend } from './localBackend.js';
 
-/** A chunk as it lay there when it was asked for at `readAt`, in monotonic milliseconds. */
+/** A staged chunk whose reading began at `readAt`, in monotonic milliseconds. */
 export interface StagedChunk {
   chunk: number;
   data: Buffer;
   readAt: number;
 }
 
-/** What the reading works with. */
+/** Options of {@link StagedChunks}. */
 export interface StagedChunksOptions {
   backend: Pick<LocalBackend, 'stagedChunks' | 'getChunk'>;
-  /** Models of which a version has been named; rejects where that cannot be found out. */
+  /** Returns the models with an announced version; rejects if these cannot be read. */
   models: () => Promise<readonly string[]>;
   clock: Clock;
   log: EventLog;
 }
 
-/** Chunks that are read at the same time: one is checked while the next one is on its way. */
-const LANES = 2;
+/** Chunks that are read concurrently, so that one is processed while the next one arrives. */
+const READ_CONCURRENCY = 2;
 
 export class StagedChunks {
   private readonly _options: StagedChunksOptions;
-  private readonly _read = new Map<string, Promise<readonly StagedChunk[]>>();
+  private readonly _readings = new Map<string, Promise<readonly StagedChunk[]>>();
 
   constructor(options: StagedChunksOptions) {
     this._options = options;
   }
 
-  /** Begins to read. */
+  /** Starts reading. */
   start(): void {
     void this._readAll();
   }
 
-  /** All that lies staged of `model`, and lets go of what was read of the others. Rejects when it cannot be read. */
+  /** Returns all staged chunks of `model` and releases those of other models. Rejects if they cannot be read. */
   async take(model: string): Promise<readonly StagedChunk[]> {
     const reading = this._readOnce(model);
-    this._read.clear();
+    this._readings.clear();
     return await reading;
   }
 
@@ -51,33 +51,33 @@
     try {
       for (const model of await models()) await this._readOnce(model);
     } catch (error) {
-      // read again when a version of the model is wanted
-      this._read.clear();
+      // They are read again when a version of the model is wanted.
+      this._readings.clear();
       log.decision('chunks.not-read', { reason: errorText(error) });
     }
   }
 
   private async _readOnce(model: string): Promise<readonly StagedChunk[]> {
-    let reading = this._read.get(model);
+    let reading = this._readings.get(model);
     if (!reading) {
       reading = this._readModel(model);
-      this._read.set(model, reading);
+      this._readings.set(model, reading);
     }
     return await reading;
   }
 
   private async _readModel(model: string): Promise<readonly StagedChunk[]> {
     const { backend, clock } = this._options;
-    const left = (await backend.stagedChunks(model)).values();
+    const remaining = (await backend.stagedChunks(model)).values();
     const found: StagedChunk[] = [];
-    const readLane = async (): Promise<void> => {
-      for (const chunk of left) {
+    const readRemaining = async (): Promise<void> => {
+      for (const chunk of remaining) {
         const readAt = clock.now();
         const data = await backend.getChunk(model, chunk);
         if (data) found.push({ chunk, data, readAt });
       }
     };
-    await Promise.all(Array.from({ length: LANES }, readLane));
+    await Promise.all(Array.from({ length: READ_CONCURRENCY }, readRemaining));
     return found;
   }
 }
--- a/src/staging/stagingArea.ts
+++ b/src/staging/stagingArea.ts
@@ -1,7 +1,8 @@
 /**
- * The place before the backend server, into which chunks are laid: it holds one copy of a model, of whichever version, and has one
- * holder at a time. Another version gets it only when no write or order of the holder can follow: a server that started again was
- * ordered to take an older version while chunks of a newer one went on being laid, and took some of these among its own.
+ * The staging area of the backend server: it has room for one copy of a model and is owned by one version at a
+ * time. Another version acquires it only when no write or order of the owner can still be executed. Without this
+ * rule, a restarted server that was ordered to load an older version loaded chunks of a newer version with it,
+ * which were still being staged.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
@@ -9,7 +10,7 @@
 import type { LocalBackend, OrderOutcome } from './localBackend.js';
 import { CONNECTION_REFUSED } from './localBackend.js';
 
-/** What the place works with. */
+/** Options of a {@link StagingArea}. */
 export interface StagingAreaOptions {
   backend: Pick<LocalBackend, 'putChunk' | 'getChunk' | 'startVersion'>;
   clock: Clock;
@@ -17,99 +18,113 @@
 }
 
 /**
- * A call that was given up without an answer may still be carried out, by a server that stood still. When it answers again, it
- * reads what came on its other connections within milliseconds; this leaves it a hundred times as long.
+ * A server that was paused may still execute a call that was given up without an answer. Once it answers again, it
+ * reads the data of its other connections within milliseconds; this delay is about a hundred times as long.
  */
-const SETTLING_MILLISECONDS = 1_000;
+const LATE_EXECUTION_MILLISECONDS = 1_000;
 
 export class StagingArea {
   private readonly _options: StagingAreaOptions;
-  private _holder = 0;
-  private _heldSince = Number.NEGATIVE_INFINITY;
-  /** Writes that have not ended; these promises never reject. */
-  private readonly _underWay = new Set<Promise<void>>();
-  /** Whether a call of the holder was given up that may still be carried out. */
-  private _isUnsettled = false;
-  /** Monotonic milliseconds from which on it cannot be any more; infinite until the server has answered since. */
-  private _settledAt = Number.POSITIVE_INFINITY;
+  private _owner = 0;
+  private _ownedSince = Number.NEGATIVE_INFINITY;
+  /** Running writes; these promises never reject. */
+  private readonly _runningWrites = new Set<Promise<void>>();
+  /** Whether a call of the owner was given up without an answer. */
+  private _callGivenUp = false;
+  /**
+   * Monotonic milliseconds from which that call can no longer be executed; infinite until the server has answered
+   * since.
+   */
+  private _safeAt = Number.POSITIVE_INFINITY;
 
   constructor(options: StagingAreaOptions) {
     this._options = options;
   }
 
-  /** The version whose chunks may be laid, 0 while none ever was. */
+  /** The version whose chunks may be staged; 0 if there is none yet. */
   get owner(): number {
-    return this._holder;
+    return this._owner;
   }
 
-  /** Monotonic milliseconds from which on the holder's chunks alone were laid; minus infinity for the first holder. */
+  /**
+   * Monotonic milliseconds since which only chunks of the owner have been staged; minus infinity for the first
+   * owner.
+   */
   get ownedSince(): number {
-    return this._heldSince;
+    return this._ownedSince;
   }
 
-  /** Whether a write or an order of the holder may still be carried out, though nobody waits for it any more. */
+  /** Whether the server may still execute a write or an order of the owner that was given up without an answer. */
   get hasUncertainCall(): boolean {
-    return this._isUnsettled && this._options.clock.now() < this._settledAt;
+    return this._callGivenUp && this._options.clock.now() < this._safeAt;
   }
 
-  /** Gives the place to `version` once no write of its holder is under way; whether it has it. */
+  /**
+   * Makes `version` the owner once no write of the current owner is running. Returns whether it is the owner; false
+   * while a call that was given up may still be executed.
+   */
   async acquire(version: number): Promise<boolean> {
-    if (version === this._holder) return true;
+    if (version === this._owner) return true;
     if (this.hasUncertainCall) return false;
     const { clock, log } = this._options;
-    const former = this._holder;
-    this._holder = 0;
-    await Promise.all(this._underWay);
+    const former = this._owner;
+    this._owner = 0;
+    await Promise.all(this._runningWrites);
     if (this.hasUncertainCall) {
-      this._holder = former;
+      this._owner = former;
       return false;
     }
-    this._holder = version;
+    this._owner = version;
     if (former === 0) return true;
-    this._heldSince = clock.now();
+    this._ownedSince = clock.now();
     log.state('place.given', { version, former });
     return true;
   }
 
-  /** Lays a chunk of `version`, which must be the holder. Throws when it is not, and a StepError when the chunk may not lie there. */
+  /**
+   * Stages a chunk of `version`. Throws an Error if the version is not the owner, and a StepError if the chunk may
+   * not have been staged.
+   */
   async write(model: string, version: number, chunk: number, data: Buffer): Promise<void> {
-    if (version !== this._holder) throw new Error(`version ${version} does not hold the staging place`);
+    if (version !== this._owner) throw new Error(`version ${version} does not own the staging area`);
     const write = this._options.backend.putChunk(model, chunk, data);
-    const ended = write.catch((error) => this._onFailed(error)).finally(() => this._underWay.delete(ended));
-    this._underWay.add(ended);
+    const ended = write
+      .catch((error) => this._onFailed(error))
+      .finally(() => this._runningWrites.delete(ended));
+    this._runningWrites.add(ended);
     await write;
   }
 
-  /** What lies there; undefined when nothing does. */
+  /** Returns a staged chunk; undefined if there is none. */
   async read(model: string, chunk: number): Promise<Buffer | undefined> {
     return await this._options.backend.getChunk(model, chunk);
   }
 
-  /** Orders the server to take the holder's version; refused when its revision is no longer `revision`. */
+  /** Orders the server to load the owner's version; refused if the server's revision is not `revision`. */
   async order(model: string, revision: number): Promise<OrderOutcome> {
-    const outcome = await this._options.backend.startVersion(model, this._holder, revision);
-    if (outcome === 'unknown') this._unsettle();
+    const outcome = await this._options.backend.startVersion(model, this._owner, revision);
+    if (outcome === 'unknown') this._onCallGivenUp();
     return outcome;
   }
 
-  /** The server has answered something else: what was given up is carried out soon or never. */
+  /** Records that the server has answered another call: it executes calls that were given up soon or never. */
   onAnswer(): void {
-    if (!this._isUnsettled || this._settledAt < Number.POSITIVE_INFINITY) return;
-    this._settledAt = this._options.clock.now() + SETTLING_MILLISECONDS;
+    if (!this._callGivenUp || this._safeAt < Number.POSITIVE_INFINITY) return;
+    this._safeAt = this._options.clock.now() + LATE_EXECUTION_MILLISECONDS;
   }
 
-  /** The server has ended: what was sent to it is gone with that. */
+  /** Records that the server process has ended, and all calls to it with it. */
   onServerExit(): void {
-    this._isUnsettled = false;
+    this._callGivenUp = false;
   }
 
-  /** Where nothing listens nothing was written; any other failure leaves that open. */
+  /** A refused connection means that nothing was written; after any other failure that is unknown. */
   private _onFailed(error: unknown): void {
-    if (errorCode((error as Error).cause) !== CONNECTION_REFUSED) this._unsettle();
+    if (errorCode((error as Error).cause) !== CONNECTION_REFUSED) this._onCallGivenUp();
   }
 
-  private _unsettle(): void {
-    this._isUnsettled = true;
-    this._settledAt = Number.POSITIVE_INFINITY;
+  private _onCallGivenUp(): void {
+    this._callGivenUp = true;
+    this._safeAt = Number.POSITIVE_INFINITY;
   }
 }
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -1,4 +1,4 @@
-/** An agent that brings versions to the backend server of its box: everything it is made of, put together. */
+/** The agent of a box, which loads versions into its backend server. Creates and connects all components. */
 import type { Origin } from '../external/origin.js';
 import { httpToken } from '../protocol/authentication.js';
 import type {
@@ -48,87 +48,87 @@
 import { VersionReconciler } from './versionReconciler.js';
 import { WatchedOrigin } from './watchedOrigin.js';
 
-/** What an agent is built from beside its settings. */
+/** What an agent needs besides its settings. */
 export interface StagingDependencies {
   backend: LocalBackend;
-  /** Models of which a version has been named, as the platform has it; rejects where that cannot be found out. */
+  /** Returns the models with an announced version, as the platform lists them; rejects if these cannot be read. */
   namedModels: () => Promise<readonly string[]>;
-  /** The origin at an address (host:port). */
+  /** Creates a client of the origin at an address (host:port). */
   originAt: (address: string) => Origin;
   log: EventLog;
   exchangeLogger: Logger;
 }
 
-/** Few, so that requests to the backend server find the incoming link free. */
+/** Few, so that the incoming link stays free for requests to the backend server. */
 const FETCHES_AT_ONCE = 3;
-/** Longer than a chunk takes on a link that is well, several times shorter than on one that is squeezed. */
+/** Longer than a chunk takes on a working link, and several times shorter than on a throttled one. */
 const IMPORT_STEP_MILLISECONDS = 600;
 const STALL_MILLISECONDS = 1_500;
-/** Written at a time, so that an event of a stream waits some tens of milliseconds at most. */
+/** Bytes that an upload writes at once, so that an event of a stream waits some tens of milliseconds at most. */
 const BLOCK_BYTES = 8 * 1024;
 const METRICS_PATH = '/metrics';
 const STATUS_INTERVAL_MILLISECONDS = 250;
 
 export class StagingDaemon {
   private readonly _settings: StagingSettings;
-  private readonly _parts: StagingDependencies;
+  private readonly _deps: StagingDependencies;
   private readonly _clock = new SystemClock();
   private readonly _log: EventLog;
   private readonly _peers: AgentPeers;
-  private readonly _messages: PeerMessages;
-  private readonly _staged: StagedChunks;
-  private readonly _place: StagingArea;
+  private readonly _peerMessages: PeerMessages;
+  private readonly _stagedChunks: StagedChunks;
+  private readonly _stagingArea: StagingArea;
   private readonly _stages: StageQueue;
   private readonly _reconciler: VersionReconciler;
   private readonly _control: ControlServer;
-  private readonly _chunks: ChunkServer;
+  private readonly _chunkServer: ChunkServer;
   private readonly _metricsServer: MetricsServer;
   private readonly _statusSender: StatusSender;
   private readonly _entries: ConnectedEntries;
-  private readonly _heard = new HeardVersions(this._clock);
-  private readonly _notices = new SwitchStateBroadcaster({
+  private readonly _heardVersions = new HeardVersions(this._clock);
+  private readonly _switchStates = new SwitchStateBroadcaster({
     state: () => this._switchState(),
     send: (boxes, state) => this._peers.broadcast(boxes, state),
   });
-  /** All boxes of the service, this one included. */
+  /** All boxes of the service, including this one. */
   private _members: Member[] = [];
-  /** The boxes that take turns at switching, this one included. */
-  private _group: readonly Member[] = [];
+  /** The boxes that take turns at switching, including this one. */
+  private _switchMembers: readonly Member[] = [];
   private _origin: WatchedOrigin | undefined;
   private _originAddress = '';
   private _agentsRevision = 0;
   private _statusTimer: NodeJS.Timeout | undefined;
 
-  constructor(settings: StagingSettings, parts: StagingDependencies) {
+  constructor(settings: StagingSettings, deps: StagingDependencies) {
     const random = new SeededRandom(settings.seed + placementHash(settings.box));
     this._settings = settings;
-    this._parts = parts;
-    this._log = parts.log;
-    this._entries = new ConnectedEntries(settings.dataCentre, parts.log, this._clock);
+    this._deps = deps;
+    this._log = deps.log;
+    this._entries = new ConnectedEntries(settings.dataCentre, deps.log, this._clock);
     this._statusSender = new StatusSender({
       clock: this._clock,
       build: () => this._status(),
       send: (status, audience) => this._entries.broadcastStatus(status, audience),
       listeners: () => this._entries.statusListeners,
     });
-    this._messages = new PeerMessages(
+    this._peerMessages = new PeerMessages(
       () => this._stages.stages.map((stage) => stage.exchange),
       this._clock,
       (box) => this._peers.send(box, this._switchState()),
     );
-    this._peers = new AgentPeers(controlOptions(settings), random, parts.exchangeLogger, this._messages);
+    this._peers = new AgentPeers(controlOptions(settings), random, deps.exchangeLogger, this._peerMessages);
     const uploads = new UploadQueue(new RateLimiter(sendRate(settings)), STALL_MILLISECONDS, BLOCK_BYTES);
-    this._staged = new StagedChunks({
-      backend: parts.backend,
-      models: parts.namedModels,
+    this._stagedChunks = new StagedChunks({
+      backend: deps.backend,
+      models: deps.namedModels,
       clock: this._clock,
-      log: parts.log,
+      log: deps.log,
     });
-    this._place = new StagingArea({ backend: parts.backend, clock: this._clock, log: parts.log });
+    this._stagingArea = new StagingArea({ backend: deps.backend, clock: this._clock, log: deps.log });
     this._stages = this._createStages(random, uploads);
     this._reconciler = this._createReconciler();
     const priorities = new UploadPriorities(settings.dataCentre, () => this._members);
-    this._chunks = new ChunkServer({
+    this._chunkServer = new ChunkServer({
       sharedKey: settings.sharedKey,
       uploads,
       chunk: (rollout, chunk) => this._stages.findByRollout(rollout)?.chunk(chunk),
@@ -139,7 +139,7 @@
       stages: this._stages,
       reconciler: this._reconciler,
       uploads,
-      log: parts.log,
+      log: deps.log,
       entries: () => this._entries.count,
       originLostFor: () => this._origin?.lostFor ?? 0,
     });
@@ -151,24 +151,24 @@
     );
   }
 
-  /** Starts listening. Throws when a port is taken. */
+  /** Starts listening. Throws if a port is in use. */
   async start(): Promise<void> {
     const { address, controlPort, chunkPort } = this._settings;
-    await this._chunks.listen(address, chunkPort);
+    await this._chunkServer.listen(address, chunkPort);
     await this._control.listen(address, controlPort);
     await this._metricsServer.listen(address, this._settings.metricsPort);
     this._statusTimer = setInterval(() => this._statusSender.onInterval(), STATUS_INTERVAL_MILLISECONDS);
-    this._staged.start();
+    this._stagedChunks.start();
     this._reconciler.start();
     this._log.state('agent.started', { address, controlPort, chunkPort });
   }
 
-  /** Notes that the settings may have changed; all of them hold from a start to a stop, so that nothing is cut. */
+  /** Logs the request. Settings apply from start to stop, so a reload changes and interrupts nothing. */
   reload(): void {
     this._log.state('agent.reload', { applied: 'nothing that holds while the process runs' });
   }
 
-  /** Closes at once: a restarted agent takes over what lies staged. */
+  /** Closes without draining: a restarted agent takes over the staged chunks. */
   async stop(): Promise<void> {
     clearInterval(this._statusTimer);
     this._entries.stop();
@@ -176,21 +176,21 @@
     this._stages.close();
     this._peers.close();
     this._control.close();
-    this._chunks.close();
+    this._chunkServer.close();
     this._metricsServer.close();
     this._log.state('agent.stopped');
   }
 
   private _createStages(random: Random, uploads: UploadQueue): StageQueue {
-    const { _settings: settings, _parts: parts, _clock: clock } = this;
+    const { _settings: settings, _deps: deps, _clock: clock } = this;
     const token = httpToken(settings.sharedKey, settings.box);
     return new StageQueue({
-      stagingArea: this._place,
-      staged: this._staged,
+      stagingArea: this._stagingArea,
+      staged: this._stagedChunks,
       clock,
-      log: parts.log,
+      log: deps.log,
       members: () => this._members,
-      onOpened: () => this._messages.replay(),
+      onOpened: () => this._peerMessages.replay(),
       bytesPerSecond: receiveRate(settings),
       versionMilliseconds: settings.versionMilliseconds,
       manifests: new ManifestReader({
@@ -200,7 +200,7 @@
         downloaders: (rollout) => initialDownloaders(downloadOrder(rollout, this._members)),
         token,
         random,
-        log: parts.log,
+        log: deps.log,
       }),
       services: {
         box: settings.box,
@@ -221,24 +221,24 @@
         },
         clock,
         random,
-        logger: parts.exchangeLogger,
+        logger: deps.exchangeLogger,
       },
     });
   }
 
   private _createReconciler(): VersionReconciler {
-    const { _settings: settings, _parts: parts } = this;
+    const { _settings: settings, _deps: deps } = this;
     return new VersionReconciler({
       box: settings.box,
-      backend: parts.backend,
-      stagingArea: this._place,
+      backend: deps.backend,
+      stagingArea: this._stagingArea,
       stages: this._stages,
       clock: this._clock,
-      log: parts.log,
+      log: deps.log,
       versionMilliseconds: settings.versionMilliseconds,
-      members: () => this._group,
+      members: () => this._switchMembers,
       peers: (version) => this._switchPeers(version),
-      onChange: () => this._onStage(),
+      onChange: () => this._onStageChange(),
     });
   }
 
@@ -250,25 +250,25 @@
   }
 
   private _onEntryMessage(connection: ControlConnection, message: Message): void {
-    if (message.type === 'agent-list') this._takeAgents(message);
+    if (message.type === 'agent-list') this._updateAgents(message);
     if (message.type === 'server-notices') this._entries.mergeServerNotices(message.notices);
     if (message.type !== 'entry-presence') return;
     const wantsStatus = this._entries.update(connection, message);
     if (wantsStatus) {
       connection.send(this._status());
-      connection.send({ type: 'versions-heard', versions: this._heard.all() });
+      connection.send({ type: 'versions-heard', versions: this._heardVersions.all() });
     }
-    this._takeOrigin(message.origin);
-    this._takeVersions(message);
+    this._updateOrigin(message.origin);
+    this._updateVersions(message);
   }
 
-  private _takeOrigin(address: string): void {
+  private _updateOrigin(address: string): void {
     if (address === '' || address === this._originAddress) return;
     this._originAddress = address;
-    this._origin = new WatchedOrigin(this._parts.originAt(address), this._clock, this._parts.log);
+    this._origin = new WatchedOrigin(this._deps.originAt(address), this._clock, this._deps.log);
   }
 
-  private _takeAgents({ agents, revision }: AgentList): void {
+  private _updateAgents({ agents, revision }: AgentList): void {
     if (revision < this._agentsRevision) return;
     this._agentsRevision = revision;
     const members = agents.map((agent) => this._memberOf(agent));
@@ -276,11 +276,11 @@
     this._members = members;
     const connected = connectedPeers(this._settings.box, members);
     const boxes = connected.map(({ box }) => box);
-    this._group = switchGroup(this._settings.box, members);
+    this._switchMembers = switchGroup(this._settings.box, members);
     this._peers.want(connected);
-    this._messages.setPeers(boxes);
+    this._peerMessages.setPeers(boxes);
     this._stages.updateMembers();
-    this._notices.setRecipients(boxes);
+    this._switchStates.setRecipients(boxes);
   }
 
   private _memberOf(agent: AgentAddress): Member {
@@ -289,25 +289,24 @@
     return { box: agent.box, dataCentre: agent.dataCentre, address, httpPort: chunkPort, controlPort };
   }
 
-  private _takeVersions(presence: EntryPresence): void {
-    const updates = this._heard.merge(presence.heard ?? []);
-    if (updates.length > 0)
-      this._entries.broadcastToStatusListeners({ type: 'versions-heard', versions: updates });
+  private _updateVersions(presence: EntryPresence): void {
+    const added = this._heardVersions.merge(presence.heard ?? []);
+    if (added.length > 0) this._entries.sendToStatusListeners({ type: 'versions-heard', versions: added });
     for (const { model, version, knownMilliseconds } of presence.wanted) {
       this._stages.setTarget({ model, version, announcedAt: this._clock.now() - knownMilliseconds });
     }
   }
 
-  /** Tells the other boxes and the entries when this box comes to another stage. */
-  private _onStage(): void {
+  /** Sends the stage of this box to the other boxes and its status to the entries if they have changed. */
+  private _onStageChange(): void {
     this._statusSender.onChange();
-    this._notices.onStageChange();
+    this._switchStates.onStageChange();
   }
 
-  /** Where the other boxes of the group stand on the way to `version`. */
+  /** Returns the stages of the other boxes of the group with respect to `version`. */
   private _switchPeers(version: number): SwitchPeer[] {
-    const boxes = new Set(this._group.map((member) => member.box));
-    return this._messages.stages(version).filter((peer) => boxes.has(peer.box));
+    const boxes = new Set(this._switchMembers.map((member) => member.box));
+    return this._peerMessages.stages(version).filter((peer) => boxes.has(peer.box));
   }
 
   private _switchState(): SwitchState {
--- a/src/staging/stagingMetrics.ts
+++ b/src/staging/stagingMetrics.ts
@@ -1,4 +1,4 @@
-/** The figures of an agent. */
+/** The metrics of an agent. */
 import { addControlGauges } from '../protocol/controlGauges.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import { ServingMetrics } from '../telemetry/servingMetrics.js';
@@ -7,19 +7,19 @@
 import type { StageQueue } from './stageQueue.js';
 import type { VersionReconciler } from './versionReconciler.js';
 
-/** What the figures are read from. */
+/** Sources that the metrics are read from. */
 export interface StagingMetricSources {
   stages: StageQueue;
   reconciler: VersionReconciler;
   uploads: UploadQueue;
   log: EventLog;
-  /** Entries that are connected. */
+  /** Number of connected entries. */
   entries: () => number;
-  /** Milliseconds for which the origin has answered nothing. */
+  /** Milliseconds for which the origin has not answered. */
   originLostFor: () => number;
 }
 
-/** Figures of the newest version on its way, and of the process. */
+/** Creates the metrics of the newest version that is being loaded, and of the process. */
 export function stagingMetrics({
   stages,
   reconciler,
--- a/src/staging/switchTurn.ts
+++ b/src/staging/switchTurn.ts
@@ -1,13 +1,13 @@
-/** Decides when a box may begin to switch versions, so that enough others serve meanwhile. Pure. */
+/** Decides when a box may begin to switch versions, so that enough other boxes serve meanwhile. Pure functions. */
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 
 /**
- * Where a box stands on the way to a version: `staged` when it is whole or nearly so, `preparing` when it gets fewer
- * requests, `switching` when it gets none.
+ * Stage of a box with respect to a version: `staged` once the version is complete or nearly so, `preparing` while
+ * entries send the box fewer requests, `switching` while they send it none.
  */
 export type SwitchStage = 'staging' | 'staged' | 'preparing' | 'switching' | 'serving';
 
-/** One box of the service. */
+/** Another box of the service, and the stage that it last reported. */
 export interface SwitchPeer {
   box: string;
   stage: SwitchStage;
@@ -15,85 +15,96 @@
   stageMilliseconds: number;
 }
 
-/** What a turn depends on. */
+/** Input of {@link maySwitch}. */
 export interface SwitchSituation {
   box: string;
   /** All other boxes of the service that are connected. */
   peers: readonly SwitchPeer[];
   /** All boxes in the order in which they switch. */
   order: readonly string[];
-  /** Milliseconds until no request may begin on an older version. */
+  /** Milliseconds until the deadline after which no request may begin on an older version. */
   leftMilliseconds: number;
 }
 
-/** How long a box prepares: about half of the streams that it holds end meanwhile and need not be handed over. */
+/** How long a box prepares. About half of its streams end in this time and need not be handed over. */
 export const PREPARING_MILLISECONDS = 450;
-/** From the beginning of the preparation to serving the new version, as measured on the users' bench. */
+/** Time from the start of the preparation until the box serves the new version, on the users' bench. */
 const TURN_MILLISECONDS = 1_100;
-/** The last box begins this long before the bound, so that it is nearly back when entries send no more to the older version. */
-const LAST_CALL_MILLISECONDS = LAST_SEND_MARGIN_MILLISECONDS + 300;
-/** Largest part of the boxes that take their turns at the same time while there is time left. */
-const LARGEST_SHARE = 0.4;
-/** A box that has not taken its turn for so long may be dead: the next one goes on. */
+/**
+ * Time before the deadline at which a box begins whatever the others do, so that it is nearly back in service when
+ * entries stop sending requests to the older version.
+ */
+const FORCED_START_MILLISECONDS = LAST_SEND_MARGIN_MILLISECONDS + 300;
+/** Largest share of the boxes that switch at the same time while there is time left. */
+const MAX_SWITCHING_SHARE = 0.4;
+/** A box that has not begun its turn within this time may be dead, and the next one begins. */
 const MISSED_TURN_MILLISECONDS = 400;
-/** Longest time between two boxes that begin. */
-const LONGEST_GAP_MILLISECONDS = 250;
-/** A turn that takes so long is stuck, and keeps nobody else waiting. */
+/** Longest time between the starts of two boxes. */
+const MAX_GAP_MILLISECONDS = 250;
+/** A turn that takes longer than this is stuck, and other boxes no longer wait for it. */
 const STUCK_MILLISECONDS = 3_000;
 
 /**
- * Whether `box`, which is whole or nearly so, may begin its turn. As few boxes as the time left allows take their turns
- * at the same time, and they begin one after the other, so that the streams that they hand over do not meet on the
- * others all at once.
+ * Whether `box`, which has the version completely or nearly so, may begin its turn. As few boxes as the remaining
+ * time allows switch at the same time. They begin one after the other, so that the streams they hand over do not
+ * reach the other boxes all at once.
  */
 export function maySwitch(situation: SwitchSituation): boolean {
   const { box, peers, order, leftMilliseconds } = situation;
-  const spare = leftMilliseconds - LAST_CALL_MILLISECONDS;
-  if (spare <= 0) return true;
-  const busy = peers.filter(isTakingItsTurn);
+  const spareMilliseconds = leftMilliseconds - FORCED_START_MILLISECONDS;
+  if (spareMilliseconds <= 0) return true;
+  const switching = peers.filter(isSwitching);
   const waiting = peers.filter((peer) => peer.stage === 'staged' || peer.stage === 'staging').length + 1;
-  if (busy.length >= placesFor(waiting, spare, peers.length + 1)) return false;
+  if (switching.length >= concurrentSwitches(waiting, spareMilliseconds, peers.length + 1)) return false;
   const rank = order.indexOf(box);
   const before = peers.filter((peer) => peer.stage === 'staged' && order.indexOf(peer.box) < rank);
-  const gap = Math.min(LONGEST_GAP_MILLISECONDS, spare / waiting);
+  const gap = Math.min(MAX_GAP_MILLISECONDS, spareMilliseconds / waiting);
   const least = before.length > 0 ? gap + MISSED_TURN_MILLISECONDS : gap;
-  return [...busy, ...before].every((peer) => startedFor(peer) >= least);
+  return [...switching, ...before].every((peer) => turnDuration(peer) >= least);
 }
 
-/** How many boxes have to take their turns at the same time so that all that wait make it. */
-function placesFor(waiting: number, spareMilliseconds: number, boxes: number): number {
+/** Returns how many boxes have to switch at the same time so that all waiting boxes switch in time. */
+function concurrentSwitches(waiting: number, spareMilliseconds: number, boxes: number): number {
   const needed = Math.ceil((waiting * TURN_MILLISECONDS) / spareMilliseconds);
-  const most = Math.max(1, Math.floor(boxes * LARGEST_SHARE));
+  const most = Math.max(1, Math.floor(boxes * MAX_SWITCHING_SHARE));
   return Math.min(needed, most);
 }
 
-function isTakingItsTurn(peer: SwitchPeer): boolean {
-  return startedFor(peer) < STUCK_MILLISECONDS && (peer.stage === 'preparing' || peer.stage === 'switching');
+function isSwitching(peer: SwitchPeer): boolean {
+  return (
+    turnDuration(peer) < STUCK_MILLISECONDS && (peer.stage === 'preparing' || peer.stage === 'switching')
+  );
 }
 
-/** Milliseconds since the peer's turn began, or since it has been waiting for it. */
-function startedFor({ stage, stageMilliseconds }: SwitchPeer): number {
+/** Milliseconds since the peer began its turn, or since it started to wait for it. */
+function turnDuration({ stage, stageMilliseconds }: SwitchPeer): number {
   return stage === 'switching' ? stageMilliseconds + PREPARING_MILLISECONDS : stageMilliseconds;
 }
 
-/** How a server stands whose entries have been told that it is about to switch. */
+/** A server whose entries have been notified that it is about to switch. */
 export interface SwitchNotice {
-  /** Milliseconds since they were told. */
+  /** Milliseconds since the entries were notified. */
   noticeMilliseconds: number;
-  /** Requests that the server has and has not begun. */
+  /** Requests that wait at the server and have not begun. */
   waiting: number;
 }
 
-/** Time in which entries hear the notice, and requests that crossed it arrive: some 20 ms each, with a margin. */
-const SHORTEST_NOTICE_MILLISECONDS = 100;
-/** Time in which requests that crossed the notice have begun but for a few; waiting longer would cost too much. */
-const LONGEST_NOTICE_MILLISECONDS = 300;
+/**
+ * Time until entries have received the notice and requests sent before that have arrived: about 20 ms each, with a
+ * margin.
+ */
+const MIN_NOTICE_MILLISECONDS = 100;
+/**
+ * Time until all but a few of the requests that were sent before the notice arrived have begun. Waiting longer
+ * would shorten the service too much.
+ */
+const MAX_NOTICE_MILLISECONDS = 300;
 
 /**
- * Whether the server may be ordered to take its next version. A request that has not begun by then would begin later if
- * anything holds the box up at this moment, and that may be after the bound of its version.
+ * Whether the server may be ordered to load its next version. A request that still waits then begins late if the
+ * box is delayed at this moment, possibly after the deadline of its version.
  */
 export function mayOrder({ noticeMilliseconds, waiting }: SwitchNotice): boolean {
-  if (noticeMilliseconds >= LONGEST_NOTICE_MILLISECONDS) return true;
-  return waiting === 0 && noticeMilliseconds >= SHORTEST_NOTICE_MILLISECONDS;
+  if (noticeMilliseconds >= MAX_NOTICE_MILLISECONDS) return true;
+  return waiting === 0 && noticeMilliseconds >= MIN_NOTICE_MILLISECONDS;
 }
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -1,4 +1,4 @@
-/** Brings the backend server of this box to the wanted versions, again and again until it is there. */
+/** Brings the backend server of this box to the wanted versions, and retries until it serves the newest one. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 import type { EventLog } from '../telemetry/eventLog.js';
@@ -16,7 +16,7 @@
 import { PREPARING_MILLISECONDS, maySwitch, mayOrder } from './switchTurn.js';
 import type { VersionStage } from './versionStage.js';
 
-/** What the reconciler works with. */
+/** Options of a {@link VersionReconciler}. */
 export interface VersionReconcilerOptions {
   box: string;
   backend: LocalBackend;
@@ -26,33 +26,33 @@
   log: EventLog;
   versionMilliseconds: number;
   members: () => readonly Member[];
-  /** Where the other boxes stand on the way to `version`. */
+  /** Returns the stages of the other boxes with respect to `version`. */
   peers: (version: number) => SwitchPeer[];
-  /** The stage of this box, or what its backend server says, has changed. */
+  /** Called when the stage of this box or the status of its backend server may have changed. */
   onChange: () => void;
 }
 
-/** An order that has shown no effect for so long, though the backend server does nothing, is given again. */
-const IDLE_ORDER_MILLISECONDS = 300;
-/** The same while the backend server is busy. */
-const BUSY_ORDER_MILLISECONDS = 6_000;
+/** An order is repeated if it has had no effect for this long although the backend server is idle. */
+const IDLE_ORDER_TIMEOUT_MILLISECONDS = 300;
+/** An order is repeated if it has had no effect for this long while the backend server is busy. */
+const BUSY_ORDER_TIMEOUT_MILLISECONDS = 6_000;
 const RETRY_MILLISECONDS = 100;
-/** A box that prepares and is not whole after this long gives its turn back. */
-const LONGEST_PREPARATION_MILLISECONDS = 1_500;
+/** A box that still lacks chunks after preparing for this long gives its turn up. */
+const MAX_PREPARATION_MILLISECONDS = 1_500;
 
 export class VersionReconciler {
   private readonly _options: VersionReconcilerOptions;
   private readonly _stopped = new AbortController();
   private _status: LocalBackendStatus | undefined;
   /**
-   * Monotonic milliseconds from which on what is read from the backend server is of its present life; infinite
-   * where it does not tell when it started, so that a loss of all that lay there may have gone unnoticed.
+   * Monotonic milliseconds since which reads are known to come from the present run of the backend server; infinite
+   * if it reports no start time, since a restart that lost all staged chunks may then have gone unnoticed.
    */
-  private _lifeSeenAt = Number.POSITIVE_INFINITY;
+  private _runSeenAt = Number.POSITIVE_INFINITY;
   /** Whether nothing listens at the address of the backend server. */
   private _isGone = false;
   private _switchingTo = 0;
-  /** The version whose turn this box has taken, 0 for none. */
+  /** The version for which this box is preparing, 0 for none. */
   private _preparingFor = 0;
   private _preparingSince = 0;
   private _polledAt = Number.NEGATIVE_INFINITY;
@@ -62,32 +62,32 @@
     this._options = options;
   }
 
-  /** What the backend server last said; undefined while it has said nothing or is not there. */
+  /** The last status of the backend server; undefined if there is none or nothing listens at its address. */
   get status(): LocalBackendStatus | undefined {
     return this._isGone ? undefined : this._status;
   }
 
-  /** Whether anything is known of the backend server, be it that it is not there. */
+  /** Whether the state of the backend server is known, which includes that nothing listens at its address. */
   get knowsBackend(): boolean {
     return this._status !== undefined || this._isGone;
   }
 
-  /** The version in service, 0 when there is none. */
+  /** The version in service; 0 if there is none. */
   get servedVersion(): number {
     const model = this._options.stages.model;
     return this.status?.versions.get(model) ?? 0;
   }
 
-  /** The version on the way to which this box is, or the one in service. */
+  /** The version that this box is to serve next; if there is none, the one in service or wanted. */
   get nextVersion(): number {
-    return this._next?.version ?? Math.max(this.servedVersion, this._options.stages.wantedVersion);
+    return this._nextStage?.version ?? Math.max(this.servedVersion, this._options.stages.wantedVersion);
   }
 
   get switchStage(): SwitchStage {
     if (this._switchingTo > 0) return 'switching';
-    const next = this._next;
+    const next = this._nextStage;
     if (next && next.version === this._preparingFor) return 'preparing';
-    if (next) return this._isNearlyWhole(next) ? 'staged' : 'staging';
+    if (next) return this._isNearlyComplete(next) ? 'staged' : 'staging';
     return this.servedVersion >= this._options.stages.wantedVersion ? 'serving' : 'staging';
   }
 
@@ -100,25 +100,24 @@
   }
 
   /**
-   * The version that was ordered, until it serves; else where a server without any goes, or the lowest of the newer
-   * ones.
+   * The stage to continue with: the ordered version until it serves, then the oldest one newer than the served one.
    */
-  private get _next(): VersionStage | undefined {
+  private get _nextStage(): VersionStage | undefined {
     const { stages } = this._options;
     const ordered = stages.stageOf(this._switchingTo);
     if (ordered) return ordered;
-    return this.servedVersion > 0 ? stages.nextAfter(this.servedVersion) : this._nextOfEmpty;
+    return this.servedVersion > 0 ? stages.nextAfter(this.servedVersion) : this._nextStageOfEmptyServer;
   }
 
   /**
-   * The newest version that is whole: a server that had started again climbed all that were, three orders in place
-   * of one, each with 0.3 s without service. A call that got no answer keeps the place for its version until it
-   * cannot be carried out any more.
+   * The stage for a server without a version: the newest complete one. A restarted server that was brought to each
+   * complete version in turn got three orders instead of one, each with 0.3 s without service. While a call without
+   * an answer may still be executed, its version keeps the staging area.
    */
-  private get _nextOfEmpty(): VersionStage | undefined {
+  private get _nextStageOfEmptyServer(): VersionStage | undefined {
     const { stages, stagingArea } = this._options;
-    const held = stagingArea.hasUncertainCall ? stages.stageOf(stagingArea.owner) : undefined;
-    if (held?.complete) return held;
+    const ownerStage = stagingArea.hasUncertainCall ? stages.stageOf(stagingArea.owner) : undefined;
+    if (ownerStage?.complete) return ownerStage;
     return stages.newestComplete ?? stages.nextAfter(0);
   }
 
@@ -137,15 +136,13 @@
     }
   }
 
-  /**
-   * A box that waits for its turn looks at its peers often, and at its backend server as seldom as one that serves.
-   */
+  /** A box that waits for its turn checks its peers often, but polls its server as seldom as a serving one. */
   private _isPollDue(): boolean {
     const interval = pollInterval(this.switchStage, this._status);
     return this._options.clock.now() - this._polledAt >= interval;
   }
 
-  /** Where nothing listens nothing is served; one that does not answer in time may only be busy. */
+  /** A refused connection means that the server is gone; a server that does not answer in time may only be busy. */
   private _onUnreachable(error: unknown): void {
     const { log, onChange } = this._options;
     log.decision('backend.unreachable', { reason: errorText(error) });
@@ -161,7 +158,7 @@
     const before = this.servedVersion;
     const status = await this._options.backend.status();
     this._options.stagingArea.onAnswer();
-    this._noteLife(status);
+    this._detectRestart(status);
     this._status = status;
     this._isGone = false;
     const served = this.servedVersion;
@@ -172,17 +169,17 @@
     this._options.onChange();
   }
 
-  /** Notes which life of the backend server `status` is the word of; it becomes the last word after that. */
-  private _noteLife(status: LocalBackendStatus): void {
+  /** Compares `status` with the last one to detect a restart of the backend server. */
+  private _detectRestart(status: LocalBackendStatus): void {
     const former = this._status;
-    const isAnother = former !== undefined && hasRestarted(former, status);
-    if (isAnother) this._onAnotherLife(former, status);
-    if (status.startedAt === 0) this._lifeSeenAt = Number.POSITIVE_INFINITY;
-    else if (isAnother || former === undefined) this._lifeSeenAt = this._options.clock.now();
+    const isRestarted = former !== undefined && hasRestarted(former, status);
+    if (isRestarted) this._onRestart(former, status);
+    if (status.startedAt === 0) this._runSeenAt = Number.POSITIVE_INFINITY;
+    else if (isRestarted || former === undefined) this._runSeenAt = this._options.clock.now();
   }
 
-  /** Forgets the turn and the order of the former life; what lies staged is read back before each order. */
-  private _onAnotherLife(former: LocalBackendStatus, status: LocalBackendStatus): void {
+  /** Resets the turn and the order. Staged chunks are read back before each order anyway. */
+  private _onRestart(former: LocalBackendStatus, status: LocalBackendStatus): void {
     const { log, stagingArea } = this._options;
     log.state('backend.started-again', {
       ...restartLogFields(former, status),
@@ -195,52 +192,52 @@
 
   private async _reconcile(): Promise<void> {
     this._options.stages.dropSuperseded();
-    const stage = this._next;
+    const stage = this._nextStage;
     if (!stage) return;
     if (!(await stage.acquireStagingArea())) return;
-    if (this._switchingTo > 0 && !this._orderIsLost()) return;
+    if (this._switchingTo > 0 && !this._isOrderLost()) return;
     if (this.servedVersion > 0 && !this._isPrepared(stage)) return;
     if (stage.complete) await this._switch(stage);
   }
 
-  /** Whether the server may be ordered now: it has had its time without new requests, or there is none left. */
+  /** Whether the order may be sent: preparation is over, no requests are running, or there is no time left. */
   private _isPrepared(stage: VersionStage): boolean {
     const { clock, log, onChange } = this._options;
     if (this._preparingFor !== stage.version) {
-      if (!this._isNearlyWhole(stage) || !this._mayBegin(stage)) return false;
+      if (!this._isNearlyComplete(stage) || !this._mayBegin(stage)) return false;
       this._preparingFor = stage.version;
       this._preparingSince = clock.now();
       log.state('version.preparing', { version: stage.version, running: this._status?.running });
       onChange();
     }
-    const prepared = clock.now() - this._preparingSince;
-    if (!stage.complete && prepared > LONGEST_PREPARATION_MILLISECONDS) {
+    const elapsed = clock.now() - this._preparingSince;
+    if (!stage.complete && elapsed > MAX_PREPARATION_MILLISECONDS) {
       this._preparingFor = 0;
       onChange();
       return false;
     }
-    return this._status?.running === 0 || prepared >= PREPARING_MILLISECONDS || this._isLate(stage);
+    return this._status?.running === 0 || elapsed >= PREPARING_MILLISECONDS || this._isLate(stage);
   }
 
-  private _isNearlyWhole(stage: VersionStage): boolean {
+  private _isNearlyComplete(stage: VersionStage): boolean {
     return stage.expectedMilliseconds < PREPARING_MILLISECONDS;
   }
 
-  /** Whether requests may no longer begin on the version in service. */
+  /** Whether it is too late for new requests to begin on the version in service. */
   private _isLate(stage: VersionStage): boolean {
     return this._leftMilliseconds(stage) <= LAST_SEND_MARGIN_MILLISECONDS;
   }
 
-  /** Milliseconds until no request may begin on an older version than that of `stage`. */
+  /** Milliseconds until the deadline after which no request may begin on a version older than that of `stage`. */
   private _leftMilliseconds(stage: VersionStage): number {
     const { clock, versionMilliseconds } = this._options;
     return stage.announcedAt + versionMilliseconds - clock.now();
   }
 
-  /** Whether an order that was given has had no effect, so that it has to be given again. */
-  private _orderIsLost(): boolean {
+  /** Whether the last order has had no effect for so long that it has to be repeated. */
+  private _isOrderLost(): boolean {
     const waited = this._options.clock.now() - this._orderedAt;
-    return waited > (this._status?.busy ? BUSY_ORDER_MILLISECONDS : IDLE_ORDER_MILLISECONDS);
+    return waited > (this._status?.busy ? BUSY_ORDER_TIMEOUT_MILLISECONDS : IDLE_ORDER_TIMEOUT_MILLISECONDS);
   }
 
   private _mayBegin(stage: VersionStage): boolean {
@@ -259,17 +256,17 @@
     this._orderedAt = clock.now();
     const isEmpty = this.servedVersion === 0;
     if (isEmpty) onChange();
-    const beganAt = clock.now();
-    const whole = await stage.verify(this._lifeSeenAt);
-    const verifyMilliseconds = Math.round(clock.now() - beganAt);
-    if (!whole) {
+    const verifyStartedAt = clock.now();
+    const isVerified = await stage.verify(this._runSeenAt);
+    const verifyMilliseconds = Math.round(clock.now() - verifyStartedAt);
+    if (!isVerified) {
       this._switchingTo = 0;
       log.state('version.not-whole', { version: stage.version, verifyMilliseconds });
       return;
     }
     onChange();
     const status = await this._statusToOrder(isEmpty || this._isLate(stage));
-    if (!this._isAsRead(status)) {
+    if (!this._isReadingValid(status)) {
       this._switchingTo = 0;
       return;
     }
@@ -288,17 +285,18 @@
   }
 
   /**
-   * Whether what was read back still lies before the same life of the server: its revision of before the reading
-   * binds the order, since one that is read after it binds nothing.
+   * Whether the chunks that were read back are still valid: since before the reading, the server has neither
+   * restarted nor accepted an order. The order has to carry the revision from before the reading, since a later one
+   * would not exclude a change in between.
    */
-  private _isAsRead(status: LocalBackendStatus): boolean {
+  private _isReadingValid(status: LocalBackendStatus): boolean {
     const before = this._status!;
     if (isUnchanged(before, status)) return true;
     this._options.log.state('version.reading-void', restartLogFields(before, status));
     return false;
   }
 
-  /** Waits until the server may be ordered, and returns what it says of itself then. */
+  /** Waits until the order may be sent, and returns the status of the server at that moment. */
   private async _statusToOrder(isUnused: boolean): Promise<LocalBackendStatus> {
     const { backend, clock } = this._options;
     const noticedAt = clock.now();
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -1,4 +1,7 @@
-/** One version that this box brings to its backend server: chunks, draws from the origin, what lies staged. */
+/**
+ * One version that this box loads: its exchange of chunks with other boxes, its downloads from the origin and its
+ * staging at the backend server.
+ */
 import type { Manifest } from '../protocol/manifest.js';
 import type { Member, PlanMessage } from '../protocol/rolloutMessages.js';
 import type { EventLog } from '../telemetry/eventLog.js';
@@ -15,7 +18,7 @@
 import type { StagingArea } from './stagingArea.js';
 import { connectedPeers } from './switchGroup.js';
 
-/** What a stage works with. */
+/** Options of a {@link VersionStage}. */
 export interface VersionStageOptions {
   model: string;
   version: number;
@@ -26,23 +29,29 @@
   staged: StagedChunks;
   clock: Clock;
   log: EventLog;
-  /** Monotonic milliseconds at which the version was named. */
+  /** Monotonic milliseconds at which the version was announced. */
   announcedAt: number;
-  /** What the box may take of chunks. */
+  /** Rate at which the box may receive chunks. */
   bytesPerSecond: number;
-  /** Whether this version may fetch from other boxes, and draw from the origin, or leaves these to an older one. */
+  /**
+   * Whether this version may fetch from other boxes, and download from the origin; false while an older version
+   * does.
+   */
   mayFetch: () => boolean;
   mayDraw: () => boolean;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
-const DRAW_INTERVAL_MILLISECONDS = 100;
-/** How long a box that comes late waits to hear what the others hold before it draws. */
-const HEARING_MILLISECONDS = 400;
-/** A version that was named so recently is nowhere yet, so that there is nothing to wait for. */
-const NEW_VERSION_MILLISECONDS = 1_000;
+const TICK_INTERVAL_MILLISECONDS = 100;
+/**
+ * How long a box that joins late waits for the other boxes to report their chunks before it downloads from the
+ * origin.
+ */
+const LATE_JOIN_WAIT_MILLISECONDS = 400;
+/** A version announced within this time is at no box yet, so that a box need not wait for reports of others. */
+const NEW_VERSION_AGE_MILLISECONDS = 1_000;
 
-/** The name of a rollout: the same at every box. */
+/** Returns the name of a rollout, which is the same at all boxes. */
 export function rolloutName(model: string, version: number): string {
   return `${model}@${version}`;
 }
@@ -55,19 +64,19 @@
   readonly announcedAt: number;
   private readonly _options: VersionStageOptions;
   private readonly _stager: ChunkStager;
-  private readonly _seen = new Set<number>();
+  private readonly _handledChunks = new Set<number>();
   private readonly _startedAt: number;
   private readonly _linkRate: LinkRate;
   private _members: readonly Member[];
-  /** Boxes that draw, in all data centres and in this one, in their order. */
-  private _order: readonly string[] = [];
-  private _nearOrder: readonly string[] = [];
+  /** Boxes in the order in which they download, in all data centres and in this one. */
+  private _downloadOrder: readonly string[] = [];
+  private _localDownloadOrder: readonly string[] = [];
   private _peers: ReadonlySet<string> = new Set();
   private readonly _progress: DownloadProgress;
   private readonly _scarce = new ScarceChunks();
-  private readonly _redrawn = new Set<number>();
-  private _drawTimer: NodeJS.Timeout | undefined;
-  /** Monotonic milliseconds at which everything was here; infinite before. */
+  private readonly _downloadedAgain = new Set<number>();
+  private _tickTimer: NodeJS.Timeout | undefined;
+  /** Monotonic milliseconds at which the version became complete; infinite before. */
   private _completedAt = Number.POSITIVE_INFINITY;
 
   constructor(options: VersionStageOptions) {
@@ -87,31 +96,31 @@
       this.index,
       () => this._onChange(),
     );
-    this._orderDrawers();
+    this._updateDownloadOrders();
   }
 
   get complete(): boolean {
     return this.exchange.complete;
   }
 
-  /** Part of the chunks that are here, from 0 to 1. */
+  /** Share of the chunks that this box has, from 0 to 1. */
   get heldShare(): number {
     return this.exchange.held.count / this.index.chunkCount;
   }
 
-  /** Part of the chunks that have left the origin and are here or at a neighbour, from 0 to 1. */
+  /** Share of the chunks that this box or a neighbour has, from 0 to 1. */
   get availableShare(): number {
     return 1 - this.exchange.unseenChunks().length / this.index.chunkCount;
   }
 
-  /** Milliseconds that a whole copy takes at the rate at which the box may take chunks. */
+  /** Time to receive a whole copy at the rate that the box may use. */
   get copyMilliseconds(): number {
     return (this.index.totalBytes * MILLISECONDS_PER_SECOND) / this._options.bytesPerSecond;
   }
 
   /**
-   * Milliseconds until everything is here, if chunks go on coming as fast as they have; infinite if some are
-   * nowhere.
+   * Time until the version is complete if chunks go on arriving at the same rate; infinite while some are neither
+   * here nor at a neighbour.
    */
   get expectedMilliseconds(): number {
     if (this.complete) return 0;
@@ -121,29 +130,27 @@
     return count === 0 ? Number.POSITIVE_INFINITY : (elapsed * (size - count)) / count;
   }
 
-  /** Whether the link is narrow on which chunks come, or was until a moment ago. */
+  /** Whether chunks arrive slowly for the link, or did until a moment ago. */
   get isSlow(): boolean {
     return this._linkRate.isSlow(this._options.clock.now());
   }
 
-  /**
-   * Lets the chunks lie before the backend server from now on; false while another version's may still come there.
-   */
+  /** Acquires the staging area for this version; see {@link ChunkStager.acquireStagingArea}. */
   async acquireStagingArea(): Promise<boolean> {
     return await this._stager.acquireStagingArea();
   }
 
-  /** Opens the exchange; `adopt` takes over what lies staged from an earlier life of this process. */
+  /** Starts the exchange. With `adopt`, takes over chunks that an earlier run of this process staged. */
   async start(adopt: boolean): Promise<void> {
     this.exchange.start();
     if (adopt) await this._adopt();
-    this._drawTimer = setInterval(() => this._tick(), DRAW_INTERVAL_MILLISECONDS);
+    this._tickTimer = setInterval(() => this._tick(), TICK_INTERVAL_MILLISECONDS);
     this._tick();
   }
 
   updateMembers(members: readonly Member[]): void {
     this._members = members;
-    this._orderDrawers();
+    this._updateDownloadOrders();
     this.exchange.updateMembers(this._plan());
   }
 
@@ -152,14 +159,14 @@
     return this._options.services.store.get('', this.index.chunk(index).digest);
   }
 
-  /** Whether everything lies before the backend server as the manifest says; see {@link ChunkStager.verify}. */
-  async verify(lifeSeenAt: number): Promise<boolean> {
-    return await this._stager.verify((chunk) => this.chunk(chunk), lifeSeenAt);
+  /** Whether all staged chunks match the manifest; see {@link ChunkStager.verify}. */
+  async verify(runSeenAt: number): Promise<boolean> {
+    return await this._stager.verify((chunk) => this.chunk(chunk), runSeenAt);
   }
 
-  /** Ends all transfers and lets the chunks go. */
+  /** Stops all transfers and releases the chunks. */
   drop(): void {
-    clearInterval(this._drawTimer);
+    clearInterval(this._tickTimer);
     this._stager.stop();
     this.exchange.stop();
     this._options.services.store.release(this.exchange.rollout);
@@ -169,7 +176,7 @@
     try {
       const staged = await this._options.staged.take(this.model);
       this._stager.adopt(staged, (chunk, data) => {
-        this._seen.add(chunk);
+        this._handledChunks.add(chunk);
         this.exchange.adopt(chunk, data);
       });
     } catch (error) {
@@ -178,25 +185,25 @@
   }
 
   private _tick(): void {
-    if (this.complete) return clearInterval(this._drawTimer);
-    this._noteLink();
-    this._draw();
+    if (this.complete) return clearInterval(this._tickTimer);
+    this._recordLinkRate();
+    this._downloadMissing();
   }
 
-  private _noteLink(): void {
+  private _recordLinkRate(): void {
     const { originBytes, peerBytes, crossDataCentreBytes } = this.exchange.counts;
     const receivedBytes = originBytes + peerBytes + crossDataCentreBytes;
     this._linkRate.record(this._options.clock.now(), receivedBytes, this.exchange.fetching);
   }
 
-  /** Draws what is nowhere and whose turn is ours. */
-  private _draw(): void {
+  /** Downloads the chunks that no box has and that are assigned to this box. */
+  private _downloadMissing(): void {
     if (!this._options.mayDraw()) return;
-    this._drawScarce();
+    this._downloadScarce();
     const now = this._options.clock.now();
-    const isNew = this._startedAt - this.announcedAt < NEW_VERSION_MILLISECONDS;
-    if (!isNew && now - this._startedAt < HEARING_MILLISECONDS) return;
-    const order = this._reachable(this._order);
+    const isNew = this._startedAt - this.announcedAt < NEW_VERSION_AGE_MILLISECONDS;
+    if (!isNew && now - this._startedAt < LATE_JOIN_WAIT_MILLISECONDS) return;
+    const order = this._withoutLostPeers(this._downloadOrder);
     const unseen = this.exchange.unseenChunks();
     this._progress.update(order, unseen, now);
     const { box } = this._options.services;
@@ -206,17 +213,20 @@
     );
     this.exchange.keepDraws(due);
     const open = new Set(this.exchange.openDraws);
-    const fresh = due.filter((chunk) => !open.has(chunk));
-    if (fresh.length === 0) return;
-    this._options.log.decision('draws.begun', { version: this.version, chunks: fresh.length });
-    this.exchange.grant(fresh);
+    const added = due.filter((chunk) => !open.has(chunk));
+    if (added.length === 0) return;
+    this._options.log.decision('draws.begun', { version: this.version, chunks: added.length });
+    this.exchange.grant(added);
   }
 
-  /** Draws again what a single box with a narrow link holds, and whose turn in this data centre is ours. */
-  private _drawScarce(): void {
+  /**
+   * Downloads chunks again that only one box with a slow link has, if the turn for them in this data centre is at
+   * this box.
+   */
+  private _downloadScarce(): void {
     const now = this._options.clock.now();
     const { box } = this._options.services;
-    const order = this._reachable(this._nearOrder);
+    const order = this._withoutLostPeers(this._localDownloadOrder);
     const due = this._scarce
       .update(this.exchange.soleHolders(), now)
       .filter(({ chunk, holder, overdueMilliseconds }) => {
@@ -224,26 +234,29 @@
         return downloaderOf(others, chunk, overdueMilliseconds) === box;
       })
       .map(({ chunk }) => chunk)
-      .filter((chunk) => !this._redrawn.has(chunk));
+      .filter((chunk) => !this._downloadedAgain.has(chunk));
     if (due.length === 0) return;
-    for (const chunk of due) this._redrawn.add(chunk);
+    for (const chunk of due) this._downloadedAgain.add(chunk);
     this._options.log.decision('draws.of-scarce-chunks', { version: this.version, chunks: due.length });
     this.exchange.grant(due, true);
   }
 
-  /** Works out who draws; the orders hold until the members change. */
-  private _orderDrawers(): void {
+  /** Computes the orders of the downloaders, which hold until the members change. */
+  private _updateDownloadOrders(): void {
     const { box } = this._options.services;
     const own = this._members.find((member) => member.box === box);
-    const near = this._members.filter((member) => member.dataCentre === own?.dataCentre);
-    this._order = downloadOrder(this.exchange.rollout, this._members);
-    this._nearOrder = downloadOrder(this.exchange.rollout, near);
+    const local = this._members.filter((member) => member.dataCentre === own?.dataCentre);
+    this._downloadOrder = downloadOrder(this.exchange.rollout, this._members);
+    this._localDownloadOrder = downloadOrder(this.exchange.rollout, local);
     const peers = connectedPeers(box, this._members);
     this._peers = new Set(peers.map((member) => member.box));
   }
 
-  /** The order without lost peers, unless so many are lost that they have yet to be connected. */
-  private _reachable(order: readonly string[]): readonly string[] {
+  /**
+   * Returns the order without lost peers. If most peers seem lost, they are probably not connected yet, and the
+   * order stays as it is.
+   */
+  private _withoutLostPeers(order: readonly string[]): readonly string[] {
     const { peers } = this._options.services;
     const lost = new Set([...this._peers].filter((box) => peers.isLost(box)));
     const reachable = this._peers.size - lost.size + 1;
@@ -253,8 +266,8 @@
 
   private _onChange(): void {
     for (const chunk of this.exchange.held.members()) {
-      if (this._seen.has(chunk)) continue;
-      this._seen.add(chunk);
+      if (this._handledChunks.has(chunk)) continue;
+      this._handledChunks.add(chunk);
       const data = this.chunk(chunk);
       if (data) this._stager.add(chunk, data);
     }
