--- a/src/staging/worthFinishing.ts
+++ b/src/staging/worthFinishing.ts
@@ -37,18 +37,12 @@
  * depends on the origin, or there is no time left in which the version would serve.
  */
 export function isWorthFinishing(version: SupersededVersion): boolean {
-  const {
-    announcedAt: namedAt,
-    newerAnnouncedAt: newerNamedAt,
-    now,
-    switchMilliseconds,
-    copyMilliseconds,
-    missingMilliseconds,
-  } = version;
+  const { announcedAt, newerAnnouncedAt, now, switchMilliseconds, copyMilliseconds, missingMilliseconds } =
+    version;
   const replacementMilliseconds = switchMilliseconds - LAST_SEND_MARGIN_MILLISECONDS;
-  const newerServesAt = newerNamedAt + copyMilliseconds + SPREAD_MILLISECONDS;
-  const newerInTime = newerServesAt <= namedAt + replacementMilliseconds;
+  const newerServesAt = newerAnnouncedAt + copyMilliseconds + SPREAD_MILLISECONDS;
+  const newerInTime = newerServesAt <= announcedAt + replacementMilliseconds;
   const newerIsSafe = version.newerAvailableShare === 1 || version.availableShare < LITTLE_AVAILABLE_SHARE;
   if (newerInTime && newerIsSafe) return false;
-  return now + missingMilliseconds + MIN_SERVICE_MILLISECONDS <= newerNamedAt + replacementMilliseconds;
+  return now + missingMilliseconds + MIN_SERVICE_MILLISECONDS <= newerAnnouncedAt + replacementMilliseconds;
 }
--- a/tests/connectedEntries.spec.ts
+++ b/tests/connectedEntries.spec.ts
@@ -1,4 +1,4 @@
-/** What an agent asks of the entries that are connected to it, and tells them. */
+/** What an agent asks the connected entries and sends to them. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { EntryList, EntryPresence } from '../src/protocol/boxMessages.js';
@@ -11,15 +11,15 @@
 import { quietLog } from './fixtures/quietLog.js';
 import { until } from './fixtures/until.js';
 
-/** A connection that only notes what is sent on it. */
-class NotedConnection {
+/** A connection that records the messages sent on it. */
+class RecordedConnection {
   readonly sent: Message[] = [];
 
   send(message: Message): void {
     this.sent.push(message);
   }
 
-  /** What broadcasts are written with. */
+  /** Used by {@link ControlConnection.broadcast}. */
   _writeFrame(frame: Buffer): void {
     for (const message of new FrameReader().push(frame)) this.sent.push(message as Message);
   }
@@ -49,9 +49,9 @@
   };
 }
 
-function connected(count: number): { entries: ConnectedEntries; connections: NotedConnection[] } {
+function connected(count: number): { entries: ConnectedEntries; connections: RecordedConnection[] } {
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
-  const connections = Array.from({ length: count }, () => new NotedConnection());
+  const connections = Array.from({ length: count }, () => new RecordedConnection());
   connections.forEach((connection, index) => {
     entries.update(connection.asConnection(), presence(`entry-${index}`));
   });
@@ -71,16 +71,16 @@
   entries.stop();
 });
 
-test('should ask an entry once, however often that tells of itself', () => {
+test('should ask an entry once, however often it sends its presence', () => {
   const { entries, connections } = connected(1);
   entries.update(connections[0].asConnection(), presence('entry-0'));
   expect(connections[0].sent).toHaveLength(1);
   entries.stop();
 });
 
-test('should want a status for an entry that sends requests, once', () => {
+test('should report once that an entry is to receive its first status', () => {
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
-  const connection = new NotedConnection().asConnection();
+  const connection = new RecordedConnection().asConnection();
   expect(entries.update(connection, presence('a', { hearsStatus: false }))).toEqual(false);
   expect(entries.update(connection, presence('a'))).toEqual(true);
   expect(entries.update(connection, presence('a'))).toEqual(false);
@@ -90,28 +90,30 @@
 
 test('should ask entries of its own data centre before others', () => {
   const entries = new ConnectedEntries('south', quietLog(), new ManualClock());
-  const connections = Array.from({ length: 8 }, () => new NotedConnection());
-  const far = connections.slice(0, 3);
-  const near = connections.slice(3);
-  far.forEach((connection, index) => entries.update(connection.asConnection(), presence(`far-${index}`)));
-  near.forEach((connection, index) => {
-    const entry = { ...presence(`near-${index}`).entry, dataCentre: 'south' };
-    entries.update(connection.asConnection(), presence(`near-${index}`, { entry }));
+  const connections = Array.from({ length: 8 }, () => new RecordedConnection());
+  const remote = connections.slice(0, 3);
+  const local = connections.slice(3);
+  remote.forEach((connection, index) =>
+    entries.update(connection.asConnection(), presence(`remote-${index}`)),
+  );
+  local.forEach((connection, index) => {
+    const entry = { ...presence(`local-${index}`).entry, dataCentre: 'south' };
+    entries.update(connection.asConnection(), presence(`local-${index}`, { entry }));
   });
-  far.forEach((connection) => entries.remove(connection.asConnection(), 'closed by peer'));
-  expect(near.filter((connection) => connection.asked)).toHaveLength(3);
+  remote.forEach((connection) => entries.remove(connection.asConnection(), 'closed by peer'));
+  expect(local.filter((connection) => connection.asked)).toHaveLength(3);
   entries.stop();
 });
 
-test('should tell an entry of all others once, and then of changes', async () => {
+test('should send an entry the whole list once, and then changes', async () => {
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
-  const listener = new NotedConnection();
-  const other = new NotedConnection();
+  const listener = new RecordedConnection();
+  const other = new RecordedConnection();
   entries.update(listener.asConnection(), presence('listener', { hearsEntries: true }));
   entries.update(other.asConnection(), presence('other'));
   await until(() => listener.lists.length === 1);
   entries.remove(other.asConnection(), 'closed by peer');
-  entries.update(new NotedConnection().asConnection(), presence('third'));
+  entries.update(new RecordedConnection().asConnection(), presence('third'));
   await until(() => listener.lists.length === 2);
   const [first, second] = listener.lists;
   expect(first.whole).toEqual(true);
@@ -125,19 +127,19 @@
 test('should log once that an entry is connected, and that its last connection has ended', () => {
   const { log, steps } = notedLog();
   const entries = new ConnectedEntries('north', log, new ManualClock());
-  const old = new NotedConnection().asConnection();
-  const young = new NotedConnection().asConnection();
-  for (const connection of [old, old, young]) entries.update(connection, presence('a'));
-  entries.remove(old, 'silent for too long');
+  const older = new RecordedConnection().asConnection();
+  const newer = new RecordedConnection().asConnection();
+  for (const connection of [older, older, newer]) entries.update(connection, presence('a'));
+  entries.remove(older, 'silent for too long');
   expect(steps()).toEqual(['entry.connected']);
-  entries.remove(young, 'closed by peer');
+  entries.remove(newer, 'closed by peer');
   expect(steps()).toEqual(['entry.connected', 'entry.disconnected']);
   entries.stop();
 });
 
-test('should tell an entry of all others anew when it asks again, also at once', async () => {
+test('should send an entry the whole list again when it subscribes again, even at once', async () => {
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
-  const listener = new NotedConnection();
+  const listener = new RecordedConnection();
   const tell = (hearsEntries: boolean): boolean =>
     entries.update(listener.asConnection(), presence('listener', { hearsEntries }));
   tell(true);
@@ -149,23 +151,23 @@
   entries.stop();
 });
 
-test('should name a restarted entry as its newest connection tells, until the last of them has ended', async () => {
+test('should list a restarted entry by its newest connection, until its last connection has ended', async () => {
   const entries = new ConnectedEntries('north', quietLog(), new ManualClock());
-  const listener = new NotedConnection();
-  const [old, young] = [new NotedConnection().asConnection(), new NotedConnection().asConnection()];
+  const listener = new RecordedConnection();
+  const [older, newer] = [new RecordedConnection().asConnection(), new RecordedConnection().asConnection()];
   entries.update(listener.asConnection(), presence('listener', { hearsEntries: true }));
-  entries.update(old, presence('b', { entry: { ...presence('b').entry, leaving: true } }));
-  entries.update(young, presence('b'));
+  entries.update(older, presence('b', { entry: { ...presence('b').entry, leaving: true } }));
+  entries.update(newer, presence('b'));
   await until(() => listener.lists.length === 1);
   expect(listener.lists[0].entries.map(({ box, leaving }) => [box, leaving])).toEqual([
     ['b', false],
     ['listener', false],
   ]);
-  entries.remove(old, 'silent for too long');
-  entries.update(new NotedConnection().asConnection(), presence('c'));
+  entries.remove(older, 'silent for too long');
+  entries.update(new RecordedConnection().asConnection(), presence('c'));
   await until(() => listener.lists.length === 2);
   expect(listener.lists[1].gone).toEqual([]);
-  entries.remove(young, 'silent for too long');
+  entries.remove(newer, 'silent for too long');
   await until(() => listener.lists.length === 3);
   expect(listener.lists[2].gone).toEqual(['b']);
   entries.stop();
--- a/tests/heardVersions.spec.ts
+++ b/tests/heardVersions.spec.ts
@@ -1,4 +1,4 @@
-/** Versions that reach an entry by way of the agents. */
+/** Versions that agents forward from one entry to the others. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { HeardVersions } from '../src/staging/heardVersions.js';
@@ -8,13 +8,13 @@
   return { model: 'm', version, heardMilliseconds };
 }
 
-test('should pass on what is new to it, once', () => {
+test('should forward a new version once', () => {
   const versions = new HeardVersions(new ManualClock());
   expect(versions.merge([heard(2, 0)])).toEqual([heard(2, 0)]);
   expect(versions.merge([heard(2, 0), heard(3, 10)])).toEqual([heard(3, 10)]);
 });
 
-test('should pass on that a version was heard of earlier', () => {
+test('should forward that a version was heard of earlier than known', () => {
   const clock = new ManualClock();
   const versions = new HeardVersions(clock);
   versions.merge([heard(2, 0)]);
@@ -25,7 +25,7 @@
   expect(versions.all()).toEqual([heard(2, 2_000)]);
 });
 
-test('should remember a few versions only', () => {
+test('should keep a limited number of versions', () => {
   const versions = new HeardVersions(new ManualClock());
   for (let version = 1; version <= 20; version++) versions.merge([heard(version, 0)]);
   expect(versions.all().map(({ version }) => version)).toEqual(
@@ -33,11 +33,11 @@
   );
 });
 
-test('should take what it was told before for no news, however many models there are', () => {
+test('should not forward a known version again, however many models there are', () => {
   const versions = new HeardVersions(new ManualClock());
-  const told = [1, 2, 3, 4, 5].flatMap((model) =>
+  const reported = [1, 2, 3, 4, 5].flatMap((model) =>
     [2, 3, 4, 5].map((version) => ({ model: `m${model}`, version, heardMilliseconds: 0 })),
   );
-  versions.merge(told);
-  expect(versions.merge(told)).toEqual([]);
+  versions.merge(reported);
+  expect(versions.merge(reported)).toEqual([]);
 });
--- a/tests/manifestReader.spec.ts
+++ b/tests/manifestReader.spec.ts
@@ -1,4 +1,4 @@
-/** Where a box reads the manifest of a version. */
+/** Sources from which a box reads the manifest of a version. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { after, before, beforeEach, test } from 'node:test';
@@ -16,15 +16,15 @@
 let peer: http.Server;
 let peerPort = 0;
 let manifest: Manifest;
-let peerHasIt: boolean;
+let peerHasManifest: boolean;
 let origin: FakeOrigin;
-let originAsked: number;
+let originReads: number;
 
 before(async () => {
   manifest = await new FakeOrigin().manifest('', MODEL, '2');
   peer = http.createServer((_request, response) => {
-    response.writeHead(peerHasIt ? 200 : 404, { 'content-type': 'application/json' });
-    response.end(JSON.stringify(peerHasIt ? manifest : {}));
+    response.writeHead(peerHasManifest ? 200 : 404, { 'content-type': 'application/json' });
+    response.end(JSON.stringify(peerHasManifest ? manifest : {}));
   });
   await new Promise<void>((resolve) => peer.listen(0, '127.0.0.1', resolve));
   peerPort = (peer.address() as AddressInfo).port;
@@ -36,19 +36,19 @@
 });
 
 beforeEach(() => {
-  peerHasIt = true;
-  originAsked = 0;
+  peerHasManifest = true;
+  originReads = 0;
   origin = new FakeOrigin();
   const read = origin.manifest.bind(origin);
   origin.manifest = async (customer, model, version) => {
-    originAsked++;
+    originReads++;
     return await read(customer, model, version);
   };
 });
 
 function reader(box: string): ManifestReader {
   const member = {
-    box: 'drawer',
+    box: 'downloader',
     dataCentre: 'north',
     address: '127.0.0.1',
     httpPort: peerPort,
@@ -57,7 +57,7 @@
   return new ManifestReader({
     origin: () => origin,
     peers: () => [member],
-    downloaders: () => ['drawer'],
+    downloaders: () => ['downloader'],
     box,
     token: 'token',
     random: new SeededRandom(1),
@@ -65,23 +65,23 @@
   });
 }
 
-test('should ask the origin when the box draws', async () => {
-  expect(await reader('drawer').read(MODEL, 2, ROLLOUT, NEVER)).toEqual(manifest);
-  expect(originAsked).toEqual(1);
+test('should ask the origin if the box is a downloader', async () => {
+  expect(await reader('downloader').read(MODEL, 2, ROLLOUT, NEVER)).toEqual(manifest);
+  expect(originReads).toEqual(1);
 });
 
-test('should ask a box that draws when it does not draw itself', async () => {
+test('should ask a downloader if the box is none itself', async () => {
   expect(await reader('other').read(MODEL, 2, ROLLOUT, NEVER)).toEqual(manifest);
-  expect(originAsked).toEqual(0);
+  expect(originReads).toEqual(0);
 });
 
-test('should ask the origin in the end when no box that draws has it', async () => {
-  peerHasIt = false;
+test('should ask the origin in the end if no downloader has the manifest', async () => {
+  peerHasManifest = false;
   expect(await reader('other').read(MODEL, 2, ROLLOUT, NEVER)).toEqual(manifest);
-  expect(originAsked).toEqual(1);
+  expect(originReads).toEqual(1);
 });
 
 test('should ask another box while the origin is down', async () => {
   origin.down = true;
-  expect(await reader('drawer').read(MODEL, 2, ROLLOUT, NEVER)).toEqual(manifest);
+  expect(await reader('downloader').read(MODEL, 2, ROLLOUT, NEVER)).toEqual(manifest);
 });
--- a/tests/peerMessages.spec.ts
+++ b/tests/peerMessages.spec.ts
@@ -1,4 +1,4 @@
-/** What an agent remembers of where other boxes stand on the way to a version. */
+/** The switch stages of other boxes that an agent keeps. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import type { Message } from '../src/protocol/message.js';
@@ -30,11 +30,11 @@
 }
 
 /**
- * Symptom: a box may begin its turn though another is between two versions.
- * Sequence: the other box leaves the list of agents and comes back; the connection to it lasts all the while.
- * Cause: what it had told was forgotten when it left the list, and it tells nothing anew since to its mind nothing has changed.
+ * Guards against a box that begins its turn while another one is switching. The other box leaves the list of agents
+ * and comes back, while the connection to it stays open. If its stage were dropped when it leaves the list, it
+ * would stay unknown, since the other box reports only changes.
  */
-test('should know where a box stands that leaves the list and comes back on the same connection', () => {
+test('should know the stage of a box that leaves the list and comes back on the same connection', () => {
   const messages = peerMessages();
   messages.setPeers(['b']);
   messages.onPeerMessage('b', SWITCHING);
@@ -44,7 +44,7 @@
   expect(boxesOf(messages)).toEqual(['b']);
 });
 
-test('should forget where a box stands whose connection has ended', () => {
+test('should forget the stage of a box when its connection has ended', () => {
   const messages = peerMessages();
   messages.setPeers(['b']);
   messages.onPeerMessage('b', SWITCHING);
@@ -53,10 +53,10 @@
 });
 
 /**
- * A box hears nothing of the stages of one that does not list it, so that it has to be told where that stands by then. Without that,
- * the last state comes twice at most: when the connection opens, and as a change.
+ * A box does not receive the stages of boxes that do not list it, so it has to be sent the current stage when it is
+ * listed again. Otherwise the last stage would be sent twice at most: when the connection opens, and as a change.
  */
-test('should tell a connected box anew where it stands when that box is listed again', async () => {
+test('should send its stage again to a connected box that is listed again', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const heard: Message[] = [];
--- a/tests/stagedChunks.spec.ts
+++ b/tests/stagedChunks.spec.ts
@@ -1,4 +1,4 @@
-/** What lies staged from an earlier life is read once, ahead of the version that wants it, and read back once only. */
+/** Chunks that an earlier run has staged are read once, before a version needs them, and not read back twice. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { ChunkStager } from '../src/staging/chunkStager.js';
@@ -17,14 +17,14 @@
 function fixture(models: () => Promise<string[]> = async () => ['m']) {
   const clock = new ManualClock();
   const reads: number[] = [];
-  const lying = new Map(CHUNKS.map((chunk) => [chunk, bytesOf(chunk)]));
+  const stagedData = new Map(CHUNKS.map((chunk) => [chunk, bytesOf(chunk)]));
   const backend: Pick<LocalBackend, 'stagedChunks' | 'getChunk' | 'putChunk'> = {
-    stagedChunks: async (model) => (model === 'm' ? [...lying.keys()] : []),
+    stagedChunks: async (model) => (model === 'm' ? [...stagedData.keys()] : []),
     getChunk: async (_model, chunk) => {
       reads.push(chunk);
-      return lying.get(chunk);
+      return stagedData.get(chunk);
     },
-    putChunk: async (_model, chunk, data) => void lying.set(chunk, data),
+    putChunk: async (_model, chunk, data) => void stagedData.set(chunk, data),
   };
   const staged = new StagedChunks({ backend, models, clock, log: quietLog() });
   const chunks = CHUNKS.map((chunk) => ({ digest: sha256Hex(bytesOf(chunk)), size: bytesOf(chunk).length }));
@@ -38,10 +38,10 @@
     clock,
     log: quietLog(),
   });
-  return { clock, reads, lying, staged, stager };
+  return { clock, reads, stagedData, staged, stager };
 }
 
-test('should have read what lies staged before a version is wanted', async () => {
+test('should read the staged chunks before a version is wanted', async () => {
   const { staged, reads } = fixture();
   staged.start();
   await until(() => reads.length === CHUNKS.length);
@@ -49,28 +49,28 @@
   expect(reads.length).toEqual(CHUNKS.length);
 });
 
-test('should read what lies staged when it is wanted, where the models cannot be found out', async () => {
+test('should read the staged chunks when they are needed if the models could not be read before', async () => {
   const { staged } = fixture(async () => await Promise.reject(new Error('no store')));
   staged.start();
   expect((await staged.take('m')).length).toEqual(CHUNKS.length);
 });
 
-test('should read what lies staged of a model that was not named when it began', async () => {
+test('should read the staged chunks of a model that had no announced version at the start', async () => {
   const { staged } = fixture(async () => ['other']);
   staged.start();
   expect((await staged.take('m')).length).toEqual(CHUNKS.length);
 });
 
-test('should take over only chunks that are as the manifest says', async () => {
-  const { staged, stager, lying } = fixture();
-  lying.set(2, Buffer.from('spoilt'));
-  lying.set(9, Buffer.from('of a larger version'));
+test('should take over only chunks that match the manifest', async () => {
+  const { staged, stager, stagedData } = fixture();
+  stagedData.set(2, Buffer.from('corrupt'));
+  stagedData.set(9, Buffer.from('of a larger version'));
   const taken: number[] = [];
   stager.adopt(await staged.take('m'), (chunk) => taken.push(chunk));
   expect(taken.sort()).toEqual([0, 1, 3]);
 });
 
-test('should not read a chunk back again that was read a moment ago, and read it back later', async () => {
+test('should not read back a chunk that was read a moment ago, but read it back later', async () => {
   const { staged, stager, reads, clock } = fixture();
   stager.adopt(await staged.take('m'), () => undefined);
   reads.length = 0;
@@ -81,23 +81,23 @@
   expect(reads).toEqual(CHUNKS);
 });
 
-test('should lay a chunk anew that was spoilt when it was read ahead', async () => {
-  const { staged, stager, lying } = fixture();
-  lying.set(2, Buffer.from('spoilt'));
+test('should write a chunk again that was corrupt when it was read ahead', async () => {
+  const { staged, stager, stagedData } = fixture();
+  stagedData.set(2, Buffer.from('corrupt'));
   stager.adopt(await staged.take('m'), () => undefined);
   expect(await stager.acquireStagingArea()).toEqual(true);
   expect(await stager.verify(bytesOf, -1)).toEqual(true);
-  expect(lying.get(2)).toEqual(bytesOf(2));
+  expect(stagedData.get(2)).toEqual(bytesOf(2));
 });
 
-test('should read chunks back again that may have been read from a former life of the server', async () => {
-  const { staged, stager, reads, clock, lying } = fixture();
+test('should read chunks back again that may have been read from an earlier run of the server', async () => {
+  const { staged, stager, reads, clock, stagedData } = fixture();
   stager.adopt(await staged.take('m'), () => undefined);
-  const lifeSeenAt = clock.now();
-  lying.clear();
+  const runSeenAt = clock.now();
+  stagedData.clear();
   reads.length = 0;
   expect(await stager.acquireStagingArea()).toEqual(true);
-  expect(await stager.verify(bytesOf, lifeSeenAt)).toEqual(true);
+  expect(await stager.verify(bytesOf, runSeenAt)).toEqual(true);
   expect(reads.slice(0, CHUNKS.length)).toEqual(CHUNKS);
-  expect([...lying.keys()]).toEqual(CHUNKS);
+  expect([...stagedData.keys()]).toEqual(CHUNKS);
 });
--- a/tests/statusSender.spec.ts
+++ b/tests/statusSender.spec.ts
@@ -1,4 +1,4 @@
-/** When an agent tells entries how its box stands. */
+/** When an agent sends the status of its box to entries. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { BoxStatus } from '../src/protocol/boxMessages.js';
@@ -36,14 +36,14 @@
   }
 }
 
-test('should tell another state at once', () => {
+test('should send another state at once', () => {
   const box = new Box(40);
   box.status.state = 'switching';
   box.sender.onChange();
   expect(box.sent.at(-1)?.state).toEqual('switching');
 });
 
-test('should tell a load that has changed much at once, a small change later', () => {
+test('should send a large change of the load at once and a small one later', () => {
   const box = new Box(1);
   box.clock.advance(50);
   box.status.running = 1;
@@ -54,7 +54,7 @@
   expect(box.sent.length).toEqual(2);
 });
 
-test('should tell the load less often the more entries hear it', () => {
+test('should send the load less often the more entries receive it', () => {
   const box = new Box(100);
   for (let load = 1; load <= 100; load++) {
     box.clock.advance(10);
@@ -64,7 +64,7 @@
   expect(box.sent.length).toBeLessThanOrEqual(4);
 });
 
-test('should send a status now and then though nothing changes', () => {
+test('should repeat an unchanged status at intervals', () => {
   const box = new Box(7);
   box.clock.advance(999);
   box.sender.onInterval();
@@ -74,7 +74,7 @@
   expect(box.sent.length).toEqual(2);
 });
 
-test('should tell the load more often to entries of the own data centre', () => {
+test('should send the load more often to entries of its own data centre', () => {
   const box = new Box(25);
   for (let load = 1; load <= 100; load++) {
     box.clock.advance(10);
--- a/tests/switchGroup.spec.ts
+++ b/tests/switchGroup.spec.ts
@@ -1,4 +1,4 @@
-/** With which boxes a box keeps in touch, and with which it takes turns. */
+/** The boxes that a box connects to, and those with which it takes turns at switching. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Member } from '../src/protocol/rolloutMessages.js';
@@ -13,18 +13,18 @@
   return membersOf(count, DATA_CENTRES);
 }
 
-test('should connect all boxes of a small fleet', () => {
+test('should connect all boxes of a small service', () => {
   expect(connectedPeers('box-0', members(40))).toHaveLength(39);
   expect(switchGroup('box-0', members(40))).toHaveLength(40);
 });
 
-test('should take turns within a data centre in a large fleet', () => {
+test('should take turns within a data centre in a large service', () => {
   const group = switchGroup('box-0', members(144));
   expect(group).toHaveLength(29);
   expect(group.every(({ dataCentre }) => dataCentre === 'east')).toEqual(true);
 });
 
-test('should bound the connections of a box however large the fleet is', () => {
+test('should bound the connections of a box however large the service is', () => {
   for (const count of [41, 144, 600, 3_000]) {
     const most = Math.max(...members(30).map(({ box }) => connectedPeers(box, members(count)).length));
     expect(most).toBeLessThanOrEqual(100);
@@ -43,10 +43,10 @@
   }
 });
 
-test('should draw at boxes that hand on to other data centres', () => {
+test('should download at boxes that exchange chunks with other data centres', () => {
   const all = members(144);
   const gateways = new Set(exchangeGateways(all).map(({ box }) => box));
-  const drawers = initialDownloaders(downloadOrder('model@2', all));
-  expect(drawers).toHaveLength(12);
-  expect(drawers.every((box) => gateways.has(box))).toEqual(true);
+  const downloaders = initialDownloaders(downloadOrder('model@2', all));
+  expect(downloaders).toHaveLength(12);
+  expect(downloaders.every((box) => gateways.has(box))).toEqual(true);
 });
--- a/tests/watchedOrigin.spec.ts
+++ b/tests/watchedOrigin.spec.ts
@@ -1,4 +1,4 @@
-/** Since when the origin answers nothing. */
+/** Tracking of how long the origin has not answered. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Origin } from '../src/external/origin.js';
@@ -15,7 +15,7 @@
   return { origin: new WatchedOrigin(origin, clock, new EventLog(sink, 'state')), clock, steps };
 }
 
-test('should tell once that the origin is lost, since when, and that it is back', async () => {
+test('should log once that the origin is lost and once that it is back, and measure the time', async () => {
   let fails = true;
   const { origin, clock, steps } = watched({
     manifest: async (_customer, model, version) => {
@@ -33,13 +33,13 @@
   expect([origin.lostFor, steps]).toEqual([0, ['origin.lost', 'origin.reached']]);
 });
 
-test('should not hold the origin for lost by a read that was given up here', async () => {
-  const given = new AbortController();
-  given.abort();
+test('should not count a read that was aborted here as a failure of the origin', async () => {
+  const abort = new AbortController();
+  abort.abort();
   const { origin, steps } = watched({
     manifest: async () => await Promise.reject(new Error('not used')),
     read: async () => await Promise.reject(new Error('aborted')),
   });
-  await expect(origin.read(RANGE, given.signal)).toBeRejectedWith('aborted');
+  await expect(origin.read(RANGE, abort.signal)).toBeRejectedWith('aborted');
   expect(steps).toEqual([]);
 });
--- a/tests/worthFinishing.spec.ts
+++ b/tests/worthFinishing.spec.ts
@@ -1,11 +1,11 @@
-/** Whether a version is finished once a newer one has been named. */
+/** Whether a version is finished after a newer one has been announced. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { SupersededVersion } from '../src/staging/worthFinishing.js';
 import { isWorthFinishing } from '../src/staging/worthFinishing.js';
 
-/** Named 2 s apart, seen just after the newer one was named; a copy takes 3.3 s. */
-const NAMED_APART: SupersededVersion = {
+/** Versions announced 2 s apart, judged just after the newer one was announced. A copy takes 3.3 s. */
+const ANNOUNCED_2_S_APART: SupersededVersion = {
   announcedAt: 0,
   newerAnnouncedAt: 2_000,
   now: 2_010,
@@ -17,24 +17,36 @@
 };
 
 for (const [what, changes, worth] of [
-  ['named 2 s before the newer one', {}, true],
-  ['named 2 s before, even when the newer one is safe', { newerSeenShare: 1 }, true],
-  ['of which the whole fleet holds a copy but this box only a part', { missingMilliseconds: 2_500 }, true],
+  ['announced 2 s before the newer one', {}, true],
   [
-    'named a moment before',
-    { newerNamedAt: 100, now: 110, seenShare: 0.02, missingMilliseconds: 3_200 },
+    'announced 2 s before, even when the newer one no longer depends on the origin',
+    { newerAvailableShare: 1 },
+    true,
+  ],
+  [
+    'of which the boxes together have all chunks but this box only a part',
+    { missingMilliseconds: 2_500 },
+    true,
+  ],
+  [
+    'announced a moment before',
+    { newerAnnouncedAt: 100, now: 110, availableShare: 0.02, missingMilliseconds: 3_200 },
     false,
   ],
-  ['named 1 s before, while the newer one could be lost', { newerNamedAt: 1_000, now: 1_100 }, true],
   [
-    'named 1 s before, once the newer one is safe',
-    { newerNamedAt: 1_000, now: 2_800, newerSeenShare: 1 },
+    'announced 1 s before, while the newer one still depends on the origin',
+    { newerAnnouncedAt: 1_000, now: 1_100 },
+    true,
+  ],
+  [
+    'announced 1 s before, once the newer one no longer depends on the origin',
+    { newerAnnouncedAt: 1_000, now: 2_800, newerAvailableShare: 1 },
     false,
   ],
-  ['that cannot serve before the newer one must', { now: 7_400, missingMilliseconds: 1_200 }, false],
+  ['that cannot serve before the newer one has to', { now: 7_400, missingMilliseconds: 1_200 }, false],
   ['that can still serve for some seconds', { now: 5_000, missingMilliseconds: 1_200 }, true],
 ] as const) {
   test(`should ${worth ? 'finish' : 'drop'} a version ${what}`, () => {
-    expect(isWorthFinishing({ ...NAMED_APART, ...changes })).toEqual(worth);
+    expect(isWorthFinishing({ ...ANNOUNCED_2_S_APART, ...changes })).toEqual(worth);
   });
 }
