--- a/tests/stagingArea.spec.ts
+++ b/tests/stagingArea.spec.ts
@@ -1,9 +1,9 @@
 /**
- * A model server was ordered to take version 8 and took it with chunks of version 9 among its own. Version 9 had been named while
- * the server served version 8, so that its chunks were laid over those of version 8 as they came. The server crashed and started
- * again without any version; its agent went back to version 8, read the place, laid anew what differed and ordered it, while
- * chunks of version 9 went on being laid into the same place as they arrived. What came between the reading and the taking of
- * the order was in what the server took. The lines of the agent that settled it, in seconds:
+ * Guards against chunks of a newer version in the version that a backend server loads. Version 9 was announced while the
+ * server served version 8, so that its chunks overwrote those of version 8 in the staging area as they arrived. The server
+ * crashed and restarted without a version. Its agent went back to version 8: it read the staged chunks, wrote those again
+ * that differed and sent the order, while chunks of version 9 were still being written. Those that arrived between the
+ * reading and the order became part of the loaded version. Log lines of the agent, with the time in seconds:
  *
  *   63.795 version.serving        version 8
  *   64.519 backend.gone           version 8
@@ -13,7 +13,7 @@
  *   66.110 version.ordered        version 8, begun
  *   66.487 version.whole          version 9
  *
- * Servers that answer at once never show it: in the fixture each call takes some time, drawn by a seed.
+ * The fault does not show if the server answers at once, so calls of the fixture take a random time, drawn from a seed.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
@@ -36,7 +36,7 @@
 
 afterEach(async () => await fixture.stop());
 
-test('should not let chunks of a newer version into what a server that starts again is ordered to take', async () => {
+test('should not mix chunks of a newer version into the version that a restarted server loads', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [{ server }] = fixture.boxes;
@@ -51,7 +51,7 @@
   expect(fixture.corruptLoads).toEqual([]);
 });
 
-test('should read the place again when the server takes an order between the reading and the next one', async () => {
+test('should read the staged chunks again if the server accepts another order after the reading', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [{ server }] = fixture.boxes;
@@ -65,7 +65,7 @@
   expect(fixture.logLines.some((line) => line.includes('version.reading-void'))).toEqual(true);
 });
 
-test('should bring a server that has started again to the newest version that is whole, and not to each', async () => {
+test('should bring a restarted server directly to the newest complete version', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [{ server }] = fixture.boxes;
@@ -73,7 +73,7 @@
   server.busy = true;
   for (const version of [2, 3]) {
     fixture.announce(version);
-    await until(() => fixture.logLines.some((line) => isWhole(line, version)));
+    await until(() => fixture.logLines.some((line) => isCompleteLine(line, version)));
   }
   server.busy = false;
   server.crash();
@@ -81,16 +81,16 @@
   expect(server.orders).toEqual([3]);
 });
 
-function isWhole(line: string, version: number): boolean {
+function isCompleteLine(line: string, version: number): boolean {
   return line.includes('version.whole') && line.includes(`"version":${version},`);
 }
 
-const SETTLED_MILLISECONDS = 1_000;
+const LATE_EXECUTION_MILLISECONDS = 1_000;
 
-/** A place before a server whose writes end when the test says so. */
-function scriptedPlace() {
+/** Creates a staging area of a server whose writes end when the test says so. */
+function scriptedArea() {
   const clock = new ManualClock();
-  const lying = new Map<number, Buffer>();
+  const stagedData = new Map<number, Buffer>();
   const ends: ((error?: Error) => void)[] = [];
   const script = { isHeld: false, outcome: 'begun' as OrderOutcome };
   const backend = {
@@ -100,107 +100,104 @@
           ends.push((error) => (error ? reject(error) : resolve()));
         });
       }
-      lying.set(chunk, data);
+      stagedData.set(chunk, data);
     },
-    getChunk: async (_model: string, chunk: number): Promise<Buffer | undefined> => lying.get(chunk),
+    getChunk: async (_model: string, chunk: number): Promise<Buffer | undefined> => stagedData.get(chunk),
     startVersion: async (): Promise<OrderOutcome> => script.outcome,
   };
-  const place = new StagingArea({ backend, clock, log: quietLog() });
-  return { place, clock, lying, ends, script };
+  const area = new StagingArea({ backend, clock, log: quietLog() });
+  return { area, clock, stagedData, ends, script };
 }
 
 const bytesOf = (version: number, chunk = 0): Buffer => Buffer.from(`${version}/${chunk}`);
 
-function stagerOf(
-  version: number,
-  { place, clock }: { place: StagingArea; clock: ManualClock },
-): ChunkStager {
+function stagerOf(version: number, { area, clock }: { area: StagingArea; clock: ManualClock }): ChunkStager {
   const chunks = [0, 1].map((chunk) => ({ digest: sha256Hex(bytesOf(version, chunk)), size: 3 }));
   const index = new ManifestIndex({ model: 'm', version: String(version), chunks });
-  return new ChunkStager({ stagingArea: place, model: 'm', version, index, clock, log: quietLog() });
+  return new ChunkStager({ stagingArea: area, model: 'm', version, index, clock, log: quietLog() });
 }
 
 function failure(code: string): StepError {
   return new StepError('put', code, { cause: Object.assign(new Error(code), { code }) });
 }
 
-test('should not give the place to another version while a write is under way', async () => {
-  const { place, ends, script } = scriptedPlace();
-  await place.acquire(1);
+test('should not change the owner of the staging area while a write is running', async () => {
+  const { area, ends, script } = scriptedArea();
+  await area.acquire(1);
   script.isHeld = true;
-  const write = place.write('m', 1, 0, bytesOf(1));
-  let isGiven = false;
-  const given = place.acquire(2).then((result) => (isGiven = result));
+  const write = area.write('m', 1, 0, bytesOf(1));
+  let isAcquired = false;
+  const acquired = area.acquire(2).then((result) => (isAcquired = result));
   await Promise.resolve();
-  expect(isGiven).toEqual(false);
-  await expect(place.write('m', 1, 1, bytesOf(1, 1))).toBeRejected();
+  expect(isAcquired).toEqual(false);
+  await expect(area.write('m', 1, 1, bytesOf(1, 1))).toBeRejected();
   ends[0]();
   await write;
-  expect(await given).toEqual(true);
+  expect(await acquired).toEqual(true);
 });
 
-test('should lay nothing of a version that does not hold the place', async () => {
-  const { place, lying } = scriptedPlace();
-  await place.acquire(1);
-  await expect(place.write('m', 2, 0, bytesOf(2))).toBeRejected();
-  expect(lying.size).toEqual(0);
+test('should write nothing of a version that does not own the staging area', async () => {
+  const { area, stagedData } = scriptedArea();
+  await area.acquire(1);
+  await expect(area.write('m', 2, 0, bytesOf(2))).toBeRejected();
+  expect(stagedData.size).toEqual(0);
 });
 
-test('should keep the place for a version whose write got no answer, until it cannot be done any more', async () => {
-  const { place, clock, ends, script } = scriptedPlace();
-  await place.acquire(1);
+test('should keep the owner after a write without an answer until it can no longer be executed', async () => {
+  const { area, clock, ends, script } = scriptedArea();
+  await area.acquire(1);
   script.isHeld = true;
-  const write = place.write('m', 1, 0, bytesOf(1));
+  const write = area.write('m', 1, 0, bytesOf(1));
   ends[0](failure('UND_ERR_HEADERS_TIMEOUT'));
   await expect(write).toBeRejected();
-  clock.advance(10 * SETTLED_MILLISECONDS);
-  expect(await place.acquire(2)).toEqual(false);
-  place.onAnswer();
-  clock.advance(SETTLED_MILLISECONDS - 1);
-  expect(await place.acquire(2)).toEqual(false);
+  clock.advance(10 * LATE_EXECUTION_MILLISECONDS);
+  expect(await area.acquire(2)).toEqual(false);
+  area.onAnswer();
+  clock.advance(LATE_EXECUTION_MILLISECONDS - 1);
+  expect(await area.acquire(2)).toEqual(false);
   clock.advance(1);
-  expect(await place.acquire(2)).toEqual(true);
+  expect(await area.acquire(2)).toEqual(true);
 });
 
-test('should give the place on after a write that reached nothing', async () => {
-  const { place, ends, script } = scriptedPlace();
-  await place.acquire(1);
+test('should change the owner after a write whose connection was refused', async () => {
+  const { area, ends, script } = scriptedArea();
+  await area.acquire(1);
   script.isHeld = true;
-  const write = place.write('m', 1, 0, bytesOf(1));
+  const write = area.write('m', 1, 0, bytesOf(1));
   ends[0](failure('ECONNREFUSED'));
   await expect(write).toBeRejected();
-  expect(await place.acquire(2)).toEqual(true);
+  expect(await area.acquire(2)).toEqual(true);
 });
 
-test('should keep the place for a version whose order got no answer, until the server has ended', async () => {
-  const { place, script } = scriptedPlace();
-  await place.acquire(1);
+test('should keep the owner after an order without an answer until the server has ended', async () => {
+  const { area, script } = scriptedArea();
+  await area.acquire(1);
   script.outcome = 'unknown';
-  await place.order('m', 0);
-  expect(await place.acquire(2)).toEqual(false);
-  expect(await place.acquire(1)).toEqual(true);
-  place.onServerExit();
-  expect(await place.acquire(2)).toEqual(true);
+  await area.order('m', 0);
+  expect(await area.acquire(2)).toEqual(false);
+  expect(await area.acquire(1)).toEqual(true);
+  area.onServerExit();
+  expect(await area.acquire(2)).toEqual(true);
 });
 
-test('should lay a version again that had the place before another one', async () => {
-  const scripted = scriptedPlace();
+test('should write the chunks of a version again after another one has owned the staging area', async () => {
+  const scripted = scriptedArea();
   const [older, newer] = [stagerOf(1, scripted), stagerOf(2, scripted)];
   await older.acquireStagingArea();
   older.add(0, bytesOf(1, 0));
-  await until(() => scripted.lying.size === 1);
+  await until(() => scripted.stagedData.size === 1);
   await newer.acquireStagingArea();
   newer.add(0, bytesOf(2, 0));
   older.add(1, bytesOf(1, 1));
-  await until(() => scripted.lying.get(0)!.equals(bytesOf(2, 0)));
-  expect(scripted.lying.size).toEqual(1);
+  await until(() => scripted.stagedData.get(0)!.equals(bytesOf(2, 0)));
+  expect(scripted.stagedData.size).toEqual(1);
   await older.acquireStagingArea();
-  await until(() => scripted.lying.get(0)!.equals(bytesOf(1, 0)) && scripted.lying.size === 2);
-  expect(scripted.lying.get(1)).toEqual(bytesOf(1, 1));
+  await until(() => scripted.stagedData.get(0)!.equals(bytesOf(1, 0)) && scripted.stagedData.size === 2);
+  expect(scripted.stagedData.get(1)).toEqual(bytesOf(1, 1));
 });
 
-test('should not trust what was read before another version had the place', async () => {
-  const scripted = scriptedPlace();
+test('should not rely on chunks that were read before another version owned the staging area', async () => {
+  const scripted = scriptedArea();
   const [older, newer] = [stagerOf(1, scripted), stagerOf(2, scripted)];
   await older.acquireStagingArea();
   const staged = [0, 1].map((chunk) => ({ chunk, data: bytesOf(1, chunk), readAt: scripted.clock.now() }));
@@ -208,8 +205,8 @@
   scripted.clock.advance(1);
   await newer.acquireStagingArea();
   newer.add(0, bytesOf(2, 0));
-  await until(() => scripted.lying.size === 1);
+  await until(() => scripted.stagedData.size === 1);
   await older.acquireStagingArea();
   expect(await older.verify((chunk) => bytesOf(1, chunk), -1)).toEqual(true);
-  expect([...scripted.lying.values()]).toEqual([bytesOf(1, 0), bytesOf(1, 1)]);
+  expect([...scripted.stagedData.values()]).toEqual([bytesOf(1, 0), bytesOf(1, 1)]);
 });
--- a/tests/stagingDecisions.spec.ts
+++ b/tests/stagingDecisions.spec.ts
@@ -1,4 +1,4 @@
-/** Decisions of an agent: who draws what, and who switches when. */
+/** Decisions of an agent: which box downloads which chunk, and which box switches when. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { LocalBackendStatus } from '../src/staging/localBackend.js';
@@ -23,28 +23,28 @@
   return membersOf(count, DATA_CENTRES);
 }
 
-test('should work out the same order from members in any order', () => {
+test('should compute the same order from members in any order', () => {
   const forward = downloadOrder('r', members(14));
   expect(downloadOrder('r', members(14).reverse())).toEqual(forward);
   expect(new Set(forward).size).toEqual(14);
 });
 
-test('should share the draws evenly', () => {
+test('should share the downloads evenly', () => {
   const order = downloadOrder('r', members(14));
   const counts = new Map<string, number>();
   for (let chunk = 0; chunk < CHUNKS; chunk++) {
-    const drawer = downloaderOf(order, chunk, 0) ?? '';
-    counts.set(drawer, (counts.get(drawer) ?? 0) + 1);
+    const downloader = downloaderOf(order, chunk, 0) ?? '';
+    counts.set(downloader, (counts.get(downloader) ?? 0) + 1);
   }
   expect(Math.max(...counts.values()) - Math.min(...counts.values())).toBeLessThanOrEqual(1);
 });
 
-test('should give every chunk exactly one drawer at any time, and another one each turn', () => {
+test('should give every chunk one downloader at a time, and another one in each turn', () => {
   const order = downloadOrder('r', members(5));
-  const drawers = Array.from({ length: 5 }, (_unused, turn) =>
+  const downloaders = Array.from({ length: 5 }, (_unused, turn) =>
     downloaderOf(order, 3, turn * DOWNLOAD_TURN_MILLISECONDS),
   );
-  expect(new Set(drawers).size).toEqual(5);
+  expect(new Set(downloaders).size).toEqual(5);
 });
 
 for (const [boxes, moved] of [
@@ -52,7 +52,7 @@
   [12, 4],
   [9, 6],
 ] as const) {
-  test(`should give other drawers only to the chunks of the one of ${boxes} boxes that is lost`, () => {
+  test(`should reassign only the chunks of the lost box, of ${boxes} boxes`, () => {
     const order = downloadOrder('r', members(boxes));
     for (const lost of initialDownloaders(order)) {
       const after = replaceLostDownloaders(order, new Set([lost]));
@@ -67,17 +67,20 @@
   });
 }
 
-test('should leave no chunk without a drawer while any box is there', () => {
+test('should leave no chunk without a downloader while any box is reachable', () => {
   const order = downloadOrder('r', members(14));
   for (let lost = 0; lost < order.length; lost++) {
     const after = replaceLostDownloaders(order, new Set(order.slice(0, lost)));
-    const drawers = Array.from({ length: CHUNKS }, (_unused, chunk) => downloaderOf(after, chunk, 0) ?? '');
-    expect(drawers.every((box) => order.indexOf(box) >= lost)).toEqual(true);
+    const downloaders = Array.from(
+      { length: CHUNKS },
+      (_unused, chunk) => downloaderOf(after, chunk, 0) ?? '',
+    );
+    expect(downloaders.every((box) => order.indexOf(box) >= lost)).toEqual(true);
   }
   expect(downloaderOf(replaceLostDownloaders(order, new Set(order)), 0, 0)).toEqual(undefined);
 });
 
-test('should share the chunks of a lost drawer among the others where no box stands by', () => {
+test('should share the chunks of a lost downloader among the others if there is no substitute', () => {
   const order = downloadOrder('r', members(9));
   const after = replaceLostDownloaders(order, new Set([order[2]]));
   const chunks = Array.from({ length: CHUNKS }, (_unused, chunk) => chunk);
@@ -85,40 +88,40 @@
   expect(new Set(moved.map((chunk) => downloaderOf(after, chunk, 0))).size).toEqual(moved.length);
 });
 
-test('should let few boxes of a large service draw at first, and any box once those seem to be gone', () => {
+test('should let few boxes of a large service download at first, and any box once those seem to be gone', () => {
   const order = downloadOrder('r', members(54));
-  const drawersAfter = (turns: number): Set<string | undefined> =>
+  const downloadersAfter = (turns: number): Set<string | undefined> =>
     new Set(
       Array.from({ length: CHUNKS }, (_unused, chunk) =>
         downloaderOf(order, chunk, turns * DOWNLOAD_TURN_MILLISECONDS),
       ),
     );
-  expect([...drawersAfter(0)].sort()).toEqual(initialDownloaders(order).sort());
-  expect(drawersAfter(0).size).toEqual(12);
-  expect(drawersAfter(3).size).toEqual(48);
+  expect([...downloadersAfter(0)].sort()).toEqual(initialDownloaders(order).sort());
+  expect(downloadersAfter(0).size).toEqual(12);
+  expect(downloadersAfter(3).size).toEqual(48);
 });
 
-test('should let another box draw the chunks of one that brings nothing, and leave those of a slow one to it', () => {
+test('should reassign the chunks of a box that finishes nothing, but not those of a slow one', () => {
   const order = downloadOrder('r', members(4));
   const progress = new DownloadProgress(8, 0);
-  const broughtBy = (box: string): number[] =>
+  const assignedTo = (box: string): number[] =>
     Array.from({ length: 8 }, (_unused, chunk) => chunk).filter(
       (chunk) => downloaderOf(order, chunk, 0) === box,
     );
   const [slow] = order;
-  const [first, second] = broughtBy(slow);
+  const [first, second] = assignedTo(slow);
   const unseen = Array.from({ length: 8 }, (_unused, chunk) => chunk).filter((chunk) => chunk !== first);
   progress.update(order, unseen, 800);
-  const drawerAt = (chunk: number, now: number): string | undefined =>
+  const downloaderAt = (chunk: number, now: number): string | undefined =>
     downloaderOf(order, chunk, progress.millisecondsWithoutProgress(order, chunk, now));
-  expect(drawerAt(second, 1_500)).toEqual(slow);
+  expect(downloaderAt(second, 1_500)).toEqual(slow);
   const [dead] = order.slice(1);
-  const [undrawn] = broughtBy(dead);
-  expect(drawerAt(undrawn, 800)).toEqual(dead);
-  expect(drawerAt(undrawn, 1_000)).not.toEqual(dead);
+  const [pending] = assignedTo(dead);
+  expect(downloaderAt(pending, 800)).toEqual(dead);
+  expect(downloaderAt(pending, 1_000)).not.toEqual(dead);
 });
 
-test('should have no drawer without members', () => {
+test('should have no downloader without members', () => {
   expect(downloaderOf([], 1, 0)).toEqual(undefined);
 });
 
@@ -140,16 +143,16 @@
   return { box: 'box-0', peers: peers(14, 'staging'), order, leftMilliseconds: 4_000, ...changes };
 }
 
-test('should switch first when first in order', () => {
+test('should begin if it is first in order', () => {
   expect(maySwitch(situation({}))).toEqual(true);
 });
 
-test('should wait for a box before it that has everything staged', () => {
+test('should wait for an earlier box that has staged the version', () => {
   const waiting = situation({ box: 'box-5', peers: peers(1, 'staged', 2, 300) });
   expect(maySwitch(waiting)).toEqual(false);
 });
 
-test('should go on when a box before it does not take its turn', () => {
+test('should begin if an earlier box misses its turn', () => {
   const others = peers(10, 'staging', 6);
   const missed = [...peers(1, 'staged', 2, 1_500), ...peers(1, 'switching', 1, 800), ...others];
   expect(maySwitch(situation({ box: 'box-5', peers: missed }))).toEqual(true);
@@ -157,7 +160,7 @@
   expect(maySwitch(situation({ box: 'box-5', peers: recent }))).toEqual(false);
 });
 
-test('should not wait for a box before it that has not', () => {
+test('should not wait for an earlier box that has not staged the version', () => {
   expect(maySwitch(situation({ box: 'box-5', peers: peers(4, 'staging') }))).toEqual(true);
 });
 
@@ -170,7 +173,7 @@
   expect(maySwitch(room)).toEqual(true);
 });
 
-test('should let fewer boxes switch at the same time the more time there is', () => {
+test('should let fewer boxes switch at the same time if there is more time left', () => {
   const others = [...peers(2, 'switching'), ...peers(4, 'staging', 3), ...peers(8, 'serving', 7)];
   expect(maySwitch(situation({ peers: others, leftMilliseconds: 5_000 }))).toEqual(false);
   expect(maySwitch(situation({ peers: others, leftMilliseconds: 3_000 }))).toEqual(true);
@@ -181,31 +184,31 @@
   expect(maySwitch(situation({ peers: stuck }))).toEqual(true);
 });
 
-test('should begin some time after the box before', () => {
+test('should begin some time after the previous box', () => {
   const others = [...peers(1, 'preparing', 1, 20), ...peers(13, 'staging', 2)];
   expect(maySwitch(situation({ peers: others }))).toEqual(false);
 });
 
-test('should switch whatever the others do when time runs out', () => {
+test('should begin whatever the others do when time runs out', () => {
   expect(maySwitch(situation({ peers: peers(14, 'switching'), leftMilliseconds: 1_200 }))).toEqual(true);
 });
 
-test('should switch alone', () => {
+test('should begin if there are no other boxes', () => {
   expect(maySwitch(situation({ peers: [], order: ['box-0'] }))).toEqual(true);
 });
 
 for (const [what, noticeMilliseconds, waiting, may] of [
-  ['whose entries may not have heard of it', 70, 0, false],
+  ['whose entries may not have received the notice', 70, 0, false],
   ['with requests that have not begun', 200, 1, false],
   ['without requests that have not begun', 110, 0, true],
-  ['that has had time enough', 300, 3, true],
+  ['whose entries were notified long enough ago', 300, 3, true],
 ] as const) {
   test(`should ${may ? 'order' : 'not yet order'} a server ${what}`, () => {
     expect(mayOrder({ noticeMilliseconds, waiting })).toEqual(may);
   });
 }
 
-test('should ask a server that has nothing to do more seldom, unless it is about to switch', () => {
+test('should poll an idle server less often, unless it is about to switch', () => {
   const status = (running: number): LocalBackendStatus => ({
     versions: new Map(),
     busy: false,
--- a/tests/stagingFleet.spec.ts
+++ b/tests/stagingFleet.spec.ts
@@ -1,4 +1,4 @@
-/** Versions on their way to model servers, with faults at each step: agents as on the platform, in one process. */
+/** Loading of versions into backend servers, with faults at each step: agents as on the platform, in one process. */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import type { EntryList } from '../src/protocol/boxMessages.js';
@@ -19,14 +19,14 @@
   return fixture.origin.reads.filter((read) => read.startsWith(`${version}/`)).length;
 }
 
-test('should bring a version to all boxes with one copy from the origin', async () => {
+test('should load a version at all boxes with one copy from the origin', async () => {
   await fixture.start(4);
   await until(() => fixture.allServe(1));
   expect(readsOf(1)).toEqual(CHUNKS);
   expect(fixture.corruptLoads).toEqual([]);
 });
 
-test('should bring a newly named version to all boxes', async () => {
+test('should load a newly announced version at all boxes', async () => {
   await fixture.start(4);
   await until(() => fixture.allServe(1));
   fixture.announce(2);
@@ -40,7 +40,7 @@
   ]);
 });
 
-test('should bring the present version to an added box from the others', async () => {
+test('should load the current version at an added box from the others', async () => {
   await fixture.start(3);
   await until(() => fixture.allServe(1));
   fixture.backdate(2_000);
@@ -50,7 +50,7 @@
   expect(readsOf(1)).toEqual(CHUNKS);
 });
 
-test('should lay a chunk anew that turned bad while it lay there', async () => {
+test('should write a chunk again that became corrupt while it was staged', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [{ server }] = fixture.boxes;
@@ -59,13 +59,13 @@
   await until(() =>
     fixture.logLines.some((line) => line.includes('"version.whole"') && line.includes('"version":2')),
   );
-  server.staged.set(3, Buffer.from('rotten'));
+  server.staged.set(3, Buffer.from('corrupt'));
   server.busy = false;
   await until(() => fixture.allServe(2));
   expect(fixture.corruptLoads).toEqual([]);
 });
 
-test('should find a spoilt draw out and draw again', async () => {
+test('should detect a corrupt download and repeat it', async () => {
   fixture.origin.spoilt.add(0);
   await fixture.start(3);
   await until(() => fixture.allServe(1));
@@ -73,7 +73,7 @@
   expect(fixture.corruptLoads).toEqual([]);
 });
 
-test('should look up an order that got no answer, and not give it twice', async () => {
+test('should check the effect of an order without an answer, and not repeat it', async () => {
   await fixture.start(1);
   const [{ server }] = fixture.boxes;
   server.unansweredOrders = 1;
@@ -81,7 +81,7 @@
   expect(server.orders).toEqual([1]);
 });
 
-test('should take over what lies there when an agent starts anew', async () => {
+test('should take over the staged chunks when an agent restarts', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [box] = fixture.boxes;
@@ -93,33 +93,33 @@
   expect(readsOf(1)).toEqual(CHUNKS);
 });
 
-test('should read back what lies there anew once a server has lost its power and started again', async () => {
+test('should read the staged chunks back again after a server has restarted from a power loss', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [box] = fixture.boxes;
-  for (let life = 0; life < 3; life++) {
+  for (let restart = 0; restart < 3; restart++) {
     await fixture.stopAgent(box);
-    const whole = (): number => fixture.logLines.filter((line) => line.includes('version.whole')).length;
-    const before = whole();
+    const completed = (): number => fixture.logLines.filter((line) => line.includes('version.whole')).length;
+    const before = completed();
     box.server.version = 0;
     await fixture.startAgent(box);
     fixture.notifyAll();
-    await until(() => whole() > before);
+    await until(() => completed() > before);
     box.server.restart();
     await until(() => fixture.allServe(1));
     expect(fixture.corruptLoads).toEqual([]);
   }
 });
 
-test('should tell entries that nothing is served while nothing listens there, and not at a time-out', async () => {
+test('should report no version while connections to the server are refused, but not at a timeout', async () => {
   await fixture.start(1);
   await until(() => fixture.allServe(1));
   const [box] = fixture.boxes;
   const versions: number[] = [];
-  const tell = await fixture.connectAsEntry(box, (message) => {
+  const sendPresence = await fixture.connectAsEntry(box, (message) => {
     if (message.type === 'box-status' && message.model === MODEL) versions.push(message.version);
   });
-  tell({});
+  sendPresence({});
   await until(() => versions.at(-1) === 1);
   versions.length = 0;
   box.server.unreachable = 'UND_ERR_CONNECT_TIMEOUT';
@@ -131,7 +131,7 @@
   await until(() => versions.at(-1) === 1);
 });
 
-test('should bring the version back to a server that lost it', async () => {
+test('should load the version again into a server that lost it', async () => {
   await fixture.start(2);
   await until(() => fixture.allServe(1));
   fixture.boxes[0].server.version = 0;
@@ -141,7 +141,7 @@
   expect(fixture.corruptLoads).toEqual([]);
 });
 
-test('should go on when the origin comes back', async () => {
+test('should continue when the origin comes back', async () => {
   fixture.origin.down = true;
   await fixture.start(3);
   await until(() => fixture.logLines.some((line) => line.includes('manifest.failed')));
@@ -149,7 +149,7 @@
   await until(() => fixture.allServe(1));
 });
 
-test('should bring the newest version when two are named in a moment', async () => {
+test('should load the newest version if two are announced shortly after each other', async () => {
   await fixture.start(4);
   await until(() => fixture.allServe(1));
   fixture.announce(2);
@@ -158,7 +158,7 @@
   expect(fixture.corruptLoads).toEqual([]);
 });
 
-test('should bring a version though a box that was to draw is gone', async () => {
+test('should load a version although a box that was to download is gone', async () => {
   await fixture.start(4);
   await until(() => fixture.allServe(1));
   const [gone] = fixture.boxes.splice(0, 1);
@@ -168,7 +168,7 @@
   expect(fixture.corruptLoads).toEqual([]);
 });
 
-test('should leave its chunks to a box whose first connection is yet to come up', async () => {
+test('should not reassign the chunks of a box at once if its first connection is not up yet', async () => {
   await fixture.start(3);
   await until(() => fixture.allServe(1));
   fixture.logLines.length = 0;
@@ -180,56 +180,56 @@
     .map((line) => JSON.parse(line) as { time: number; chunks: number });
   const drawn = draws.reduce((sum, { chunks }) => sum + chunks, 0);
   expect(drawn).toEqual(CHUNKS);
-  const own = draws.filter(({ chunks }) => chunks === CHUNKS / 4).map(({ time }) => time);
-  const substituted = draws.filter(({ chunks }) => chunks < CHUNKS / 4).map(({ time }) => time);
-  expect(own.length).toEqual(3);
-  expect(Math.min(...substituted) - Math.max(...own) >= 250).toEqual(true);
+  const ownDownloads = draws.filter(({ chunks }) => chunks === CHUNKS / 4).map(({ time }) => time);
+  const takenOver = draws.filter(({ chunks }) => chunks < CHUNKS / 4).map(({ time }) => time);
+  expect(ownDownloads.length).toEqual(3);
+  expect(Math.min(...takenOver) - Math.max(...ownDownloads) >= 250).toEqual(true);
 });
 
-/** A version that an entry has heard of just now. */
+/** A version that an entry has just heard of. */
 const HEARD = { model: MODEL, version: 7, heardMilliseconds: 0 };
 
-/** The versions that an agent told an entry by these messages. */
-function told(messages: readonly Message[]): number[] {
+/** Returns the versions that an agent reported to an entry in these messages. */
+function reportedVersions(messages: readonly Message[]): number[] {
   const news = messages.flatMap((message) => (message.type === 'versions-heard' ? message.versions : []));
   return news.map(({ version }) => version);
 }
 
-test('should pass on to other entries which versions an entry has heard of', async () => {
+test('should forward to other entries which versions an entry has heard of', async () => {
   await fixture.start(1);
   const [box] = fixture.boxes;
   const messages: Message[] = [];
-  const listen = await fixture.connectAsEntry(box, (message) => void messages.push(message));
-  listen({});
+  const sendListenerPresence = await fixture.connectAsEntry(box, (message) => void messages.push(message));
+  sendListenerPresence({});
   await until(() => messages.some(({ type }) => type === 'box-status'));
-  const tell = await fixture.connectAsEntry(box, () => undefined);
-  tell({ hearsStatus: false, heard: [HEARD] });
-  await until(() => told(messages).includes(HEARD.version));
+  const sendPresence = await fixture.connectAsEntry(box, () => undefined);
+  sendPresence({ hearsStatus: false, heard: [HEARD] });
+  await until(() => reportedVersions(messages).includes(HEARD.version));
 });
 
-test('should tell an entry that connects which versions others have heard of before', async () => {
+test('should send a new entry the versions that others have heard of before', async () => {
   await fixture.start(1);
   const [box] = fixture.boxes;
   const answers: Message[] = [];
-  const tell = await fixture.connectAsEntry(box, (message) => void answers.push(message));
-  tell({ hearsStatus: false, heard: [HEARD] });
-  // answered with a status, which shows that the agent has taken what came before
-  tell({ hearsStatus: true });
+  const sendPresence = await fixture.connectAsEntry(box, (message) => void answers.push(message));
+  sendPresence({ hearsStatus: false, heard: [HEARD] });
+  // The status that answers this shows that the agent has processed the message before.
+  sendPresence({ hearsStatus: true });
   await until(() => answers.some(({ type }) => type === 'box-status'));
   const messages: Message[] = [];
-  const listen = await fixture.connectAsEntry(box, (message) => void messages.push(message));
-  listen({});
-  await until(() => told(messages).includes(HEARD.version));
+  const sendListenerPresence = await fixture.connectAsEntry(box, (message) => void messages.push(message));
+  sendListenerPresence({});
+  await until(() => reportedVersions(messages).includes(HEARD.version));
 });
 
-test('should tell an entry that another one is gone when the connection of that has ended', async () => {
+test('should report an entry as gone to other entries when its connection has ended', async () => {
   await fixture.start(1);
   const [box] = fixture.boxes;
   const lists: EntryList[] = [];
-  const listen = await fixture.connectAsEntry(box, (message) => {
+  const sendListenerPresence = await fixture.connectAsEntry(box, (message) => {
     if (message.type === 'entry-list') lists.push(message);
   });
-  listen({ hearsEntries: true });
+  sendListenerPresence({ hearsEntries: true });
   await until(() => lists.some(({ entries }) => entries.some((entry) => entry.box === 'entry')));
   box.entry?.close('the test ends it');
   await until(() => lists.some(({ gone }) => gone.includes('entry')));
