--- a/src/staging/downloadSchedule.ts
+++ b/src/staging/downloadSchedule.ts
@@ -1,6 +1,6 @@
 /**
  * Decides which box downloads which chunk from the origin, and when another box takes the download over. Log lines
- * and messages call such a download a draw. Pure functions, so that all boxes come to the same result.
+ * and messages call such a download a draw. All boxes compute the same order from the same members.
  */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { orderAcrossDataCentres } from '../utils/dataCentreOrder.js';
@@ -22,8 +22,8 @@
 
 /**
  * Returns the boxes in the order in which they download. Boxes that exchange chunks with other data centres come
- * first: a chunk that another box downloads is announced to other data centres only with the next refresh, up to 2
- * s later.
+ * first: a chunk that another box downloads is announced to other data centres up to 2 s later, with the next
+ * refresh.
  */
 export function downloadOrder(rollout: string, members: readonly Member[]): string[] {
   const gateways = new Set(exchangeGateways(members));
@@ -61,7 +61,7 @@
 }
 
 /**
- * Returns the box that is to download `chunk` if the first one for it has finished nothing for `elapsed`
+ * Returns the box that is to download `chunk` once its first downloader has finished no chunk for `elapsed`
  * milliseconds.
  */
 export function downloaderOf(order: readonly string[], chunk: number, elapsed: number): string | undefined {
--- a/src/staging/serverNotices.ts
+++ b/src/staging/serverNotices.ts
@@ -12,8 +12,8 @@
 const MAX_AGE_MILLISECONDS = 600_000;
 
 /**
- * An unchanged notice is forwarded again after this time, for entries that have left the server to others until
- * then.
+ * An unchanged notice is forwarded again after this time. Entries that leave the server to other entries wait for
+ * it.
  */
 const REPEAT_MILLISECONDS = 9_000;
 
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Merges the notices that an entry reports. Returns the merged notices of the servers for which they brought
-   * news.
+   * Merges the notices that an entry reports. Returns the merged notices of those servers for which something is
+   * new.
    */
   merge(notices: readonly ServerNotice[]): ServerNotice[] {
     const changed = new Set(notices.filter((notice) => this._mergeOne(notice)).map(({ server }) => server));
@@ -63,8 +63,8 @@
 }
 
 /**
- * Returns the newer notice. Within one run of a server, `leaving` stays set: a newer notice of an entry may not
- * know it yet.
+ * Returns the newer notice. Within one run of a server, `leaving` stays set, even if the newer notice comes from an
+ * entry that does not know it yet.
  */
 function merged(known: RememberedNotice, reported: RememberedNotice): RememberedNotice {
   const newer = reported.heardAt > known.heardAt ? reported : known;
--- a/src/staging/stageQueue.ts
+++ b/src/staging/stageQueue.ts
@@ -135,7 +135,7 @@
   }
 
   /** Whether this box has no open downloads of older versions, so that `version` may use the origin's link. */
-  private _mayDraw(version: number): boolean {
+  private _mayDownload(version: number): boolean {
     return this._stages.every((stage) => stage.version >= version || stage.exchange.openDraws.length === 0);
   }
 
@@ -160,7 +160,7 @@
       manifest,
       members: members(),
       mayFetch: () => this._mayFetch(version),
-      mayDraw: () => this._mayDraw(version),
+      mayDownload: () => this._mayDownload(version),
     });
     this._stages.push(stage);
     const adopt = this._isFirst;
--- a/src/staging/statusSender.ts
+++ b/src/staging/statusSender.ts
@@ -38,7 +38,7 @@
     this._options = options;
   }
 
-  /** Sends the status if the state, version, link or load has changed so that entries must know it at once. */
+  /** Sends the status if the state, version or link has changed, or the load by so much that entries have to know. */
   onChange(): void {
     const status = this._options.build();
     const last = this._last;
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -34,11 +34,11 @@
   /** Rate at which the box may receive chunks. */
   bytesPerSecond: number;
   /**
-   * Whether this version may fetch from other boxes, and download from the origin; false while an older version
-   * does.
+   * Whether this version may fetch from other boxes, and whether it may download from the origin. An older version
+   * comes first.
    */
   mayFetch: () => boolean;
-  mayDraw: () => boolean;
+  mayDownload: () => boolean;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -64,6 +64,7 @@
   readonly announcedAt: number;
   private readonly _options: VersionStageOptions;
   private readonly _stager: ChunkStager;
+  /** Chunks that were queued for staging, or were staged already. */
   private readonly _handledChunks = new Set<number>();
   private readonly _startedAt: number;
   private readonly _linkRate: LinkRate;
@@ -130,7 +131,7 @@
     return count === 0 ? Number.POSITIVE_INFINITY : (elapsed * (size - count)) / count;
   }
 
-  /** Whether chunks arrive slowly for the link, or did until a moment ago. */
+  /** Whether chunks arrive much more slowly than the box may receive them, or did until a moment ago. */
   get isSlow(): boolean {
     return this._linkRate.isSlow(this._options.clock.now());
   }
@@ -196,9 +197,9 @@
     this._linkRate.record(this._options.clock.now(), receivedBytes, this.exchange.fetching);
   }
 
-  /** Downloads the chunks that no box has and that are assigned to this box. */
+  /** Starts downloading the chunks that neither this box nor a neighbour has, and that are assigned to this box. */
   private _downloadMissing(): void {
-    if (!this._options.mayDraw()) return;
+    if (!this._options.mayDownload()) return;
     this._downloadScarce();
     const now = this._options.clock.now();
     const isNew = this._startedAt - this.announcedAt < NEW_VERSION_AGE_MILLISECONDS;
@@ -219,10 +220,7 @@
     this.exchange.grant(added);
   }
 
-  /**
-   * Downloads chunks again that only one box with a slow link has, if the turn for them in this data centre is at
-   * this box.
-   */
+  /** Downloads chunks again that only one box with a slow link has. In each data centre one box does so. */
   private _downloadScarce(): void {
     const now = this._options.clock.now();
     const { box } = this._options.services;
--- a/tests/stagedChunks.spec.ts
+++ b/tests/stagedChunks.spec.ts
@@ -29,9 +29,9 @@
   const staged = new StagedChunks({ backend, models, clock, log: quietLog() });
   const chunks = CHUNKS.map((chunk) => ({ digest: sha256Hex(bytesOf(chunk)), size: bytesOf(chunk).length }));
   const index = new ManifestIndex({ model: 'm', version: '1', chunks });
-  const place = new StagingArea({ backend: backend as LocalBackend, clock, log: quietLog() });
+  const stagingArea = new StagingArea({ backend: backend as LocalBackend, clock, log: quietLog() });
   const stager = new ChunkStager({
-    stagingArea: place,
+    stagingArea,
     model: 'm',
     version: 1,
     index,
