--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -90,9 +90,7 @@
     return false;
   }
 
-  /**
-   * Passes the chunks that are staged already and match the manifest to `take`, and remembers when they were read.
-   */
+  /** Passes the staged chunks that match the manifest to `take`, and records when they were read. */
   adopt(staged: readonly StagedChunk[], take: (chunk: number, data: Buffer) => void): void {
     for (const { chunk, data, readAt } of staged) {
       if (chunk >= this._options.index.chunkCount || !this._matches(chunk, data)) continue;
--- a/src/staging/connectedEntries.ts
+++ b/src/staging/connectedEntries.ts
@@ -122,10 +122,7 @@
     this._scheduledSend.cancel();
   }
 
-  /**
-   * Asks entries of this data centre first, since agent lists are long and traffic between data centres is
-   * expensive.
-   */
+  /** Asks entries of this data centre first: agent lists are long, and traffic between data centres is expensive. */
   private _askForAgents(): void {
     let asked = [...this._entries.values()].filter((entry) => entry.asked).length;
     if (asked >= MAX_ASKED_ENTRIES) return;
--- a/src/staging/linkRate.ts
+++ b/src/staging/linkRate.ts
@@ -4,8 +4,8 @@
 const SLOW_SHARE = 0.38;
 const MIN_MEASURED_MILLISECONDS = 1_000;
 /**
- * Fewest concurrent fetches that are measured: the rate of a single fetch depends on its sender as much as on the
- * link.
+ * Fewest concurrent fetches that are measured. The rate of a single fetch says as much about its sender as about
+ * the link.
  */
 const MIN_FETCHES = 2;
 /** Half-life of the weight of received bytes, so that a link that becomes slow or fast again is detected soon. */
--- a/src/staging/pollInterval.ts
+++ b/src/staging/pollInterval.ts
@@ -2,7 +2,7 @@
 import type { LocalBackendStatus } from './localBackend.js';
 import type { SwitchStage } from './switchTurn.js';
 
-/** Usual interval, and so the age that a reported load can have before an entry chooses by it. */
+/** Usual interval. A load that entries choose a server by may be this old when the agent sends it. */
 export const POLL_MILLISECONDS = 120;
 /**
  * Interval while the box prepares or switches, so that the agent learns soon when it may send the order and when
--- a/src/staging/switchGroup.ts
+++ b/src/staging/switchGroup.ts
@@ -1,14 +1,11 @@
-/**
- * Selects the boxes of a service that a box connects to, and those with which it takes turns at switching. Pure
- * functions.
- */
+/** Selects the boxes that a box connects to, and those with which it takes turns at switching. Pure functions. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { topologyPolicy } from '../weights/topologies.js';
 
 /** Up to this number of boxes, all are connected to each other and take turns as one group. */
 const MAX_BOXES_OF_ONE_GROUP = 40;
 /**
- * Largest group in which all boxes are connected to each other; in a larger one only those that exchange chunks
+ * Largest group in which all boxes are connected to each other. In a larger one, only boxes that exchange chunks
  * are.
  */
 const MAX_FULLY_CONNECTED_BOXES = 64;
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -100,7 +100,8 @@
   }
 
   /**
-   * The stage to continue with: the ordered version until it serves, then the oldest one newer than the served one.
+   * The stage to continue with: the ordered version until it serves, then the oldest one newer than the served one;
+   * see {@link VersionReconciler._nextStageOfEmptyServer} for a server without a version.
    */
   private get _nextStage(): VersionStage | undefined {
     const { stages } = this._options;
--- a/src/staging/worthFinishing.ts
+++ b/src/staging/worthFinishing.ts
@@ -1,7 +1,4 @@
-/**
- * Decides whether a version is still worth loading once a newer one has been announced. Pure functions, so that all
- * boxes come to the same result.
- */
+/** Decides whether to finish loading a version once a newer one has been announced. All boxes apply the same rule. */
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 
 /** Input of the decision. Times are monotonic milliseconds. */
@@ -16,10 +13,7 @@
   copyMilliseconds: number;
   /** Time to receive the missing chunks of the version at that rate. */
   missingMilliseconds: number;
-  /**
-   * Shares of the chunks of the version and of the newer one that some box has downloaded from the origin, from 0
-   * to 1.
-   */
+  /** Shares of the chunks of each of the two versions that some box has from the origin, from 0 to 1. */
   availableShare: number;
   newerAvailableShare: number;
 }
