--- a/tests/stagingArea.spec.ts
+++ b/tests/stagingArea.spec.ts
@@ -1,9 +1,10 @@
 /**
- * Guards against chunks of a newer version in the version that a backend server loads. Version 9 was announced while the
- * server served version 8, so that its chunks overwrote those of version 8 in the staging area as they arrived. The server
- * crashed and restarted without a version. Its agent went back to version 8: it read the staged chunks, wrote those again
- * that differed and sent the order, while chunks of version 9 were still being written. Those that arrived between the
- * reading and the order became part of the loaded version. Log lines of the agent, with the time in seconds:
+ * Guards against chunks of a newer version in the version that a backend server loads. Version 9 was announced
+ * while the server served version 8, so that its chunks overwrote those of version 8 in the staging area as they
+ * arrived. The server crashed and restarted without a version. Its agent went back to version 8: it read the staged
+ * chunks, wrote those again that differed and sent the order, while chunks of version 9 were still being written.
+ * Those that arrived between the reading and the order became part of the loaded version. Log lines of the agent,
+ * with the time in seconds:
  *
  *   63.795 version.serving        version 8
  *   64.519 backend.gone           version 8
@@ -13,7 +14,7 @@
  *   66.110 version.ordered        version 8, begun
  *   66.487 version.whole          version 9
  *
- * The fault does not show if the server answers at once, so calls of the fixture take a random time, drawn from a seed.
+ * The fault does not show if the server answers at once, so calls of the fixture take a random time from a seed.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
