--- a/src/external/keptClient.ts
+++ b/src/external/keepAliveClient.ts
@@ -8,7 +8,7 @@
 import { StepError, errorText } from '../utils/stepError.js';
 
 /** One call. */
-export interface KeptCall {
+export interface KeepAliveCall {
   step: string;
   method: 'GET' | 'PUT';
   path: string;
@@ -16,12 +16,12 @@
 }
 
 /** A whole answer. */
-export interface KeptAnswer {
+export interface KeepAliveAnswer {
   status: number;
   bytes: Buffer;
 }
 
-export class KeptClient {
+export class KeepAliveClient {
   private readonly _address: string;
   private readonly _client: Client;
 
@@ -37,7 +37,7 @@
   }
 
   /** Throws a StepError when there is no answer; any status is an answer. Calls go out one after the other. */
-  async call({ step, method, path, body }: KeptCall): Promise<KeptAnswer> {
+  async call({ step, method, path, body }: KeepAliveCall): Promise<KeepAliveAnswer> {
     try {
       return await this._dispatch({ method, path, body: body ?? null });
     } catch (error) {
@@ -50,7 +50,7 @@
     void this._client.destroy().catch(() => undefined);
   }
 
-  private async _dispatch(options: Dispatcher.DispatchOptions): Promise<KeptAnswer> {
+  private async _dispatch(options: Dispatcher.DispatchOptions): Promise<KeepAliveAnswer> {
     return await new Promise((resolve, reject) => {
       const pieces: Buffer[] = [];
       let status = 0;
--- a/tests/keptClient.spec.ts
+++ b/tests/keepAliveClient.spec.ts
@@ -4,11 +4,11 @@
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
 import { wasNeverSent } from '../src/external/httpClient.js';
-import { KeptClient } from '../src/external/keptClient.js';
+import { KeepAliveClient } from '../src/external/keepAliveClient.js';
 import { freePort } from './fixtures/freePort.js';
 
 let server: http.Server;
-let client: KeptClient;
+let client: KeepAliveClient;
 let connections = 0;
 let answer: http.RequestListener;
 
@@ -18,7 +18,7 @@
   server = http.createServer((request, response) => answer(request, response));
   server.on('connection', () => connections++);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  client = new KeptClient(`127.0.0.1:${(server.address() as AddressInfo).port}`, 200);
+  client = new KeepAliveClient(`127.0.0.1:${(server.address() as AddressInfo).port}`, 200);
 });
 
 afterEach(() => {
@@ -29,7 +29,7 @@
 
 const REPORT = { step: 'test.get', method: 'GET', path: '/report' } as const;
 
-async function failureOf(kept: KeptClient): Promise<Error | undefined> {
+async function failureOf(kept: KeepAliveClient): Promise<Error | undefined> {
   try {
     await kept.call(REPORT);
     return undefined;
@@ -50,7 +50,7 @@
 });
 
 test('should say that nothing was sent where nothing listens', async () => {
-  const nobody = new KeptClient(`127.0.0.1:${await freePort()}`, 200);
+  const nobody = new KeepAliveClient(`127.0.0.1:${await freePort()}`, 200);
   const error = await failureOf(nobody);
   expect(error?.message.startsWith('test.get')).toEqual(true);
   expect(wasNeverSent(error?.cause)).toEqual(true);
