--- a/src/agent/agentDaemon.ts
+++ b/src/agent/agentDaemon.ts
@@ -167,7 +167,7 @@
   /** Takes no new work, lets requests in flight end, then closes. */
   async stop(): Promise<void> {
     this._leaving = true;
-    this._gate.leave();
+    this._gate.refuseNewRequests();
     for (const version of this._hosts.versions()) version.exchange.dropPendingOriginFetches();
     this._reporter.sendNow();
     this._logger.state('agent.leaving', { inFlight: this._queue.running, queued: this._queue.waiting });
--- a/src/agent/agentHttpServer.ts
+++ b/src/agent/agentHttpServer.ts
@@ -13,7 +13,7 @@
 import { errorText } from '../utils/stepError.js';
 import type { UploadQueue } from '../weights/uploadQueue.js';
 import type { BackendForwarder } from './backendForwarder.js';
-import type { Pass, RequestGate } from './requestGate.js';
+import type { RequestPermit, RequestGate } from './requestGate.js';
 import type { StagedVersion } from './stagedVersion.js';
 
 /** What the HTTP server of an agent works with. */
@@ -120,13 +120,13 @@
     ) as Priority;
     const deadline = text(HEADER.deadline);
     const once = this._ledgerRequest(request, customer, configuration);
-    const entered = this._options.gate.enter({
+    const entered = this._options.gate.admit({
       customer,
       configuration,
       priority,
       deadlineMilliseconds: deadline === '' ? undefined : Number(deadline),
       version: text(HEADER.version),
-      once,
+      ledgerRequest: once,
     });
     this._addEcho(request, response);
     if (entered.isErr()) return this._refuse(response, entered.error);
@@ -137,7 +137,7 @@
   private async _forward(
     request: http.IncomingMessage,
     response: http.ServerResponse,
-    pass: Pass,
+    pass: RequestPermit,
     known: { customer: string; priority: Priority; body: Buffer; ledgerKey: string | undefined },
   ): Promise<void> {
     const refusal = await this._options.forwarder.forward(
--- a/src/agent/backendForwarder.ts
+++ b/src/agent/backendForwarder.ts
@@ -9,7 +9,7 @@
 import type { Logger } from '../telemetry/logger.js';
 import { untilDrained } from '../utils/backpressure.js';
 import { StepError, errorText } from '../utils/stepError.js';
-import type { Pass } from './requestGate.js';
+import type { RequestPermit } from './requestGate.js';
 
 /** What is forwarded. */
 export interface ForwardRequest {
@@ -53,7 +53,7 @@
   /** Runs the request; returns a refusal when nothing has been answered yet. Never throws. */
   async forward(
     request: ForwardRequest,
-    pass: Pass,
+    pass: RequestPermit,
     response: http.ServerResponse,
   ): Promise<Refusal | undefined> {
     const left = new AbortController();
@@ -69,7 +69,7 @@
 
   private async _run(
     request: ForwardRequest,
-    pass: Pass,
+    pass: RequestPermit,
     response: http.ServerResponse,
     left: AbortSignal,
   ): Promise<Refusal | undefined> {
@@ -87,7 +87,7 @@
 
   private async _send(
     request: ForwardRequest,
-    pass: Pass,
+    pass: RequestPermit,
     left: AbortSignal,
   ): Promise<BackendAnswer | 'lost' | undefined> {
     try {
@@ -112,7 +112,7 @@
   private async _pipe(
     answer: BackendAnswer,
     request: ForwardRequest,
-    pass: Pass,
+    pass: RequestPermit,
     response: http.ServerResponse,
   ): Promise<void> {
     const contentType = String(answer.headers['content-type'] ?? 'application/octet-stream');
--- a/src/agent/requestGate.ts
+++ b/src/agent/requestGate.ts
@@ -18,11 +18,11 @@
   /** The only version that will do, or ''. */
   version: string;
   /** Present when the request is not repeatable. */
-  once: LedgerRequest | undefined;
+  ledgerRequest: LedgerRequest | undefined;
 }
 
 /** A request that may run. `end` must be called once it is over. */
-export interface Pass {
+export interface RequestPermit {
   kind: 'run';
   version: StagedVersion;
   admission: Admission;
@@ -44,7 +44,7 @@
 
 /** Checks, in this order: leaving, in service, version, ledger, share of the box. */
 export class RequestGate {
-  private readonly _hosts: (customer: string, configuration: string) => ServiceHost | undefined;
+  private readonly _findHost: (customer: string, configuration: string) => ServiceHost | undefined;
   private readonly _queue: FairQueue;
   private readonly _ledger: Ledger;
   private _leaving = false;
@@ -54,28 +54,33 @@
     queue: FairQueue,
     ledger: Ledger,
   ) {
-    this._hosts = hosts;
+    this._findHost = hosts;
     this._queue = queue;
     this._ledger = ledger;
   }
 
   /** Refuses all new work from now on. */
-  leave(): void {
+  refuseNewRequests(): void {
     this._leaving = true;
   }
 
   /** Lets a request in, replays its answer, or refuses it at once. */
-  enter(request: GateRequest): Result<Pass | Replay, Refusal> {
-    const host = this._hosts(request.customer, request.configuration);
-    const verdict = request.once ? this._ledger.check(serviceKey(request), request.once) : undefined;
+  admit(request: GateRequest): Result<RequestPermit | Replay, Refusal> {
+    const host = this._findHost(request.customer, request.configuration);
+    const verdict = request.ledgerRequest
+      ? this._ledger.check(serviceKey(request), request.ledgerRequest)
+      : undefined;
     if (verdict?.kind === 'answered') return ok({ kind: 'replay', answer: verdict.answer });
     if (verdict && verdict.kind !== 'run') return err(refusalFor(VERDICT_REASON[verdict.kind]));
-    const pass = this._enterVersion(request, host);
-    if (pass.isErr() && request.once) this._ledger.cancel(request.once.key);
+    const pass = this._admitToVersion(request, host);
+    if (pass.isErr() && request.ledgerRequest) this._ledger.cancel(request.ledgerRequest.key);
     return pass;
   }
 
-  private _enterVersion(request: GateRequest, host: ServiceHost | undefined): Result<Pass, Refusal> {
+  private _admitToVersion(
+    request: GateRequest,
+    host: ServiceHost | undefined,
+  ): Result<RequestPermit, Refusal> {
     const version = host?.active;
     if (this._leaving) return err(refusalFor('leaving'));
     if (!host || !version) return err(refusalFor('not-serving'));
@@ -90,7 +95,7 @@
     });
     if (admitted.isErr())
       return err(refusalFor(admitted.error.reason, admitted.error.retryAfterMilliseconds));
-    return ok(passFor(host, version, admitted.value));
+    return ok(createPermit(host, version, admitted.value));
   }
 }
 
@@ -99,7 +104,7 @@
   return `${service.customer}.${service.configuration}`;
 }
 
-function passFor(host: ServiceHost, version: StagedVersion, admission: Admission): Pass {
+function createPermit(host: ServiceHost, version: StagedVersion, admission: Admission): RequestPermit {
   let ended = false;
   version.inFlight++;
   const end = (): void => {
--- a/tests/backendForwarder.spec.ts
+++ b/tests/backendForwarder.spec.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { BackendForwarder } from '../src/agent/backendForwarder.js';
-import type { Pass } from '../src/agent/requestGate.js';
+import type { RequestPermit } from '../src/agent/requestGate.js';
 import { Ledger } from '../src/requests/ledger.js';
 import { Logger } from '../src/telemetry/logger.js';
 import { ManualClock } from '../src/utils/clock.js';
@@ -14,7 +14,7 @@
   version: { plan: { version: 'v1' } },
   admission: { ready: Promise.resolve(true), release: () => undefined },
   end: () => undefined,
-} as unknown as Pass;
+} as unknown as RequestPermit;
 
 /** Forwards one request to `backend` and returns what an entry would see. */
 async function forward(backend: http.RequestListener): Promise<Response | string> {
