--- a/src/agent/agentDaemon.ts
+++ b/src/agent/agentDaemon.ts
@@ -127,7 +127,7 @@
       random,
       logger: this._logger,
       weightsBaseUrl: () => this._weightsBaseUrl,
-      onChange: () => this._reporter.changed(),
+      onChange: () => this._reporter.scheduleReport(),
     });
     this._gate = new RequestGate(
       (customer, name) => this._hosts.find(customer, name),
@@ -140,7 +140,7 @@
       ledger: this._ledger,
       logger: this._logger,
       onPlan: () => this._onPlan(),
-      onLedger: () => this._reporter.changed(),
+      onLedger: () => this._reporter.scheduleReport(),
       isLeaving: () => this._leaving,
     });
     this._reporter = new Reporter(() => this._report());
@@ -234,7 +234,7 @@
     if (up === this._backendUp) return;
     this._backendUp = up;
     this._logger.state('backend.health', { up });
-    this._reporter.changed();
+    this._reporter.scheduleReport();
   }
 
   private _report(): ReportMessage {
--- a/src/agent/agentHttpServer.ts
+++ b/src/agent/agentHttpServer.ts
@@ -88,10 +88,10 @@
   ): Promise<void> {
     const rollout = decodeURIComponent(name);
     const version = this._options.versions().find((candidate) => candidate.plan.rollout === rollout);
-    const data = version?.admits(sender) ? version.chunkData(Number(chunk)) : undefined;
+    const data = version?.hasMember(sender) ? version.chunkData(Number(chunk)) : undefined;
     if (!version || !data) return answerJson(response, 404, { error: 'no such chunk' });
     const { uploads, box } = this._options;
-    const priority = version.areApart(sender, box) ? 'other-data-centre' : 'usual';
+    const priority = version.areInDifferentDataCentres(sender, box) ? 'other-data-centre' : 'usual';
     await uploads.send(response, data, { chunk: `${rollout}/${chunk}`, priority });
   }
 
--- a/src/agent/orderHandler.ts
+++ b/src/agent/orderHandler.ts
@@ -56,7 +56,7 @@
 
   /** Carries out an order and replies on `connection`. */
   async handle(order: OrderMessage, connection: ControlConnection): Promise<void> {
-    const host = this._options.hosts.take(order.customer, order.configuration);
+    const host = this._options.hosts.getOrCreate(order.customer, order.configuration);
     const { customer, configuration, epoch, type } = order;
     if (!host.admitEpoch(epoch)) {
       this._options.logger.state('order.refused', {
@@ -101,7 +101,7 @@
   private async _plan(order: PlanMessage, host: ServiceHost): Promise<OrderAnswer> {
     const result = await host.plan(order);
     this._options.onPlan();
-    host.begin();
+    host.startTransfers();
     return { ...result, ...this._holdings(order.rollout) };
   }
 
--- a/src/agent/reporter.ts
+++ b/src/agent/reporter.ts
@@ -28,7 +28,7 @@
   }
 
   /** Says that the state has changed. */
-  changed(): void {
+  scheduleReport(): void {
     this._gatherTimer ??= setTimeout(() => {
       this._gatherTimer = undefined;
       this._sendChanges();
--- a/src/agent/serviceHost.ts
+++ b/src/agent/serviceHost.ts
@@ -76,7 +76,7 @@
   }
 
   /** Starts the transfers of a planned version; apart from plan() so that peers are connected first. */
-  begin(): void {
+  startTransfers(): void {
     const target = this._target;
     if (target?.state !== 'staging') return;
     target.exchange.start();
--- a/src/agent/serviceHosts.ts
+++ b/src/agent/serviceHosts.ts
@@ -21,7 +21,7 @@
   }
 
   /** Returns the host of a configuration, new if need be. */
-  take(customer: string, configuration: string): ServiceHost {
+  getOrCreate(customer: string, configuration: string): ServiceHost {
     const known = this.find(customer, configuration);
     if (known) return known;
     const host = new ServiceHost({ ...this._shared, customer, configuration });
--- a/src/agent/stagedVersion.ts
+++ b/src/agent/stagedVersion.ts
@@ -44,12 +44,12 @@
   }
 
   /** Whether `box` belongs to the rollout and may fetch its chunks. */
-  admits(box: string): boolean {
+  hasMember(box: string): boolean {
     return this.plan.members.some((member) => member.box === box);
   }
 
   /** Whether two boxes of the rollout stand in different data centres. */
-  areApart(one: string, other: string): boolean {
+  areInDifferentDataCentres(one: string, other: string): boolean {
     const dataCentreOf = (box: string): string | undefined =>
       this.plan.members.find((member) => member.box === box)?.dataCentre;
     return dataCentreOf(one) !== dataCentreOf(other);
--- a/tests/serviceHost.spec.ts
+++ b/tests/serviceHost.spec.ts
@@ -130,7 +130,7 @@
     plan: async (version, epoch = 1) => {
       host.admitEpoch(epoch);
       await host.plan(planFor(version, epoch, await origin.manifest('studio', 'advisor', version)));
-      host.begin();
+      host.startTransfers();
     },
     grantAll: (version) => {
       const chunks = Array.from({ length: CHUNKS }, (_none, index) => index);
