--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -152,7 +152,7 @@
   async stop(): Promise<void> {
     this._leaving = true;
     this._replicator.announceLeaving();
-    this._http.leave();
+    this._http.disableKeepAlive();
     this._logger.state('entry.leaving', { inFlight: this._http.inFlight });
     await this._pool.stop();
     await pause(SHUTDOWN_GRACE_MILLISECONDS);
@@ -221,7 +221,7 @@
       callers,
       operators,
       metrics: this._metrics,
-      notReady: () => this._notReady(),
+      notReadyReason: () => this._notReady(),
     });
   }
 
@@ -240,7 +240,7 @@
   private _onBoxes(): void {
     const entries = this._boxes.withRole('entry');
     const self = this._boxes.get(this._settings.box);
-    if (self) this._replicator.want(replicationPeers(self, entries));
+    if (self) this._replicator.setPeers(replicationPeers(self, entries));
     this._wantLinks();
   }
 
@@ -251,7 +251,7 @@
     const entries = this._boxes.withRole('entry').map((entry) => entry.box);
     const chosen = new Set(agentSubset(this._settings.box, entries, names, this._settings.agentsPerEntry));
     const coordinated = this._pool.coordinatedBoxes();
-    this._links.want(agents.filter((agent) => chosen.has(agent.box) || coordinated.has(agent.box)));
+    this._links.setBoxes(agents.filter((agent) => chosen.has(agent.box) || coordinated.has(agent.box)));
   }
 
   private _watches(): boolean {
--- a/src/entry/entryHttpServer.ts
+++ b/src/entry/entryHttpServer.ts
@@ -14,7 +14,7 @@
   operators: OperatorApi;
   metrics: Metrics;
   /** Why the entry takes no requests, or ''. */
-  notReady: () => string;
+  notReadyReason: () => string;
 }
 
 export class EntryHttpServer {
@@ -38,7 +38,7 @@
   }
 
   /** Asks callers to open no further request on connections that they hold. */
-  leave(): void {
+  disableKeepAlive(): void {
     this._leaving = true;
   }
 
@@ -65,7 +65,7 @@
     if (url.pathname === '/healthz') return answerJson(response, 200, {});
     if (url.pathname === '/readyz') return this._answerReady(response);
     if (url.pathname === '/metrics') return await this._answerMetrics(response);
-    const notReady = this._options.notReady();
+    const notReady = this._options.notReadyReason();
     if (notReady !== '') {
       response.setHeader('retry-after', '1');
       return answerError(response, 503, {
@@ -84,7 +84,7 @@
   }
 
   private _answerReady(response: http.ServerResponse): void {
-    const notReady = this._options.notReady();
+    const notReady = this._options.notReadyReason();
     answerJson(response, notReady === '' ? 200 : 503, { ready: notReady === '', reason: notReady });
   }
 
--- a/src/membership/agentLinks.ts
+++ b/src/membership/agentLinks.ts
@@ -28,7 +28,7 @@
   }
 
   /** Keeps exactly these boxes connected. */
-  want(boxes: readonly Box[]): void {
+  setBoxes(boxes: readonly Box[]): void {
     const wanted = new Map(boxes.map((box) => [box.box, box]));
     for (const link of this.all()) {
       const box = wanted.get(link.box.box);
--- a/src/membership/replicator.ts
+++ b/src/membership/replicator.ts
@@ -76,7 +76,7 @@
   }
 
   /** Keeps these entries connected; dials those that are not. */
-  want(boxes: readonly Box[]): void {
+  setPeers(boxes: readonly Box[]): void {
     this._wanted = boxes;
     this._dialMissing();
   }
