--- a/src/entry/answerDelivery.ts
+++ b/src/entry/answerDelivery.ts
@@ -1,17 +1,20 @@
-/** Passes a backend server's answer on to the caller. */
+/** Streams a backend server's answer to the caller. */
 import type http from 'node:http';
 import { HEADER } from '../protocol/headers.js';
 import type { RoutedAnswer } from '../requests/requestRouter.js';
 import { untilDrained } from '../utils/backpressure.js';
 
-/** How a delivery ended. */
+/** How a delivery ended. `whole` means that the caller was sent the complete answer. */
 export type DeliveryEnd = 'whole' | 'cut' | 'caller-left';
 
 const EVENT_STREAM = 'text/event-stream';
-/** Sent before a stream is cut, for callers whose client hides the cut connection. */
+/** Sent before an event stream is cut, since some clients hide a closed connection from their users. */
 const INCOMPLETE_EVENT = 'event: error\ndata: {"error":"incomplete","outcome":"unknown"}\n\n';
 
-/** Streams the answer; one that breaks off midway ends visibly incomplete, never as if it were whole. */
+/**
+ * Streams the answer. If the backend server fails midway, closes the connection without ending the response, so that
+ * the caller can tell that the answer is incomplete.
+ */
 export async function deliver(
   routed: RoutedAnswer,
   requestId: string,
--- a/src/entry/answers.ts
+++ b/src/entry/answers.ts
@@ -1,4 +1,4 @@
-/** Answers of an entry that are not a backend server's own. */
+/** Refusals and errors that an entry itself sends to callers and operators. */
 import type http from 'node:http';
 import type { FieldProblem } from '../configuration/resolveSpecification.js';
 import { HEADER } from '../protocol/headers.js';
@@ -6,18 +6,18 @@
 import type { Random } from '../utils/random.js';
 import { answerJson } from '../utils/httpBody.js';
 
-/** The body of every error that larklatch itself answers. */
+/** Body of an error that doesn't come from a backend server. */
 export interface ErrorBody {
   error: string;
-  /** What to do next. */
+  /** What the caller should do next. */
   advice: string;
   problems?: FieldProblem[];
 }
 
-/** How far the moments at which refused callers are told to come back are spread. */
+/** Jitter of `retry-after`, as a share of its value. */
 const RETRY_SPREAD = 0.5;
 
-/** Refuses a caller at once, and says when to come back: not all at the same moment. */
+/** Refuses a request and says when to retry, with jitter so that the callers don't all retry at the same time. */
 export function answerRefusal(
   response: http.ServerResponse,
   refusal: Refusal,
@@ -39,19 +39,23 @@
   });
 }
 
-/** Answers an error that the asker can mend. */
+/** Sends an error that the caller can correct. Nothing has run. */
 export function answerError(response: http.ServerResponse, status: number, body: ErrorBody): void {
   answerJson(response, status, body, { [HEADER.outcome]: 'not-run' });
 }
 
-/** Answers a request with wrong fields. */
+/** Rejects a request with invalid fields. */
 export function answerProblems(response: http.ServerResponse, problems: FieldProblem[]): void {
   const first = problems[0];
   const error = `${first.field}: got ${JSON.stringify(first.value)}; allowed: ${first.allowed}`;
-  answerError(response, 422, { error, advice: 'mend the named fields and send it again', problems });
+  answerError(response, 422, {
+    error,
+    advice: 'correct the named fields and send the request again',
+    problems,
+  });
 }
 
 function adviceFor(refusal: Refusal): string {
-  if (refusal.outcome === 'not-run') return 'nothing ran; send it again after Retry-After';
-  return 'it may have run; send it again only with the same Idempotency-Key';
+  if (refusal.outcome === 'not-run') return 'the request did not run; send it again after Retry-After';
+  return 'the request may have run; send it again only with the same Idempotency-Key';
 }
--- a/src/entry/callerApi.ts
+++ b/src/entry/callerApi.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: docs/CALLERS.md. */
+/** HTTP API for callers. See docs/CALLERS.md. */
 import type http from 'node:http';
 import { randomUUID } from 'node:crypto';
 import { z } from 'zod';
@@ -25,7 +25,6 @@
 import type { CustomerDirectory } from './customerDirectory.js';
 import { parseJson } from '../utils/json.js';
 
-/** What the callers' interface works with. */
 export interface CallerApiOptions {
   customers: CustomerDirectory;
   specifications: Specifications;
@@ -42,9 +41,9 @@
 }
 
 const MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
-/** Characters of the first messages that make requests alike for the prompt cache. */
-const AFFINITY_CHARACTERS = 512;
-const MOST_KEYS = 1_000;
+/** Requests whose messages begin with the same characters, up to this number, share a prompt-cache affinity. */
+const AFFINITY_PREFIX_CHARACTERS = 512;
+const MAXIMUM_KEYS = 1_000;
 
 const chatSchema = z.looseObject({
   model: z.string('the name of a model'),
@@ -53,10 +52,10 @@
 
 const keysSchema = z.strictObject({
   service: z.string('the name of a model or service'),
-  count: z.number().int().min(1).max(MOST_KEYS, `1 to ${MOST_KEYS}`).default(1),
+  count: z.number().int().min(1).max(MAXIMUM_KEYS, `1 to ${MAXIMUM_KEYS}`).default(1),
 });
 
-/** Serves callers; every path needs a customer's key. */
+/** Every path requires a customer's API key. */
 export class CallerApi {
   private readonly _options: CallerApiOptions;
 
@@ -64,7 +63,7 @@
     this._options = options;
   }
 
-  /** Answers a request under `/v1/`; returns false when the path is not one of callers. */
+  /** Answers a request under `/v1/`. Returns false if the path is not part of this API. */
   async handle(request: http.IncomingMessage, response: http.ServerResponse, url: URL): Promise<boolean> {
     const [, , first, second] = url.pathname.split('/');
     const isChat = first === 'chat' && second === 'completions';
@@ -80,9 +79,9 @@
     } else if (first === 'idempotency-keys') {
       await this._answerKeys(request, response, customer);
     } else if (isChat) {
-      await this._chat(request, response, customer);
+      await this._answerChat(request, response, customer);
     } else {
-      await this._service(request, response, customer, url);
+      await this._answerService(request, response, customer, url);
     }
     return true;
   }
@@ -94,7 +93,7 @@
     answerJson(response, 200, { entries, keepSeconds: this._options.entriesKeepSeconds });
   }
 
-  /** Hands out idempotency keys for slots whose owners take work now. */
+  /** Issues idempotency keys for ledger slots whose owners accept requests now. */
   private async _answerKeys(
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -104,14 +103,14 @@
     const parsed = keysSchema.safeParse(body);
     if (!parsed.success) return answerProblems(response, problemsOf(parsed.error, body));
     const name =
-      this._find(customer, 'model', parsed.data.service) ??
-      this._find(customer, 'plain', parsed.data.service);
+      this._findConfiguration(customer, 'model', parsed.data.service) ??
+      this._findConfiguration(customer, 'plain', parsed.data.service);
     if (!name) return this._answerUnknown(response, 'service', parsed.data.service);
     const keys = this._issueKeys(name, parsed.data.count);
     if (keys.length > 0) return answerJson(response, 200, { keys });
     answerError(response, 503, {
-      error: 'no backend server takes work now',
-      advice: 'try again in a second',
+      error: 'no backend server accepts requests now',
+      advice: 'retry after one second',
     });
   }
 
@@ -130,7 +129,7 @@
     });
   }
 
-  private async _chat(
+  private async _answerChat(
     request: http.IncomingMessage,
     response: http.ServerResponse,
     customer: string,
@@ -140,14 +139,14 @@
     const parsed = chatSchema.safeParse(json);
     if (!parsed.success) return answerProblems(response, problemsOf(parsed.error, json));
     const { model, messages } = parsed.data;
-    const name = this._find(customer, 'model', model);
+    const name = this._findConfiguration(customer, 'model', model);
     if (!name) return this._answerUnknown(response, 'model', model);
-    const prefix = JSON.stringify(messages).slice(0, AFFINITY_CHARACTERS);
+    const prefix = JSON.stringify(messages).slice(0, AFFINITY_PREFIX_CHARACTERS);
     const affinity = sha256Hex(`${customer}\n${model}\n${prefix}`).slice(0, 16);
-    await this._run(request, response, { name, path: '/v1/chat/completions', body, affinity }, true);
+    await this._routeRequest(request, response, { name, path: '/v1/chat/completions', body, affinity }, true);
   }
 
-  private async _service(
+  private async _answerService(
     request: http.IncomingMessage,
     response: http.ServerResponse,
     customer: string,
@@ -155,10 +154,10 @@
   ): Promise<void> {
     const [, , , service, ...rest] = url.pathname.split('/');
     const body = await readBody(request, MAXIMUM_BODY_BYTES);
-    const name = this._find(customer, 'plain', service);
+    const name = this._findConfiguration(customer, 'plain', service);
     if (!name) return this._answerUnknown(response, 'service', service);
     const repeatable = request.method === 'GET' || request.method === 'HEAD';
-    await this._run(
+    await this._routeRequest(
       request,
       response,
       { name, path: `/${rest.join('/')}${url.search}`, body, affinity: '' },
@@ -166,7 +165,7 @@
     );
   }
 
-  private async _run(
+  private async _routeRequest(
     request: http.IncomingMessage,
     response: http.ServerResponse,
     target: Pick<CallerRequest, 'name' | 'path' | 'body' | 'affinity'>,
@@ -183,9 +182,9 @@
       contentType: headerText(request.headers, 'content-type') || 'application/json',
       arrivedAt,
     };
-    const left = new AbortController();
-    response.once('close', () => left.abort());
-    const result = await this._options.router.route(callerRequest, left.signal);
+    const callerLeft = new AbortController();
+    response.once('close', () => callerLeft.abort());
+    const result = await this._options.router.route(callerRequest, callerLeft.signal);
     if (result.kind === 'refused') {
       return answerRefusal(response, result.refusal, callerRequest.id, this._options.random);
     }
@@ -195,8 +194,12 @@
     this._options.metrics.latency('whole_answer', this._options.clock.now() - arrivedAt);
   }
 
-  /** A customer's configuration by its own name or that of its model; other customers' do not exist for it. */
-  private _find(customer: string, kind: ServiceKind, wanted: string): ConfigurationName | undefined {
+  /** Finds a configuration of the customer by its own name or by that of its model. Never finds another customer's. */
+  private _findConfiguration(
+    customer: string,
+    kind: ServiceKind,
+    wanted: string,
+  ): ConfigurationName | undefined {
     const found = this._options.specifications.all().find(({ name, specification }) => {
       if (name.customer !== customer || specification?.kind !== kind) return false;
       return name.configuration === wanted || (kind === 'model' && specification.model === wanted);
@@ -207,7 +210,7 @@
   private _answerUnknown(response: http.ServerResponse, what: 'model' | 'service', name: string): void {
     answerError(response, 404, {
       error: `no ${what} ${JSON.stringify(name)}`,
-      advice: 'ask your operator for its name',
+      advice: 'ask your operator for the name',
     });
   }
 }
--- a/src/entry/customerDirectory.ts
+++ b/src/entry/customerDirectory.ts
@@ -1,10 +1,10 @@
-/** Finds the customer that an API key belongs to. */
+/** Maps API keys to customers. */
 import type { Replica } from '../configuration/replica.js';
 import { customerSchema } from '../configuration/template.js';
 import { withoutChangeId } from '../rollout/specifications.js';
 import { sha256Hex } from '../utils/hash.js';
 
-/** Indexed by the digests of the keys; the keys themselves are kept nowhere. */
+/** Indexed by the digests of the API keys. The keys themselves are not stored. */
 export class CustomerDirectory {
   private readonly _replica: Replica;
   private _customers: Map<string, string> | undefined;
@@ -16,7 +16,7 @@
     });
   }
 
-  /** Returns the customer's name, or undefined for an unknown key. */
+  /** Returns the name of the customer; undefined for an unknown key. */
   customerOf(apiKey: string): string | undefined {
     if (apiKey === '') return undefined;
     this._customers ??= this._build();
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -1,4 +1,4 @@
-/** Everything that runs on an entry box, put together. */
+/** Creates and connects the parts of an entry. */
 import { randomUUID } from 'node:crypto';
 import { ApiFollower } from '../configuration/apiFollower.js';
 import { ChangeHandler } from '../configuration/changeHandler.js';
@@ -43,20 +43,20 @@
 import { OperatorApi } from './operatorApi.js';
 import { RolloutStatusReader } from './rolloutStatusReader.js';
 
-/** Where a daemon listens. */
+/** Ports on which an entry listens. */
 export interface EntryPorts {
   httpPort: number;
   controlPort: number;
 }
 
-/** How often the wanted links are looked at, since leases come and go. */
-const LINK_INTERVAL_MILLISECONDS = 1_000;
+/** Interval at which the set of linked agents is updated, since the leases held by this entry change. */
+const LINK_UPDATE_INTERVAL_MILLISECONDS = 1_000;
 const DRAIN_POLL_MILLISECONDS = 20;
-/** How long a leaving entry still takes requests, so that callers and other entries have seen it leave. */
+/** How long a stopping entry still accepts requests, so that callers and other entries learn that it is leaving. */
 const SHUTDOWN_GRACE_MILLISECONDS = 500;
 
 /**
- * An entry. All entries are equal; each may hold leases and so run rollouts.
+ * An entry. All entries have the same role; any of them may hold leases and so coordinate rollouts.
  *
  * @example
  * const entry = new EntryDaemon(settings);
@@ -78,7 +78,7 @@
   private readonly _replicator: Replicator;
   private readonly _links: AgentLinks;
   private readonly _routes: RouteTable;
-  private readonly _pool: CoordinatorPool;
+  private readonly _coordinatorPool: CoordinatorPool;
   private readonly _http: EntryHttpServer;
   private readonly _control: ControlServer;
   private _linkTimer: NodeJS.Timeout | undefined;
@@ -97,7 +97,7 @@
       this._logger,
     );
     this._follower = new ApiFollower(api, this._replica, this._clock, this._random, this._logger, () =>
-      this._watches(),
+      this._isWatcher(),
     );
     const control = controlOptions(settings);
     const entries = (): Box[] => this._boxes.withRole('entry');
@@ -106,7 +106,7 @@
     this._routes = new RouteTable(this._links, settings.dataCentre, this._clock, (name) =>
       this._activatedRollout(name),
     );
-    this._pool = new CoordinatorPool({
+    this._coordinatorPool = new CoordinatorPool({
       ...services,
       replica: this._replica,
       rollouts: this._rollouts,
@@ -133,7 +133,7 @@
       (connection) => this._onConnection(connection),
       (reason) => this._logger.state('control.refused', { reason }),
     );
-    this._boxes.on('change', () => this._onBoxes());
+    this._boxes.on('change', () => this._onBoxListChange());
   }
 
   /** Starts listening. Throws when a port is taken. */
@@ -141,27 +141,27 @@
     const { address } = this._settings;
     const httpPort = await this._http.listen(address, this._settings.httpPort);
     const controlPort = await this._control.listen(address, this._settings.controlPort);
-    this._linkTimer = setInterval(() => this._wantLinks(), LINK_INTERVAL_MILLISECONDS);
+    this._linkTimer = setInterval(() => this._updateLinks(), LINK_UPDATE_INTERVAL_MILLISECONDS);
     void this._boxes.run();
     void this._follower.run();
     this._logger.state('entry.started', { httpPort, controlPort });
     return { httpPort, controlPort };
   }
 
-  /** Tells the others, gives leases back, lets requests in flight end, then closes. */
+  /** Announces the stop to other entries, releases leases, waits for requests in flight, then closes. */
   async stop(): Promise<void> {
     this._leaving = true;
     this._replicator.announceLeaving();
     this._http.disableKeepAlive();
     this._logger.state('entry.leaving', { inFlight: this._http.inFlight });
-    await this._pool.stop();
+    await this._coordinatorPool.stop();
     await pause(SHUTDOWN_GRACE_MILLISECONDS);
     const deadline = performance.now() + this._settings.drainMilliseconds;
     while (this._http.inFlight > 0 && performance.now() < deadline) await pause(DRAIN_POLL_MILLISECONDS);
     this.close();
   }
 
-  /** Closes at once. */
+  /** Closes without waiting for requests in flight. */
   close(): void {
     clearInterval(this._linkTimer);
     this._follower.stop();
@@ -221,12 +221,15 @@
       callers,
       operators,
       metrics: this._metrics,
-      notReadyReason: () => this._notReady(),
+      notReadyReason: () => this._notReadyReason(),
     });
   }
 
-  /** An entry serves only once it has the configuration: from the object API, or from a peer during an outage. */
-  private _notReady(): string {
+  /**
+   * Why this entry isn't ready to serve, or ''. It needs the configuration, which comes from the object API, or from
+   * another entry during an outage of the API.
+   */
+  private _notReadyReason(): string {
     if (!this._boxes.synchronised) return 'the box list has not been read yet';
     if (!this._follower.synchronised && this._replica.size === 0) return 'no configuration has been read yet';
     return '';
@@ -234,27 +237,27 @@
 
   private _onConnection(connection: ControlConnection): void {
     if (connection.peer.role === 'entry') this._replicator.attach(connection);
-    else connection.close('agents are dialled by entries');
+    else connection.close('entries connect to agents, not the reverse');
   }
 
-  private _onBoxes(): void {
+  private _onBoxListChange(): void {
     const entries = this._boxes.withRole('entry');
     const self = this._boxes.get(this._settings.box);
     if (self) this._replicator.setPeers(replicationPeers(self, entries));
-    this._wantLinks();
+    this._updateLinks();
   }
 
-  /** Connects the agents of this entry's subset, and those of the configurations that it coordinates. */
-  private _wantLinks(): void {
+  /** Links to the agents of this entry's subset, and to those of the configurations that it coordinates. */
+  private _updateLinks(): void {
     const agents = this._boxes.withRole('agent');
     const names = agents.map((agent) => agent.box);
     const entries = this._boxes.withRole('entry').map((entry) => entry.box);
     const chosen = new Set(agentSubset(this._settings.box, entries, names, this._settings.agentsPerEntry));
-    const coordinated = this._pool.coordinatedBoxes();
+    const coordinated = this._coordinatorPool.coordinatedBoxes();
     this._links.setBoxes(agents.filter((agent) => chosen.has(agent.box) || coordinated.has(agent.box)));
   }
 
-  private _watches(): boolean {
+  private _isWatcher(): boolean {
     const self = this._boxes.get(this._settings.box);
     return !self || isWatcher(self, this._boxes.withRole('entry'));
   }
@@ -264,7 +267,7 @@
     return record && record.phase !== 'staging' ? record.rollout : undefined;
   }
 
-  /** Entries that callers may be sent to and that may coordinate. */
+  /** Entries to which callers can be referred, and which can coordinate rollouts. */
   private _usableEntries(): Box[] {
     return this._boxes.withRole('entry').filter((entry) => {
       if (entry.box === this._settings.box) return !this._leaving && !this._isIsolated();
@@ -280,7 +283,7 @@
     return orderEntries(this._usableEntries(), dataCentre, asker);
   }
 
-  /** Cut off from the object API and from the entries of every other data centre for too long. */
+  /** Whether this entry has reached neither the object API nor an entry of another data centre for too long. */
   private _isIsolated(): boolean {
     const { isolatedMilliseconds, dataCentre } = this._settings;
     if (this._follower.silence < isolatedMilliseconds) return false;
--- a/src/entry/entryHttpServer.ts
+++ b/src/entry/entryHttpServer.ts
@@ -1,4 +1,4 @@
-/** HTTP of an entry: callers, operators, health and metrics on one port. */
+/** HTTP server of an entry: callers, operators, health checks and metrics on one port. */
 import http from 'node:http';
 import type { Metrics } from '../telemetry/metrics.js';
 import { answerJson } from '../utils/httpBody.js';
@@ -8,12 +8,11 @@
 import type { CallerApi } from './callerApi.js';
 import type { OperatorApi } from './operatorApi.js';
 
-/** What the HTTP server of an entry works with. */
 export interface EntryHttpOptions {
   callers: CallerApi;
   operators: OperatorApi;
   metrics: Metrics;
-  /** Why the entry takes no requests, or ''. */
+  /** Returns why the entry accepts no requests, or ''. */
   notReadyReason: () => string;
 }
 
@@ -28,7 +27,7 @@
     this._server.keepAliveTimeout = 30_000;
   }
 
-  /** Requests that have not been answered in full. */
+  /** Number of requests that have not been fully answered. */
   get inFlight(): number {
     return this._inFlight;
   }
@@ -37,7 +36,7 @@
     return await listenHttp(this._server, address, port);
   }
 
-  /** Asks callers to open no further request on connections that they hold. */
+  /** Adds `connection: close` to later answers, so that callers send no more requests on existing connections. */
   disableKeepAlive(): void {
     this._leaving = true;
   }
@@ -65,12 +64,12 @@
     if (url.pathname === '/healthz') return answerJson(response, 200, {});
     if (url.pathname === '/readyz') return this._answerReady(response);
     if (url.pathname === '/metrics') return await this._answerMetrics(response);
-    const notReady = this._options.notReadyReason();
-    if (notReady !== '') {
+    const reason = this._options.notReadyReason();
+    if (reason !== '') {
       response.setHeader('retry-after', '1');
       return answerError(response, 503, {
-        error: notReady,
-        advice: 'use another entry, or come back after Retry-After',
+        error: reason,
+        advice: 'use another entry, or retry after Retry-After',
       });
     }
     if (url.pathname.startsWith('/v1/')) {
@@ -84,8 +83,8 @@
   }
 
   private _answerReady(response: http.ServerResponse): void {
-    const notReady = this._options.notReadyReason();
-    answerJson(response, notReady === '' ? 200 : 503, { ready: notReady === '', reason: notReady });
+    const reason = this._options.notReadyReason();
+    answerJson(response, reason === '' ? 200 : 503, { ready: reason === '', reason });
   }
 
   private async _answerMetrics(response: http.ServerResponse): Promise<void> {
--- a/src/entry/operatorApi.ts
+++ b/src/entry/operatorApi.ts
@@ -1,4 +1,4 @@
-/** The operators' interface: docs/OPERATIONS.md. */
+/** HTTP API for operators. See docs/OPERATIONS.md. */
 import type http from 'node:http';
 import { randomUUID } from 'node:crypto';
 import type { Result } from 'neverthrow';
@@ -20,7 +20,6 @@
 import type { RolloutStatusReader } from './rolloutStatusReader.js';
 import { parseJson } from '../utils/json.js';
 
-/** What the operators' interface works with. */
 export interface OperatorApiOptions {
   operatorKey: string;
   replica: Replica;
@@ -29,7 +28,7 @@
   statusReader: RolloutStatusReader;
 }
 
-/** One object that operators may read and write. */
+/** An object that operators can read and write. */
 interface Target {
   key: string;
   check: (value: unknown) => Result<object, FieldProblem[]>;
@@ -38,7 +37,7 @@
 const MAXIMUM_BODY_BYTES = 900_000;
 const KINDS: readonly string[] = ['templates', 'configurations', 'customers', 'rollouts'];
 
-/** Serves operators; every path needs the operator key. */
+/** Every path requires the operator key. */
 export class OperatorApi {
   private readonly _options: OperatorApiOptions;
 
@@ -46,7 +45,7 @@
     this._options = options;
   }
 
-  /** Answers a request under `/v1/`; returns false when the path is not one of operators. */
+  /** Answers a request under `/v1/`. Returns false if the path is not part of this API. */
   async handle(request: http.IncomingMessage, response: http.ServerResponse, url: URL): Promise<boolean> {
     const [, , kind, ...names] = url.pathname.split('/').map(decodeURIComponent);
     if (!KINDS.includes(kind)) return false;
@@ -121,7 +120,7 @@
       return { key: templateKey(first), check: (value) => this._checkTemplate(first, value) };
     }
     if (kind === 'customers' && names.length === 1) {
-      return { key: customerKey(first), check: (value) => checked(customerSchema, value) };
+      return { key: customerKey(first), check: (value) => validate(customerSchema, value) };
     }
     if (kind === 'configurations' && names.length === 2) {
       const key = configurationKey('configuration', { customer: first, configuration: second });
@@ -132,12 +131,12 @@
 
   private _checkConfiguration(value: unknown): Result<object, FieldProblem[]> {
     const resolved = this._options.specifications.resolve(value);
-    return resolved.isErr() ? err(resolved.error) : checked(configurationSchema, value);
+    return resolved.isErr() ? err(resolved.error) : validate(configurationSchema, value);
   }
 
-  /** A template may not change so that a configuration built on it would no longer resolve. */
+  /** Rejects a template with which any configuration based on it would no longer resolve. */
   private _checkTemplate(name: string, value: unknown): Result<object, FieldProblem[]> {
-    const template = checked(templateSchema, value);
+    const template = validate(templateSchema, value);
     if (template.isErr()) return template;
     for (const record of this._options.replica.recordsOf('configuration')) {
       const configuration = configurationSchema.safeParse(withoutChangeId(record.value));
@@ -185,11 +184,11 @@
   ): Promise<void> {
     const match = headerText(request.headers, 'if-match').replaceAll('"', '');
     const mustNotExist = headerText(request.headers, 'if-none-match') === '*';
-    const given = match === '' ? undefined : Number(match);
+    const expectedRevision = match === '' ? undefined : Number(match);
     const changed = await this._options.changes.change({
       key,
       value,
-      expectedRevision: mustNotExist ? 0 : given,
+      expectedRevision: mustNotExist ? 0 : expectedRevision,
       changeId: headerText(request.headers, HEADER.idempotencyKey) || randomUUID(),
     });
     if (changed.isErr()) return answerChangeRefusal(response, changed.error);
@@ -198,7 +197,7 @@
   }
 }
 
-function checked<T>(schema: z.ZodType<T>, value: unknown): Result<T, FieldProblem[]> {
+function validate<T>(schema: z.ZodType<T>, value: unknown): Result<T, FieldProblem[]> {
   const parsed = schema.safeParse(value);
   return parsed.success ? ok(parsed.data) : err(problemsOf(parsed.error, value));
 }
@@ -211,15 +210,18 @@
     case 'not-found':
       return answerError(response, 404, { error: 'no such object', advice: 'check the name' });
     case 'conflict': {
-      const body = { error: 'somebody else changed it first', advice: 'read it again and decide anew' };
+      const body = {
+        error: 'the object was changed since the expected revision',
+        advice: 'read the object again and repeat the change',
+      };
       return answerJson(response, 412, { ...body, currentRevision: refusal.currentRevision });
     }
     case 'unavailable': {
-      const advice = 'nothing was changed; try again after Retry-After';
+      const advice = 'nothing was changed; retry after Retry-After';
       return answerJson(response, 503, { error: `object API: ${refusal.reason}`, advice }, retry);
     }
     case 'unresolved': {
-      const advice = 'it may be stored; send the same change again with the same Idempotency-Key';
+      const advice = 'the change may have been stored; send it again with the same Idempotency-Key';
       return answerJson(response, 503, { error: refusal.reason, advice }, retry);
     }
   }
--- a/src/entry/rolloutStatusReader.ts
+++ b/src/entry/rolloutStatusReader.ts
@@ -1,4 +1,4 @@
-/** What operators see of a rollout. */
+/** The status of a rollout, as shown to operators. */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { configurationKey } from '../configuration/recordKeys.js';
 import type { Replica } from '../configuration/replica.js';
@@ -13,7 +13,7 @@
 import { rolloutBoxes } from '../rollout/rolloutView.js';
 import type { Specifications, WantedConfiguration } from '../rollout/specifications.js';
 
-/** One box of a rollout, for operators. */
+/** Status of a box of the rollout. */
 export interface BoxStatus {
   box: string;
   dataCentre: string;
@@ -24,14 +24,14 @@
   problem: string;
 }
 
-/** One entry's knowledge of the configuration. */
+/** Whether an entry has the current revision of the configuration. */
 export interface EntryStatus {
   box: string;
   dataCentre: string;
   inForce: boolean;
 }
 
-/** A configuration and how far it has been carried out. */
+/** A configuration and the progress of its rollout. */
 export interface RolloutStatus {
   customer: string;
   configuration: string;
@@ -42,17 +42,17 @@
   startedAt: string;
   activatedAt: string;
   completedAt: string;
-  /** Boxes that serve the wanted version, and boxes that the platform lists as live. */
+  /** Number of boxes that serve the wanted version. */
   replicas: number;
+  /** Number of boxes expected to serve it. */
   boxes: number;
   bytes: { total: number; origin: number; ownDataCentre: number; otherDataCentres: number };
-  /** What keeps the rollout from going on; empty when nothing does. */
+  /** Reasons why the rollout doesn't proceed. */
   heldBackBy: string[];
   entries: EntryStatus[];
   perBox: BoxStatus[];
 }
 
-/** What a statusReader works with. */
 export interface StatusReaderOptions {
   box: string;
   replica: Replica;
@@ -69,7 +69,7 @@
     this._options = options;
   }
 
-  /** Returns undefined when no such configuration was ever known. */
+  /** Returns undefined if this entry has never known the configuration. */
   async status(name: ConfigurationName): Promise<RolloutStatus | undefined> {
     const wanted = this._options.specifications.find(name);
     if (!wanted) return undefined;
@@ -87,7 +87,7 @@
       startedAt,
       activatedAt,
       completedAt,
-      replicas: expected.filter((member) => serves(member, wanted)).length,
+      replicas: expected.filter((member) => servesWantedVersion(member, wanted)).length,
       boxes: expected.length,
       bytes: bytesOf(record, members),
       heldBackBy: heldBackBy(wanted, record, expected),
@@ -136,7 +136,7 @@
   return bytes;
 }
 
-function serves(member: RolloutBox, wanted: WantedConfiguration): boolean {
+function servesWantedVersion(member: RolloutBox, wanted: WantedConfiguration): boolean {
   return (
     member.live &&
     member.report !== undefined &&
@@ -152,7 +152,7 @@
   if (wanted.withdrawn) return [];
   if (!wanted.specification) return ['the configuration does not fit its template'];
   const reasons = expected.flatMap((member) => reasonsOf(member));
-  if (expected.length === 0) reasons.push('the platform lists none of the named boxes');
+  if (expected.length === 0) reasons.push('the box list contains none of the named boxes');
   if (record?.heldBack) reasons.push(record.heldBack);
   return record?.phase === 'complete' && record.version === wanted.specification.version ? [] : reasons;
 }
--- a/src/external/pacedObjectApi.ts
+++ b/src/external/pacedObjectApi.ts
@@ -1,13 +1,15 @@
-/** An object API that slows down when the platform says that it gets too many writes. */
 import { pause } from '../utils/timers.js';
 import type { ApiChanges, ApiListing, ApiObject, ObjectApi, WriteOutcome } from './objectApi.js';
 
 const FIRST_PAUSE_MILLISECONDS = 50;
 const LONGEST_PAUSE_MILLISECONDS = 5_000;
-/** What is left of the pause after a write that was taken. */
-const RECOVERY = 0.8;
+/** Factor by which the pause shrinks after each write that was not rate-limited. */
+const PAUSE_REDUCTION_FACTOR = 0.8;
 
-/** For coordinators: they make way for operators, whose changes go unpaced. */
+/**
+ * Delays writes while the object API rate-limits them, with a pause that doubles after each rejection. Coordinators
+ * write through it, so that the changes of operators, which are not delayed, take precedence.
+ */
 export class PacedObjectApi implements ObjectApi {
   private readonly _api: ObjectApi;
   private _pauseMilliseconds = 0;
@@ -29,21 +31,21 @@
   }
 
   async put(key: string, value: unknown, expectedRevision: number): Promise<WriteOutcome> {
-    return await this._paced(() => this._api.put(key, value, expectedRevision));
+    return await this._writePaced(() => this._api.put(key, value, expectedRevision));
   }
 
   async delete(key: string, expectedRevision: number): Promise<WriteOutcome> {
-    return await this._paced(() => this._api.delete(key, expectedRevision));
+    return await this._writePaced(() => this._api.delete(key, expectedRevision));
   }
 
-  private async _paced(write: () => Promise<WriteOutcome>): Promise<WriteOutcome> {
+  private async _writePaced(write: () => Promise<WriteOutcome>): Promise<WriteOutcome> {
     if (this._pauseMilliseconds >= 1) await pause(this._pauseMilliseconds);
     const outcome = await write();
     if (outcome.kind === 'refused' && outcome.limited) {
-      const doubled = Math.max(FIRST_PAUSE_MILLISECONDS, this._pauseMilliseconds * 2);
-      this._pauseMilliseconds = Math.min(LONGEST_PAUSE_MILLISECONDS, doubled);
+      const doubledMilliseconds = Math.max(FIRST_PAUSE_MILLISECONDS, this._pauseMilliseconds * 2);
+      this._pauseMilliseconds = Math.min(LONGEST_PAUSE_MILLISECONDS, doubledMilliseconds);
     } else {
-      this._pauseMilliseconds *= RECOVERY;
+      this._pauseMilliseconds *= PAUSE_REDUCTION_FACTOR;
     }
     return outcome;
   }
--- a/src/membership/agentLink.ts
+++ b/src/membership/agentLink.ts
@@ -1,4 +1,3 @@
-/** An entry's connection to one agent, and the last report that came over it. */
 import { EventEmitter, setMaxListeners } from 'node:events';
 import { createActor } from 'xstate';
 import type { Box } from '../external/boxList.js';
@@ -16,13 +15,13 @@
 import { linkMachine } from './linkMachine.js';
 
 interface AgentLinkEvents {
-  /** The state or the report changed. */
+  /** The state of the link or the report changed. */
   change: [];
   /** Only the load changed. */
   load: [];
 }
 
-/** What every agent link of an entry shares. */
+/** Dependencies that all agent links of an entry share. */
 export interface LinkServices {
   control: ControlOptions;
   clock: Clock;
@@ -30,21 +29,28 @@
   logger: Logger;
 }
 
-type Order = CallMessage extends infer Each ? (Each extends unknown ? Omit<Each, 'call'> : never) : never;
+type Order = CallMessage extends infer EachCall
+  ? EachCall extends unknown
+    ? Omit<EachCall, 'call'>
+    : never
+  : never;
 
-const REDIAL = { firstMilliseconds: 50, longestMilliseconds: 1_000 };
+const RECONNECT_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 1_000 };
 
-/** Dials until closed. A report is kept after the connection is lost, but the link is no longer live. */
+/**
+ * An entry's connection to one agent, and the latest report of that agent. Reconnects until closed. Keeps the report
+ * after the connection is lost, but is then no longer live.
+ */
 export class AgentLink extends EventEmitter<AgentLinkEvents> {
   readonly box: Box;
   report: ReportMessage | undefined;
-  /** When the report came, in monotonic milliseconds. */
+  /** Monotonic time at which the report or the last load update arrived, in milliseconds. */
   reportedAt = 0;
   private readonly _services: LinkServices;
   private readonly _machine = createActor(linkMachine).start();
   private readonly _stopped = new AbortController();
   private _connection: ControlConnection | undefined;
-  private _lost = unboundedController();
+  private _lost = createUnlimitedController();
   private _lostAt: number;
 
   constructor(box: Box, services: LinkServices) {
@@ -55,7 +61,7 @@
     void this._run();
   }
 
-  /** Whether new work may go to the agent. */
+  /** Whether the agent accepts new requests. */
   get live(): boolean {
     return this._machine.getSnapshot().matches('live') && this.report !== undefined;
   }
@@ -69,7 +75,7 @@
     return this._connection ? 0 : this._services.clock.now() - this._lostAt;
   }
 
-  /** Aborted when the present connection is lost: what was sent and has no answer yet may never get one. */
+  /** Aborted when the current connection is lost, since requests that are not yet answered may never be answered. */
   get lostSignal(): AbortSignal {
     return this._lost.signal;
   }
@@ -79,7 +85,7 @@
     return { box, dataCentre, address, httpPort, controlPort };
   }
 
-  /** Sends an order and waits for the reply. Throws a StepError when there is none. */
+  /** Sends an order and waits for the reply. Throws a StepError if there is none. */
   async order(order: Order): Promise<ReplyMessage> {
     if (!this._connection)
       throw new StepError(`order.${order.type}`, 'not connected', { peer: this.box.box });
@@ -93,13 +99,13 @@
   }
 
   private async _run(): Promise<void> {
-    const backoff = new Backoff(REDIAL, this._services.random);
+    const backoff = new Backoff(RECONNECT_BACKOFF, this._services.random);
     const { address, controlPort } = this.box;
     while (!this._stopped.signal.aborted) {
       try {
         const connection = await ControlConnection.connect(address, controlPort, this._services.control);
         backoff.reset();
-        await this._use(connection);
+        await this._serve(connection);
       } catch (error) {
         this._services.logger.decision('agent.redial', { peer: this.box.box, reason: errorText(error) });
       }
@@ -107,14 +113,14 @@
     }
   }
 
-  /** Serves one connection until it closes. */
-  private async _use(connection: ControlConnection): Promise<void> {
+  /** Uses a connection until it closes. */
+  private async _serve(connection: ControlConnection): Promise<void> {
     if (this._stopped.signal.aborted) {
       connection.close('no longer wanted');
       return;
     }
     this._connection = connection;
-    this._lost = unboundedController();
+    this._lost = createUnlimitedController();
     this._machine.send({ type: 'CONNECTED' });
     const closed = new Promise<string>((resolve) => connection.once('close', resolve));
     connection.on('message', (message) => {
@@ -128,10 +134,10 @@
   }
 
   private _onReport(report: ReportMessage): void {
-    const fresh = this.report === undefined;
+    const isFirst = this.report === undefined;
     this.report = report;
     this.reportedAt = this._services.clock.now();
-    if (fresh)
+    if (isFirst)
       this._services.logger.state('agent.live', { peer: this.box.box, incarnation: report.incarnation });
     if (report.leaving && this._machine.getSnapshot().matches('live')) {
       this._machine.send({ type: 'LEAVING' });
@@ -157,8 +163,8 @@
   }
 }
 
-/** Any number of requests may wait on one link. */
-function unboundedController(): AbortController {
+/** Disables the warning about many listeners, since any number of requests may wait on one link. */
+function createUnlimitedController(): AbortController {
   const controller = new AbortController();
   setMaxListeners(0, controller.signal);
   return controller;
--- a/src/membership/agentLinks.ts
+++ b/src/membership/agentLinks.ts
@@ -1,4 +1,3 @@
-/** All agents that an entry keeps connected. */
 import { EventEmitter } from 'node:events';
 import type { Box } from '../external/boxList.js';
 import type { LinkServices } from './agentLink.js';
@@ -9,7 +8,7 @@
   load: [link: AgentLink];
 }
 
-/** Follows the box list: one link per wanted box, a new one when a box moves to another address or port. */
+/** The links of an entry to agents. */
 export class AgentLinks extends EventEmitter<AgentLinksEvents> {
   private readonly _services: LinkServices;
   private readonly _links = new Map<string, AgentLink>();
@@ -27,7 +26,7 @@
     return [...this._links.values()];
   }
 
-  /** Keeps exactly these boxes connected. */
+  /** Keeps a link to each of these boxes and closes all others. Replaces a link if its address or ports changed. */
   setBoxes(boxes: readonly Box[]): void {
     const wanted = new Map(boxes.map((box) => [box.box, box]));
     for (const link of this.all()) {
--- a/src/membership/boxListFollower.ts
+++ b/src/membership/boxListFollower.ts
@@ -1,4 +1,3 @@
-/** Reads the box list at intervals and keeps the last answer. */
 import { EventEmitter } from 'node:events';
 import type { Box, BoxList } from '../external/boxList.js';
 import type { Logger } from '../telemetry/logger.js';
@@ -9,7 +8,7 @@
   change: [];
 }
 
-/** The box list as last read. An unreachable list changes nothing: the last answer stays in force. */
+/** Polls the box list and keeps the last answer. If the list is unreachable, the last answer stays in use. */
 export class BoxListFollower extends EventEmitter<BoxListEvents> {
   private readonly _list: BoxList;
   private readonly _intervalMilliseconds: number;
@@ -35,7 +34,7 @@
     return this._boxes.get(box);
   }
 
-  /** All boxes with a role, those that are leaving included. */
+  /** Returns all boxes with a role, including those that are leaving. */
   withRole(role: Box['role']): Box[] {
     return [...this._boxes.values()].filter((box) => box.role === role);
   }
--- a/src/membership/linkMachine.ts
+++ b/src/membership/linkMachine.ts
@@ -1,10 +1,10 @@
-/** The state of an entry's link to one agent. */
+/** State machine of an entry's link to one agent. */
 import { createMachine } from 'xstate';
 
-/** What moves a link on. */
+/** Events that change the state of a link. */
 export type LinkEvent = { type: 'CONNECTED' } | { type: 'LOST' } | { type: 'LEAVING' };
 
-/** New work goes only to `live` links; `leaving` ends with the connection. */
+/** New requests are sent only over `live` links. A link stays `leaving` until its connection is lost. */
 export const linkMachine = createMachine({
   id: 'link',
   types: {} as { events: LinkEvent },
--- a/src/membership/replicator.ts
+++ b/src/membership/replicator.ts
@@ -1,4 +1,3 @@
-/** Carries records between entries: each change at once to all neighbours, and what was missed by comparing digests. */
 import type { Confirmer } from '../configuration/changeHandler.js';
 import type { Replica } from '../configuration/replica.js';
 import type { Box } from '../external/boxList.js';
@@ -12,50 +11,52 @@
 import { errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 
-/** What a replicator works with. */
 export interface ReplicatorOptions {
   control: ControlOptions;
   replica: Replica;
   clock: Clock;
   random: Random;
   logger: Logger;
-  /** Entries of the box list, this one included. */
+  /** Returns all entries in the box list, including this one. */
   entries: () => Box[];
 }
 
-/** A peer entry and what it has told. */
+/** A connected entry and the state it has announced. */
 interface EntryPeer {
   connection: ControlConnection;
   leaving: boolean;
 }
 
-const COMPARE_INTERVAL_MILLISECONDS = 2_000;
+const DIGEST_INTERVAL_MILLISECONDS = 2_000;
 const REDIAL_INTERVAL_MILLISECONDS = 250;
 const CONFIRM_TIMEOUT_MILLISECONDS = 2_000;
-/** How long one round of asking lasts: a silent peer must not keep one that has connected since from being asked. */
-const CONFIRM_ROUND_MILLISECONDS = 300;
-/** How soon to look for peers again: one that has just started is about to connect. */
+/** Timeout of each attempt to confirm, so that a silent peer doesn't delay asking one that has connected since. */
+const CONFIRM_ATTEMPT_TIMEOUT_MILLISECONDS = 300;
+/** Pause between attempts to confirm, in which a peer that has just started may connect. */
 const CONFIRM_RETRY_MILLISECONDS = 50;
 const RECORDS_PER_MESSAGE = 200;
 
-/** One per entry. */
+/**
+ * Replicates records between entries. Sends each change to all peers at once, and at intervals compares digests with a
+ * random peer to recover missed changes.
+ */
 export class Replicator implements Confirmer {
   private readonly _options: ReplicatorOptions;
   private readonly _peers = new Map<string, EntryPeer>();
   private readonly _dialing = new Set<string>();
   private readonly _timers: NodeJS.Timeout[] = [];
-  private _wanted: readonly Box[] = [];
+  private _peerBoxes: readonly Box[] = [];
   private _leaving = false;
   private _otherDataCentreHeardAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: ReplicatorOptions) {
     this._options = options;
-    options.replica.on('change', (record, source) => this._flood(record, source));
-    this._timers.push(setInterval(() => this._compareWithOne(), COMPARE_INTERVAL_MILLISECONDS));
+    options.replica.on('change', (record, source) => this._broadcast(record, source));
+    this._timers.push(setInterval(() => this._sendDigestToRandomPeer(), DIGEST_INTERVAL_MILLISECONDS));
     this._timers.push(setInterval(() => this._dialMissing(), REDIAL_INTERVAL_MILLISECONDS));
   }
 
-  /** Milliseconds since an entry of another data centre was last connected. */
+  /** Milliseconds since an entry of another data centre was last connected; 0 while one is. */
   get otherDataCentreSilence(): number {
     const connected = [...this._peers.values()].some((peer) => this._isOtherDataCentre(peer));
     if (connected) this._otherDataCentreHeardAt = this._options.clock.now();
@@ -66,7 +67,7 @@
     return this._peers.size;
   }
 
-  /** Whether an entry has said that it is leaving. */
+  /** Whether a connected entry has announced that it is leaving. */
   isLeaving(box: string): boolean {
     return this._peers.get(box)?.leaving ?? false;
   }
@@ -75,13 +76,13 @@
     return this._peers.has(box);
   }
 
-  /** Keeps these entries connected; dials those that are not. */
+  /** Sets the entries to connect to. A lost connection is reopened. */
   setPeers(boxes: readonly Box[]): void {
-    this._wanted = boxes;
+    this._peerBoxes = boxes;
     this._dialMissing();
   }
 
-  /** Takes a connection that another entry opened. */
+  /** Uses a connection to another entry, and closes the former one to the same entry. */
   attach(connection: ControlConnection): void {
     const { box } = connection.peer;
     this._peers.get(box)?.connection.close('replaced by a newer connection');
@@ -95,7 +96,7 @@
     this._options.logger.state('entry.connected', { peer: box });
   }
 
-  /** Tells all peers that this entry is leaving. */
+  /** Announces to all current and later peers that this entry is leaving. */
   announceLeaving(): void {
     this._leaving = true;
     for (const peer of this._peers.values()) peer.connection.send({ type: 'entry-state', leaving: true });
@@ -104,15 +105,15 @@
   async confirm(record: ReplicatedRecord): Promise<boolean> {
     const deadline = this._options.clock.now() + CONFIRM_TIMEOUT_MILLISECONDS;
     while (this._options.clock.now() < deadline) {
-      const candidates = this._confirmers();
+      const candidates = this._confirmingPeers();
       if (candidates === 'none-exist') return true;
-      if (await this._confirmedByOne(candidates, record)) return true;
+      if (await this._isConfirmedByAny(candidates, record)) return true;
       await pause(CONFIRM_RETRY_MILLISECONDS);
     }
     return false;
   }
 
-  /** Asks a peer which revision of `key` it holds; undefined when it does not answer. */
+  /** Asks a peer for its revision of `key`. Returns undefined if it doesn't answer. */
   async revisionAt(box: string, key: string): Promise<number | undefined> {
     try {
       const reply = await this._peers.get(box)?.connection.call({ type: 'revision-query', key });
@@ -127,12 +128,12 @@
     for (const peer of this._peers.values()) peer.connection.close('shutting down');
   }
 
-  private async _confirmedByOne(
+  private async _isConfirmedByAny(
     candidates: readonly EntryPeer[],
     record: ReplicatedRecord,
   ): Promise<boolean> {
     const calls = candidates.map((peer) =>
-      peer.connection.call({ type: 'records', records: [record] }, CONFIRM_ROUND_MILLISECONDS),
+      peer.connection.call({ type: 'records', records: [record] }, CONFIRM_ATTEMPT_TIMEOUT_MILLISECONDS),
     );
     try {
       return (await Promise.any(calls)).accepted;
@@ -141,8 +142,11 @@
     }
   }
 
-  /** Peers of other data centres where there are any in the box list, else peers of the own data centre. */
-  private _confirmers(): EntryPeer[] | 'none-exist' {
+  /**
+   * Returns the connected peers that can confirm a change: those of other data centres if the box list has entries
+   * there, otherwise those of this data centre.
+   */
+  private _confirmingPeers(): EntryPeer[] | 'none-exist' {
     const { dataCentre, box } = this._options.control.identity;
     const others = this._options.entries().filter((entry) => entry.box !== box);
     if (others.length === 0) return 'none-exist';
@@ -178,7 +182,7 @@
     this._options.logger.state('entry.lost', { peer: box, reason });
   }
 
-  private _flood(record: ReplicatedRecord, source: string): void {
+  private _broadcast(record: ReplicatedRecord, source: string): void {
     for (const [box, peer] of this._peers) {
       if (box !== source) this._sendRecords(peer, [record]);
     }
@@ -190,8 +194,8 @@
     }
   }
 
-  /** The peer answers with what we lack; our next digest, or its own, brings it what it lacks. */
-  private _compareWithOne(): void {
+  /** The peer replies with the records that this entry lacks. Its own digest brings it those that it lacks. */
+  private _sendDigestToRandomPeer(): void {
     const peers = [...this._peers.values()];
     if (peers.length === 0) return;
     const peer = peers[this._options.random.integer(peers.length)];
@@ -199,7 +203,7 @@
   }
 
   private _dialMissing(): void {
-    for (const box of this._wanted) {
+    for (const box of this._peerBoxes) {
       if (this._peers.has(box.box) || this._dialing.has(box.box)) continue;
       this._dialing.add(box.box);
       void this._dial(box).finally(() => this._dialing.delete(box.box));
