--- a/src/membership/agentLink.ts
+++ b/src/membership/agentLink.ts
@@ -29,11 +29,7 @@
   logger: Logger;
 }
 
-type Order = CallMessage extends infer EachCall
-  ? EachCall extends unknown
-    ? Omit<EachCall, 'call'>
-    : never
-  : never;
+type Order = CallMessage extends infer Call ? (Call extends unknown ? Omit<Call, 'call'> : never) : never;
 
 const RECONNECT_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 1_000 };
 
