--- a/src/agent/agentDaemon.ts
+++ b/src/agent/agentDaemon.ts
@@ -76,7 +76,7 @@
   private readonly _hosts: ServiceHosts;
   private readonly _uploads: UploadQueue;
   private readonly _peers: AgentPeers;
-  private readonly _swarm: SwarmMessageHandler;
+  private readonly _swarmMessages: SwarmMessageHandler;
   private readonly _orders: OrderHandler;
   private readonly _reporter: Reporter;
   private readonly _http: AgentHttpServer;
@@ -103,8 +103,10 @@
     this._queue = new FairQueue({ slots, waitingPerCustomer: settings.waitingPerCustomer, clock });
     this._uploads = parts.uploads ?? createUploads(settings);
     this._backend = createBackend(settings);
-    this._swarm = new SwarmMessageHandler(() => this._hosts.versions().map((version) => version.exchange));
-    this._peers = new AgentPeers(controlOptions(settings), random, this._logger, this._swarm);
+    this._swarmMessages = new SwarmMessageHandler(() =>
+      this._hosts.versions().map((version) => version.exchange),
+    );
+    this._peers = new AgentPeers(controlOptions(settings), random, this._logger, this._swarmMessages);
     this._hosts = new ServiceHosts({
       backend: this._backend,
       exchange: {
@@ -227,7 +229,7 @@
 
   private _onPlan(): void {
     this._peers.setPeers(this._hosts.neighbours().map((neighbour) => neighbour.member));
-    this._swarm.replayEarlyJoins();
+    this._swarmMessages.replayEarlyJoins();
   }
 
   private async _checkBackend(): Promise<void> {
--- a/src/agent/agentHttpServer.ts
+++ b/src/agent/agentHttpServer.ts
@@ -111,20 +111,20 @@
 
   private async _runRequest(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const body = await readBody(request, MAXIMUM_REQUEST_BYTES);
-    const text = (name: string): string => headerText(request.headers, name);
-    const customer = text(HEADER.customer);
-    const configuration = text(HEADER.configuration);
+    const header = (name: string): string => headerText(request.headers, name);
+    const customer = header(HEADER.customer);
+    const configuration = header(HEADER.configuration);
     const priority = (
-      PRIORITIES.includes(text(HEADER.priority)) ? text(HEADER.priority) : 'normal'
+      PRIORITIES.includes(header(HEADER.priority)) ? header(HEADER.priority) : 'normal'
     ) as Priority;
-    const deadline = text(HEADER.deadline);
+    const deadline = header(HEADER.deadline);
     const ledgerRequest = this._ledgerRequest(request, customer, configuration);
     const admitted = this._options.gate.admit({
       customer,
       configuration,
       priority,
       deadlineMilliseconds: deadline === '' ? undefined : Number(deadline),
-      version: text(HEADER.version),
+      version: header(HEADER.version),
       ledgerRequest,
     });
     this._addCommonHeaders(request, response);
@@ -161,21 +161,21 @@
 
   /**
    * Returns undefined for a repeatable request. A non-repeatable one names the incarnation that it is sent to; for any
-   * other incarnation the slot is -1, so that the ledger refuses the request as `not-owner`.
+   * other incarnation the slot is -1, so that the ledger refuses a new key as `not-owner`.
    */
   private _ledgerRequest(
     request: http.IncomingMessage,
     customer: string,
     configuration: string,
   ): LedgerRequest | undefined {
-    const text = (name: string): string => headerText(request.headers, name);
-    if (text(HEADER.repeatable) !== 'no') return undefined;
-    const isForThisIncarnation = text(HEADER.incarnation) === this._options.incarnation;
+    const header = (name: string): string => headerText(request.headers, name);
+    if (header(HEADER.repeatable) !== 'no') return undefined;
+    const isForThisIncarnation = header(HEADER.incarnation) === this._options.incarnation;
     return {
-      key: `${customer}.${configuration}.${text(HEADER.idempotencyKey)}`,
-      slot: isForThisIncarnation ? Number(text(HEADER.slot)) : -1,
-      slotEpoch: Number(text(HEADER.slotEpoch)),
-      ticketed: text(HEADER.slotTicketed) === 'yes',
+      key: `${customer}.${configuration}.${header(HEADER.idempotencyKey)}`,
+      slot: isForThisIncarnation ? Number(header(HEADER.slot)) : -1,
+      slotEpoch: Number(header(HEADER.slotEpoch)),
+      ticketed: header(HEADER.slotTicketed) === 'yes',
     };
   }
 
--- a/src/agent/backendForwarder.ts
+++ b/src/agent/backendForwarder.ts
@@ -28,7 +28,7 @@
 type BackendAnswer = Awaited<ReturnType<typeof httpRequest>>;
 
 const MAXIMUM_KEPT_ANSWER_BYTES = 64 * 1024;
-/** Long, since a backend server may take a long time until its first byte. Callers end a request by disconnecting. */
+/** One hour, since a backend server may need long for its first byte. Callers cancel a request by disconnecting. */
 const BACKEND_TIMEOUT_MILLISECONDS = 3_600_000;
 
 /** Forwards requests to the backend server of this box. */
@@ -49,7 +49,7 @@
     this._logger = logger;
   }
 
-  /** Runs the request. Returns a refusal if the backend server sent no answer. Never throws. */
+  /** Runs the request. Returns a refusal if nothing was written to `response`. Never throws. */
   async forward(
     request: ForwardRequest,
     permit: RequestPermit,
--- a/src/agent/requestGate.ts
+++ b/src/agent/requestGate.ts
@@ -9,7 +9,7 @@
 import type { ServiceHost } from './serviceHost.js';
 import type { StagedVersion } from './stagedVersion.js';
 
-/** Properties of a request that decide about its admission. */
+/** The properties of a request on which its admission depends. */
 export interface GateRequest {
   customer: string;
   configuration: string;
--- a/src/agent/serviceHost.ts
+++ b/src/agent/serviceHost.ts
@@ -74,7 +74,7 @@
     return await this._runInSequence(() => this._plan(plan));
   }
 
-  /** Starts the transfers of a planned version. Separate from {@link plan}, so that peers are connected before. */
+  /** Starts the transfers of a planned version. Separate from `plan`, so that the peers can be connected in between. */
   startTransfers(): void {
     const target = this._target;
     if (target?.state !== 'staging') return;
@@ -127,7 +127,7 @@
     };
   }
 
-  /** Runs orders one after the other, so that none runs while another one awaits. */
+  /** Runs orders one after the other, so that none sees an intermediate state of another one. */
   private async _runInSequence<T>(order: () => T | Promise<T>): Promise<T> {
     const result = this._orders.then(order);
     this._orders = result.catch(() => undefined);
--- a/src/entry/callerApi.ts
+++ b/src/entry/callerApi.ts
@@ -207,9 +207,9 @@
     return found?.name;
   }
 
-  private _answerUnknown(response: http.ServerResponse, what: 'model' | 'service', name: string): void {
+  private _answerUnknown(response: http.ServerResponse, kindName: 'model' | 'service', name: string): void {
     answerError(response, 404, {
-      error: `no ${what} ${JSON.stringify(name)}`,
+      error: `no ${kindName} ${JSON.stringify(name)}`,
       advice: 'ask your operator for the name',
     });
   }
--- a/src/external/keepAliveClient.ts
+++ b/src/external/keepAliveClient.ts
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Throws a StepError if there is no answer; an answer with any status is returned. Calls are sent one by one. */
+  /** Throws a StepError if there is no answer; an answer with any status is returned. Calls are sent sequentially. */
   async call({ step, method, path, body }: KeepAliveCall): Promise<KeepAliveAnswer> {
     try {
       return await this._dispatch({ method, path, body: body ?? null });
--- a/src/external/origin.ts
+++ b/src/external/origin.ts
@@ -11,7 +11,7 @@
   customer: string;
   model: string;
   version: string;
-  /** Offset in the version's blob. */
+  /** Offset in the version's blob, in bytes. */
   offset: number;
   length: number;
 }
@@ -19,7 +19,7 @@
 export interface Origin {
   /** Throws a StepError if the version doesn't exist or the origin doesn't answer. */
   manifest(customer: string, model: string, version: string): Promise<Manifest>;
-  /** Streams a range. Throws a StepError if the origin refuses. The stream fails when the signal is aborted. */
+  /** Streams a range. Throws a StepError if the request fails. The stream fails when the signal is aborted. */
   read(range: OriginRange, signal: AbortSignal): Promise<AsyncIterable<Buffer>>;
 }
 
--- a/src/membership/agentLinks.ts
+++ b/src/membership/agentLinks.ts
@@ -8,7 +8,7 @@
   load: [link: AgentLink];
 }
 
-/** The links of an entry to agents. */
+/** The links of an entry to all agents that it is connected to. */
 export class AgentLinks extends EventEmitter<AgentLinksEvents> {
   private readonly _services: LinkServices;
   private readonly _links = new Map<string, AgentLink>();
--- a/tests/backendForwarder.spec.ts
+++ b/tests/backendForwarder.spec.ts
@@ -9,7 +9,7 @@
 import { ManualClock } from '../src/utils/clock.js';
 import { listenHttp } from '../src/utils/httpServer.js';
 
-const PASS = {
+const PERMIT = {
   kind: 'run',
   version: { plan: { version: 'v1' } },
   admission: { ready: Promise.resolve(true), release: () => undefined },
@@ -37,7 +37,7 @@
   };
   const agent = http.createServer((_request, response) => {
     void forwarder
-      .forward({ ...request, idempotencyKey: '', priority: 'normal', ledgerKey: undefined }, PASS, response)
+      .forward({ ...request, idempotencyKey: '', priority: 'normal', ledgerKey: undefined }, PERMIT, response)
       .then((refusal) => {
         if (refusal) response.end(refusal.reason);
       });
--- a/tests/fleetRequests.spec.ts
+++ b/tests/fleetRequests.spec.ts
@@ -215,7 +215,10 @@
   const { fleet } = context;
   const before = (await runsOf(fleet, [box])).length;
   const all = (await runsOf(fleet, fleet.modelBoxes())).length;
-  await fleet.until('others work', async () => (await runsOf(fleet, fleet.modelBoxes())).length >= all + 40);
+  await fleet.until(
+    'the boxes have run forty more requests',
+    async () => (await runsOf(fleet, fleet.modelBoxes())).length >= all + 40,
+  );
   return (await runsOf(fleet, [box])).length - before;
 }
 
@@ -224,7 +227,7 @@
   const box = fleet.modelBoxes()[1];
   const load = sendContinuously([0, 1]);
   await fleet.listAs(box, 'leaving');
-  await fleet.until('the box gets no more work', async () => (await runsDuringFortyRequests(box)) === 0);
+  await fleet.until('the box gets no new requests', async () => (await runsDuringFortyRequests(box)) === 0);
   expect(await runsDuringFortyRequests(box)).toEqual(0);
   expect(await load.stop()).toEqual([]);
   await fleet.listAs(box, 'live');
--- a/tests/replicator.spec.ts
+++ b/tests/replicator.spec.ts
@@ -22,8 +22,8 @@
 }
 
 function listedBox(box: string): Box {
-  const place = { address: '127.0.0.1', httpPort: 1, controlPort: 1, state: 'live' as const };
-  return { ...place, box, role: 'entry', dataCentre: `data-centre-of-${box}` };
+  const endpoint = { address: '127.0.0.1', httpPort: 1, controlPort: 1, state: 'live' as const };
+  return { ...endpoint, box, role: 'entry', dataCentre: `data-centre-of-${box}` };
 }
 
 test('should accept the confirmation of a peer that connects while another peer is silent', async () => {
