--- a/src/agent/requestGate.ts
+++ b/src/agent/requestGate.ts
@@ -1,4 +1,4 @@
-/** Decides on every request that reaches the box, before the backend server sees it. */
+/** Admission control: decides whether a request may go to the backend server. */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { Priority } from '../protocol/headers.js';
@@ -9,27 +9,27 @@
 import type { ServiceHost } from './serviceHost.js';
 import type { StagedVersion } from './stagedVersion.js';
 
-/** A request as the gate sees it. */
+/** The properties of a request on which its admission depends. */
 export interface GateRequest {
   customer: string;
   configuration: string;
   priority: Priority;
   deadlineMilliseconds: number | undefined;
-  /** The only version that will do, or ''. */
+  /** The version that must answer, or '' for any. */
   version: string;
-  /** Present when the request is not repeatable. */
-  once: LedgerRequest | undefined;
+  /** Undefined for a repeatable request. */
+  ledgerRequest: LedgerRequest | undefined;
 }
 
-/** A request that may run. `end` must be called once it is over. */
-export interface Pass {
+/** Permission to run a request. The holder must call `end` when the request has ended. */
+export interface RequestPermit {
   kind: 'run';
   version: StagedVersion;
   admission: Admission;
   end(): void;
 }
 
-/** The kept answer of a request that ran before. */
+/** The stored answer of a request that ran before. */
 export interface Replay {
   kind: 'replay';
   answer: StoredAnswer;
@@ -42,40 +42,48 @@
   full: 'ledger-full',
 };
 
-/** Checks, in this order: leaving, in service, version, ledger, share of the box. */
+/**
+ * Checks the ledger first, so that a stored answer is replayed also while the agent is leaving. Then checks whether the
+ * agent is leaving, whether the configuration is in service, the version, and the customer's share of the box.
+ */
 export class RequestGate {
-  private readonly _hosts: (customer: string, configuration: string) => ServiceHost | undefined;
+  private readonly _findHost: (customer: string, configuration: string) => ServiceHost | undefined;
   private readonly _queue: FairQueue;
   private readonly _ledger: Ledger;
   private _leaving = false;
 
   constructor(
-    hosts: (customer: string, configuration: string) => ServiceHost | undefined,
+    findHost: (customer: string, configuration: string) => ServiceHost | undefined,
     queue: FairQueue,
     ledger: Ledger,
   ) {
-    this._hosts = hosts;
+    this._findHost = findHost;
     this._queue = queue;
     this._ledger = ledger;
   }
 
-  /** Refuses all new work from now on. */
-  leave(): void {
+  /** Refuses all new requests from now on. */
+  refuseNewRequests(): void {
     this._leaving = true;
   }
 
-  /** Lets a request in, replays its answer, or refuses it at once. */
-  enter(request: GateRequest): Result<Pass | Replay, Refusal> {
-    const host = this._hosts(request.customer, request.configuration);
-    const verdict = request.once ? this._ledger.check(serviceKey(request), request.once) : undefined;
+  /** Admits a request, returns its stored answer, or refuses it. */
+  admit(request: GateRequest): Result<RequestPermit | Replay, Refusal> {
+    const host = this._findHost(request.customer, request.configuration);
+    const verdict = request.ledgerRequest
+      ? this._ledger.check(serviceKey(request), request.ledgerRequest)
+      : undefined;
     if (verdict?.kind === 'answered') return ok({ kind: 'replay', answer: verdict.answer });
     if (verdict && verdict.kind !== 'run') return err(refusalFor(VERDICT_REASON[verdict.kind]));
-    const pass = this._enterVersion(request, host);
-    if (pass.isErr() && request.once) this._ledger.cancel(request.once.key);
-    return pass;
+    const permit = this._admitToVersion(request, host);
+    if (permit.isErr() && request.ledgerRequest) this._ledger.cancel(request.ledgerRequest.key);
+    return permit;
   }
 
-  private _enterVersion(request: GateRequest, host: ServiceHost | undefined): Result<Pass, Refusal> {
+  private _admitToVersion(
+    request: GateRequest,
+    host: ServiceHost | undefined,
+  ): Result<RequestPermit, Refusal> {
     const version = host?.active;
     if (this._leaving) return err(refusalFor('leaving'));
     if (!host || !version) return err(refusalFor('not-serving'));
@@ -90,16 +98,16 @@
     });
     if (admitted.isErr())
       return err(refusalFor(admitted.error.reason, admitted.error.retryAfterMilliseconds));
-    return ok(passFor(host, version, admitted.value));
+    return ok(createPermit(host, version, admitted.value));
   }
 }
 
-/** The ledger's name for a configuration. */
+/** Name of a configuration in the ledger. */
 export function serviceKey(service: { customer: string; configuration: string }): string {
   return `${service.customer}.${service.configuration}`;
 }
 
-function passFor(host: ServiceHost, version: StagedVersion, admission: Admission): Pass {
+function createPermit(host: ServiceHost, version: StagedVersion, admission: Admission): RequestPermit {
   let ended = false;
   version.inFlight++;
   const end = (): void => {
--- a/src/external/keptClient.ts
+++ b/src/external/keepAliveClient.ts
@@ -1,31 +1,29 @@
-/**
- * Calls one peer again and again over one kept connection. The general client parses a URL and makes a signal, a timer and a
- * stream for each call: an agent that asks its backend server eight times a second took 1.5 ms of processor time for each, and
- * takes 1.0 (100 calls at 60 ms in a fresh process, two pairs of runs).
- */
 import type { Dispatcher } from 'undici';
 import { Client } from 'undici';
 import { StepError, errorText } from '../utils/stepError.js';
 
-/** One call. */
-export interface KeptCall {
+export interface KeepAliveCall {
   step: string;
   method: 'GET' | 'PUT';
   path: string;
   body?: Buffer;
 }
 
-/** A whole answer. */
-export interface KeptAnswer {
+export interface KeepAliveAnswer {
   status: number;
   bytes: Buffer;
 }
 
-export class KeptClient {
+/**
+ * Sends repeated calls to one peer over one persistent connection. `sendJson` parses a URL and creates a signal, a
+ * timer and a stream for each call. For an agent that polls its backend server eight times a second, this client
+ * reduces the CPU time per call from 1.5 ms to 1.0 ms.
+ */
+export class KeepAliveClient {
   private readonly _address: string;
   private readonly _client: Client;
 
-  /** `address` is host:port. A peer that says nothing is given up after `timeoutMilliseconds`, or up to a second later. */
+  /** `address` is host:port. A call fails after `timeoutMilliseconds` of silence, or up to one second later. */
   constructor(address: string, timeoutMilliseconds: number) {
     this._address = address;
     this._client = new Client(`http://${address}`, {
@@ -36,8 +34,8 @@
     });
   }
 
-  /** Throws a StepError when there is no answer; any status is an answer. Calls go out one after the other. */
-  async call({ step, method, path, body }: KeptCall): Promise<KeptAnswer> {
+  /** Throws a StepError if there is no answer; an answer with any status is returned. Calls are sent sequentially. */
+  async call({ step, method, path, body }: KeepAliveCall): Promise<KeepAliveAnswer> {
     try {
       return await this._dispatch({ method, path, body: body ?? null });
     } catch (error) {
@@ -45,12 +43,12 @@
     }
   }
 
-  /** Ends the connection. */
+  /** Closes the connection, and fails calls that are in progress. */
   close(): void {
     void this._client.destroy().catch(() => undefined);
   }
 
-  private async _dispatch(options: Dispatcher.DispatchOptions): Promise<KeptAnswer> {
+  private async _dispatch(options: Dispatcher.DispatchOptions): Promise<KeepAliveAnswer> {
     return await new Promise((resolve, reject) => {
       const pieces: Buffer[] = [];
       let status = 0;
