--- a/bench/controlBench.ts
+++ b/bench/controlBench.ts
@@ -5,14 +5,14 @@
 import type { Usage } from './processUsage.js';
 import { meanUsage } from './processUsage.js';
 
-interface Shape {
+interface FleetShape {
   agents: number;
   entries: number;
   configurations: number;
 }
 
-interface Figures {
-  shape: Shape;
+interface MeasuredUsage {
+  shape: FleetShape;
   entry: Usage;
   agent: Usage;
 }
@@ -21,7 +21,7 @@
 const COMPLETE_MILLISECONDS = 120_000;
 const SETTLE_MILLISECONDS = 10_000;
 const MEASURE_MILLISECONDS = 20_000;
-const BASE: Shape = { agents: 6, entries: 3, configurations: 1 };
+const BASE: FleetShape = { agents: 6, entries: 3, configurations: 1 };
 const MEASURES: { name: string; unit: string; read: (usage: Usage) => number }[] = [
   { name: 'control.bytesPerSecond', unit: 'bytes/s', read: (usage) => usage.bytesPerSecond },
   { name: 'control.cpuPercent', unit: '% of a core', read: (usage) => usage.cpuPercent },
@@ -34,7 +34,7 @@
   for (const { name, unit, read } of MEASURES) {
     for (const role of ['entry', 'agent'] as const) {
       const value = read(base[role]);
-      printLine({ name, value, unit, baseline: null, conditions: `${role}, idle; ${textOf(BASE)}` });
+      printLine({ name, value, unit, baseline: null, conditions: `${role}, idle; ${describeShape(BASE)}` });
     }
   }
   for (const [dimension, larger] of [
@@ -46,18 +46,18 @@
   }
 }
 
-function printSlopes(dimension: keyof Shape, base: Figures, larger: Figures): void {
+function printSlopes(dimension: keyof FleetShape, base: MeasuredUsage, larger: MeasuredUsage): void {
   const steps = larger.shape[dimension] - base.shape[dimension];
   for (const { name, unit, read } of MEASURES) {
     for (const role of ['entry', 'agent'] as const) {
       const value = (read(larger[role]) - read(base[role])) / steps;
-      const conditions = `${role}, slope per ${dimension}; ${textOf(base.shape)} to ${textOf(larger.shape)}`;
+      const conditions = `${role}, slope per ${dimension}; ${describeShape(base.shape)} to ${describeShape(larger.shape)}`;
       printLine({ name, value, unit, baseline: null, conditions });
     }
   }
 }
 
-async function measure(shape: Shape): Promise<Figures> {
+async function measure(shape: FleetShape): Promise<MeasuredUsage> {
   const fleet = await LocalFleet.start({
     dataCentres: DATA_CENTRES,
     entriesPerDataCentre: shape.entries / DATA_CENTRES.length,
@@ -104,6 +104,6 @@
   }
 }
 
-function textOf({ agents, entries, configurations }: Shape): string {
+function describeShape({ agents, entries, configurations }: FleetShape): string {
   return `${agents} agents, ${entries} entries, ${configurations} configurations`;
 }
--- a/bench/costBench.ts
+++ b/bench/costBench.ts
@@ -16,7 +16,7 @@
 const NETWORK = 61;
 const SEED = 1;
 /** Time in which all processes have met each other. */
-const MEETING_MILLISECONDS = 4_000;
+const STARTUP_MILLISECONDS = 4_000;
 const IDLE_MILLISECONDS = 8_000;
 const LOAD_MILLISECONDS = 8_000;
 /** Requests under way at the same time at one entry. */
@@ -28,14 +28,14 @@
 const DEPLOY_FILE = 'deploy/system.toml';
 
 /** One kind of request. */
-interface Asked {
+interface RequestTarget {
   method: string;
   path: string;
   headers: Record<string, string>;
 }
 
-const REQUEST: Asked = { method: 'GET', path: '/boards/x', headers: {} };
-const STREAM: Asked = { method: 'POST', path: '/chat/x?stream=1', headers: { 'x-model': MODEL } };
+const REQUEST: RequestTarget = { method: 'GET', path: '/boards/x', headers: {} };
+const STREAM: RequestTarget = { method: 'POST', path: '/chat/x?stream=1', headers: { 'x-model': MODEL } };
 
 export async function benchCosts(): Promise<void> {
   execFileSync(process.execPath, [BUNDLER], { stdio: 'inherit' });
@@ -45,19 +45,19 @@
     random: new SeededRandom(SEED),
     listener: {
       onExecution: () => undefined,
-      onUnwhole: () => undefined,
+      onIncompleteVersion: () => undefined,
       onCrash: () => undefined,
       onArrival: () => undefined,
-      onSpoken: () => undefined,
+      onSignals: () => undefined,
     },
     program: PROGRAM,
-    nodeWords: { entry: deployedWords('entry'), agent: deployedWords('agent') },
+    nodeArguments: { entry: deployedNodeArguments('entry'), agent: deployedNodeArguments('agent') },
   });
   try {
     await fleet.start();
-    await pause(MEETING_MILLISECONDS);
-    print('costs.start', 'ms', meanOf(fleet.entries), 'entry');
-    print('costs.start', 'ms', meanOf(fleet.agents), 'agent');
+    await pause(STARTUP_MILLISECONDS);
+    print('costs.start', 'ms', meanProcessorMilliseconds(fleet.entries), 'entry');
+    print('costs.start', 'ms', meanProcessorMilliseconds(fleet.agents), 'agent');
     const [idleEntry, idleAgent] = await measureIdle(fleet);
     print('costs.idleSecond', 'ms/s', idleEntry, 'entry');
     print('costs.idleSecond', 'ms/s', idleAgent, 'agent');
@@ -71,7 +71,7 @@
 }
 
 /** The words for node of the deploy file: a code cache fits processes with the same ones only. */
-function deployedWords(role: ProcessRole): string[] {
+function deployedNodeArguments(role: ProcessRole): string[] {
   const run = new RegExp(`^run = "node (.*)${PROGRAM_IN_DEPLOY_FILE} ${role}"$`, 'm');
   const words = run.exec(readFileSync(DEPLOY_FILE, 'utf8'))?.[1] ?? '';
   return words.trim().split(' ');
@@ -82,33 +82,44 @@
 }
 
 /** Mean processor time since the start, in milliseconds. */
-function meanOf(processes: readonly FleetProcess[]): number {
+function meanProcessorMilliseconds(processes: readonly FleetProcess[]): number {
   const times = processes.map(({ processId }) => processorMilliseconds(processId!));
   return times.reduce((sum, time) => sum + time, 0) / times.length;
 }
 
 /** Milliseconds that an entry and an agent take in a second without requests. */
 async function measureIdle({ entries, agents }: SoakFleet): Promise<[entry: number, agent: number]> {
-  const before = [meanOf(entries), meanOf(agents)];
+  const before = [meanProcessorMilliseconds(entries), meanProcessorMilliseconds(agents)];
   await pause(IDLE_MILLISECONDS);
   const seconds = IDLE_MILLISECONDS / 1000;
-  return [(meanOf(entries) - before[0]) / seconds, (meanOf(agents) - before[1]) / seconds];
+  return [
+    (meanProcessorMilliseconds(entries) - before[0]) / seconds,
+    (meanProcessorMilliseconds(agents) - before[1]) / seconds,
+  ];
 }
 
 /** Milliseconds that an entry takes for one request beyond `idle` milliseconds a second. */
-async function measureLoad(fleet: SoakFleet, asked: Asked, idle: number): Promise<number> {
-  const before = meanOf(fleet.entries);
+async function measureLoad(fleet: SoakFleet, asked: RequestTarget, idle: number): Promise<number> {
+  const before = meanProcessorMilliseconds(fleet.entries);
   const until = performance.now() + LOAD_MILLISECONDS;
   const callers = fleet.entries.flatMap((entry) =>
-    Array.from({ length: CALLERS_PER_ENTRY }, async () => await askUntil(fleet, entry, asked, until)),
+    Array.from(
+      { length: CALLERS_PER_ENTRY },
+      async () => await sendRequestsUntil(fleet, entry, asked, until),
+    ),
   );
   const answered = (await Promise.all(callers)).reduce((sum, count) => sum + count, 0);
-  const used = meanOf(fleet.entries) - before - (idle * LOAD_MILLISECONDS) / 1000;
+  const used = meanProcessorMilliseconds(fleet.entries) - before - (idle * LOAD_MILLISECONDS) / 1000;
   return (used * fleet.entries.length) / answered;
 }
 
 /** Asks one after the other; returns how many were answered. */
-async function askUntil(fleet: SoakFleet, entry: FleetProcess, asked: Asked, until: number): Promise<number> {
+async function sendRequestsUntil(
+  fleet: SoakFleet,
+  entry: FleetProcess,
+  asked: RequestTarget,
+  until: number,
+): Promise<number> {
   const agent = new http.Agent({ keepAlive: true });
   const [host, port] = fleet.callerAddress(entry).split(':');
   let answered = 0;
@@ -120,14 +131,14 @@
       authorization: `Bearer ${CUSTOMERS[0].api_keys[0]}`,
     };
     const { method, path: target } = asked;
-    if ((await ask({ host, port, method, path: target, headers, agent })) === 200) answered++;
+    if ((await sendRequest({ host, port, method, path: target, headers, agent })) === 200) answered++;
     await pause(20);
   }
   agent.destroy();
   return answered;
 }
 
-async function ask(options: http.RequestOptions): Promise<number> {
+async function sendRequest(options: http.RequestOptions): Promise<number> {
   return await new Promise((resolve) => {
     const request = http.request(options, (answer) => {
       answer.resume();
--- a/bench/requestBench.ts
+++ b/bench/requestBench.ts
@@ -14,7 +14,7 @@
 const CAPACITY =
   (DATA_CENTRES.length * BOXES_PER_DATA_CENTRE * SLOTS * 1000) /
   (ENGINE.firstTokenMilliseconds + TOKENS * ENGINE.tokenMilliseconds);
-const CHANGES = 20;
+const CONFIGURATION_CHANGES = 20;
 const LOAD_MILLISECONDS = 6_000;
 const CONDITIONS = '3 data centres, 3 entries, 3 model boxes of 4 slots, loopback, one run';
 
@@ -73,7 +73,7 @@
 /** From the operator's request until every entry answers with the new revision. */
 async function benchInForce(fleet: LocalFleet): Promise<void> {
   const seconds: number[] = [];
-  for (let change = 0; change < CHANGES; change++) {
+  for (let change = 0; change < CONFIGURATION_CHANGES; change++) {
     const path = '/v1/customers/changing';
     const start = performance.now();
     const answer = await fleet.operate('PUT', path, { keyDigests: [String(change % 10).repeat(64)] });
@@ -92,7 +92,7 @@
     value: worst,
     unit: 'seconds',
     baseline: null,
-    conditions: `worst of ${CHANGES} changes; ${CONDITIONS}`,
+    conditions: `worst of ${CONFIGURATION_CHANGES} changes; ${CONDITIONS}`,
   });
 }
 
--- a/bench/rolloutBench.ts
+++ b/bench/rolloutBench.ts
@@ -1,7 +1,7 @@
 /** Time to N replicas and origin bytes, with the baselines in the same run. */
 import { printLine } from './benchLine.js';
-import { breakFleet } from './rolloutFaults.js';
-import type { RolloutFigures, RolloutRunOptions } from './rolloutRun.js';
+import { injectFaults } from './rolloutFaults.js';
+import type { RolloutMeasurements, RolloutRunOptions } from './rolloutRun.js';
 import { measureRollout } from './rolloutRun.js';
 
 const KILOBYTE = 1024;
@@ -52,7 +52,7 @@
     ...LARGE,
     entriesPerDataCentre: 2,
     originBudgetCopies: 1.5,
-    faults: (fleet) => breakFleet(fleet, FAULTS_AFTER_MILLISECONDS),
+    faults: (fleet) => injectFaults(fleet, FAULTS_AFTER_MILLISECONDS),
   });
   const what = `${conditions(LARGE)}; 3 agents killed, 1 frozen for 5 s, 1% of draws corrupt, coordinator killed`;
   printRatio('rollout.timeToReplicas.ratioToBound.faults', faulty, undefined, what);
@@ -83,14 +83,14 @@
   return `${boxes} boxes, ${dataCentres.length} data centres, ${chunks}, T = ${periodSeconds} s, full duplex, one run, loopback`;
 }
 
-function ratio(figures: RolloutFigures): number {
+function ratio(figures: RolloutMeasurements): number {
   return figures.allSeconds / figures.boundSeconds;
 }
 
 function printRatio(
   name: string,
-  figures: RolloutFigures,
-  baseline: RolloutFigures | undefined,
+  figures: RolloutMeasurements,
+  baseline: RolloutMeasurements | undefined,
   what: string,
 ): void {
   const value = ratio(figures);
@@ -99,15 +99,15 @@
 
 function printCopies(
   name: string,
-  figures: RolloutFigures,
-  baseline: RolloutFigures | undefined,
+  figures: RolloutMeasurements,
+  baseline: RolloutMeasurements | undefined,
   what: string,
 ): void {
   const value = figures.originCopies;
   printLine({ name, value, unit: 'copies', baseline: baseline?.originCopies ?? null, conditions: what });
 }
 
-function printTimes(figures: RolloutFigures, what: string): void {
+function printTimes(figures: RolloutMeasurements, what: string): void {
   const times = {
     first: figures.firstSeconds,
     half: figures.halfSeconds,
--- a/bench/rolloutFaults.ts
+++ b/bench/rolloutFaults.ts
@@ -10,7 +10,7 @@
  * One agent in ten killed, one frozen for five seconds, one draw in a hundred corrupt, and the coordinator's entry
  * killed. Returns the killed boxes.
  */
-export async function breakFleet(fleet: LocalFleet, afterMilliseconds: number): Promise<string[]> {
+export async function injectFaults(fleet: LocalFleet, afterMilliseconds: number): Promise<string[]> {
   await fleet.setFaults(fleet.originUrl, { corruptShare: CORRUPT_SHARE });
   await pause(afterMilliseconds);
   const boxes = fleet.modelBoxes();
@@ -18,7 +18,7 @@
   await Promise.all(killed.map((box) => fleet.box(box).child.end('SIGKILL')));
   const frozen = fleet.box(boxes[boxes.length - 1]).child;
   frozen.signal('SIGSTOP');
-  const coordinator = await coordinatorOf(fleet, 'studio', 'advisor');
+  const coordinator = await findCoordinator(fleet, 'studio', 'advisor');
   await fleet.box(coordinator).child.end('SIGKILL');
   await pause(BOX_LIST_LAG_MILLISECONDS);
   await Promise.all([...killed, coordinator].map((box) => fleet.unlist(box)));
@@ -28,7 +28,7 @@
 }
 
 /** The entry that holds the lease of a configuration. */
-export async function coordinatorOf(
+export async function findCoordinator(
   fleet: LocalFleet,
   customer: string,
   configuration: string,
--- a/bench/rolloutRun.ts
+++ b/bench/rolloutRun.ts
@@ -24,7 +24,7 @@
 }
 
 /** What was measured. Times are from the operator's yes. */
-export interface RolloutFigures {
+export interface RolloutMeasurements {
   boxes: number;
   boundSeconds: number;
   firstSeconds: number;
@@ -59,7 +59,7 @@
 };
 
 /** Starts a fleet, rolls out and measures; the fleet is gone afterwards. */
-export async function measureRollout(options: RolloutRunOptions): Promise<RolloutFigures> {
+export async function measureRollout(options: RolloutRunOptions): Promise<RolloutMeasurements> {
   const modelBytes = options.chunkBytes * options.chunkCount;
   const originBytesPerSecond = (RATES.origin * modelBytes) / options.periodSeconds;
   const boxBytesPerSecond = (RATES.box * modelBytes) / options.periodSeconds;
--- a/bench/shareBench.ts
+++ b/bench/shareBench.ts
@@ -9,7 +9,7 @@
 const MODEL_BYTES = CHUNK_BYTES * CHUNKS;
 const WEIGHTS = { heavy: 2, light: 1 };
 /** Part of a copy that the first rollout has drawn when the shares are read. */
-const READ_AT = 0.6;
+const READ_AT_COPIES = 0.6;
 
 /** Prints how many bytes the heavy rollout has drawn for each of the light one, in the middle, and both origin copies. */
 export async function benchShare(): Promise<void> {
@@ -75,7 +75,7 @@
     const [heavy, light] = await Promise.all(
       Object.keys(WEIGHTS).map((customer) => fleet.rollout(customer, 'advisor')),
     );
-    if (heavy.bytes.origin > READ_AT * MODEL_BYTES) return heavy.bytes.origin / light.bytes.origin;
+    if (heavy.bytes.origin > READ_AT_COPIES * MODEL_BYTES) return heavy.bytes.origin / light.bytes.origin;
     await pause(50);
   }
 }
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -26,9 +26,9 @@
 }
 
 /** What came of one sending. */
-type Sending = 'ok' | 'wrong' | 'again';
+type SendResult = 'ok' | 'wrong' | 'again';
 
-const TRIES = 40;
+const MAX_ATTEMPTS = 40;
 const RETRY_MILLISECONDS = 150;
 const TIMEOUT_MILLISECONDS = 20_000;
 
@@ -59,10 +59,10 @@
   private async _request(kind: 'once' | 'stream' | 'whole'): Promise<void> {
     const content = randomUUID();
     this.tally.sent++;
-    for (let attempt = 0; attempt < TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const urls = this._options.entryUrls();
       const url = urls[attempt % urls.length];
-      const result = await this._send(kind, url, content).catch((): Sending => 'again');
+      const result = await this._send(kind, url, content).catch((): SendResult => 'again');
       if (result === 'ok') {
         this.tally.answered++;
         return;
@@ -77,13 +77,13 @@
     this.tally.lost++;
   }
 
-  private async _send(kind: 'once' | 'stream' | 'whole', url: string, content: string): Promise<Sending> {
+  private async _send(kind: 'once' | 'stream' | 'whole', url: string, content: string): Promise<SendResult> {
     return kind === 'once'
       ? await this._sendOnce(url, content)
       : await this._sendChat(url, content, kind === 'stream');
   }
 
-  private async _sendChat(url: string, content: string, stream: boolean): Promise<Sending> {
+  private async _sendChat(url: string, content: string, stream: boolean): Promise<SendResult> {
     const { model, apiKey, customer } = this._options;
     const body = { model, stream, max_tokens: 6, messages: [{ role: 'user', content }] };
     const answer = await post(`${url}/v1/chat/completions`, apiKey, body, {});
@@ -95,7 +95,7 @@
     return text.includes(`${customer}/${model}@${version}: ${content}`) ? 'ok' : 'wrong';
   }
 
-  private async _sendOnce(url: string, content: string): Promise<Sending> {
+  private async _sendOnce(url: string, content: string): Promise<SendResult> {
     const headers = { 'idempotency-key': content, 'larklatch-repeatable': 'no' };
     const answer = await post(
       `${url}/v1/services/${this._options.service}/turns`,
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -18,7 +18,7 @@
 const BOX_BYTES_PER_SECOND = (2 * MODEL_BYTES) / PERIOD_SECONDS;
 const PROGRESS_MILLISECONDS = 250;
 const KILL_AFTER_MILLISECONDS = 3_000;
-const AFTERWARDS_MILLISECONDS = 1_000;
+const REQUESTS_AFTER_ROLLOUT_MILLISECONDS = 1_000;
 
 const CUSTOMERS = [
   { name: 'brijuni', apiKey: 'key-of-brijuni', service: 'turns' },
@@ -79,10 +79,10 @@
   await publish(fleet, 'v1', 8);
   for (const { name } of CUSTOMERS) await fleet.untilComplete(name, 'advisor', 'v1');
   await fleet.untilComplete('brijuni', 'turns', '1');
-  await fleet.until('a ledger', async () => (await keysFor(fleet)) > 0);
+  await fleet.until('a ledger', async () => (await countIdempotencyKeys(fleet)) > 0);
 }
 
-async function keysFor(fleet: LocalFleet): Promise<number> {
+async function countIdempotencyKeys(fleet: LocalFleet): Promise<number> {
   const answer = await fetch(`${fleet.entries()[0].httpUrl}/v1/idempotency-keys`, {
     method: 'POST',
     headers: { authorization: `Bearer ${CUSTOMERS[0].apiKey}` },
@@ -110,7 +110,7 @@
 }
 
 /** Kills an agent in the middle of the rollout; the box list notices a second later. */
-async function breakThings(fleet: LocalFleet): Promise<void> {
+async function injectFaults(fleet: LocalFleet): Promise<void> {
   await pause(KILL_AFTER_MILLISECONDS);
   const victim = `${DATA_CENTRES[0]}-model-2`;
   console.log(`killing the agent of ${victim}`);
@@ -189,14 +189,14 @@
     const originBefore = await fleet.originBytes();
     console.log(`rolling out v2, ${megabytes} MB, under requests${withFaults ? ', with faults' : ''}`);
     const [published] = await publish(fleet, 'v2', CHUNKS, [CUSTOMERS[0]]);
-    const faults = withFaults ? breakThings(fleet) : Promise.resolve();
+    const faults = withFaults ? injectFaults(fleet) : Promise.resolve();
     const [seconds] = await Promise.all([
       timeToReplicas(fleet, 'brijuni', 'v2'),
       watchRollout(fleet, 'brijuni', 'v2'),
     ]);
     await faults;
     const originCopies = ((await fleet.originBytes()) - originBefore) / MODEL_BYTES;
-    await pause(AFTERWARDS_MILLISECONDS);
+    await pause(REQUESTS_AFTER_ROLLOUT_MILLISECONDS);
     callers.forEach((caller) => caller.stop());
     await ended;
     const digests = await engineDigests(fleet, 'brijuni', 'v2');
--- a/soak/callerLog.ts
+++ b/soak/call.ts
@@ -4,7 +4,7 @@
 export type CallKind = 'stream' | 'once' | 'repeatable' | 'newest';
 
 /** How an answer looked to the caller. */
-export type CallEnd = 'whole' | 'refused' | 'failed' | 'cut' | 'never-sent' | 'left';
+export type CallOutcome = 'whole' | 'refused' | 'failed' | 'cut' | 'never-sent' | 'left';
 
 /** One attempt with an id of its own. */
 export interface Call {
@@ -14,7 +14,7 @@
   /** Wall clock, in milliseconds. */
   sentAt: number;
   endedAt: number;
-  end: CallEnd;
+  outcome: CallOutcome;
   /** 0 when there was no answer. */
   status: number;
   /** Of calls on the route of the newest configuration: since when that is there. */
@@ -22,5 +22,5 @@
   /** Whether its connection was opened for it. */
   onNewConnection: boolean;
   /** What was wrong with the answer, if anything. */
-  wrong: string | undefined;
+  answerError: string | undefined;
 }
--- a/soak/fleetOptions.ts
+++ b/soak/fleetOptions.ts
@@ -30,7 +30,7 @@
   random: Random;
   listener: FleetListener;
   /** Further words for node, by role. */
-  nodeWords?: Record<ProcessRole, readonly string[]>;
+  nodeArguments?: Record<ProcessRole, readonly string[]>;
   /** The program; as it is built for tests when left out. */
   program?: string;
 }
@@ -41,8 +41,8 @@
   /** A request has reached a server, whether it runs or not. */
   onArrival(arrival: Arrival): void;
   /** A server has said something of itself in an answer. */
-  onSpoken(spoken: SpokenSignals): void;
-  onUnwhole(runner: string, version: number): void;
+  onSignals(spoken: SpokenSignals): void;
+  onIncompleteVersion(runner: string, version: number): void;
   /** The request with this body has ended a server. */
   onCrash(body: string): void;
 }
--- a/soak/fleetProcess.ts
+++ b/soak/fleetProcess.ts
@@ -16,7 +16,7 @@
   directory: string;
   sharedKey: string;
   /** Further words for node. */
-  nodeWords?: readonly string[];
+  nodeArguments?: readonly string[];
   /** The program; as it is built for tests when left out. */
   program?: string;
 }
@@ -24,19 +24,19 @@
 const MAIN = new URL('../platform/main.js', import.meta.url).pathname;
 
 /** Processes that still run; none outlives this one. */
-const running = new Set<ChildProcess>();
-process.once('exit', () => running.forEach((child) => child.kill('SIGKILL')));
+const runningChildren = new Set<ChildProcess>();
+process.once('exit', () => runningChildren.forEach((child) => child.kill('SIGKILL')));
 for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(1));
 
 export class FleetProcess {
   readonly name: string;
   readonly role: ProcessRole;
   /** Ends that nobody asked for. */
-  unexpectedEnds = 0;
+  unexpectedExits = 0;
   private readonly _options: FleetProcessOptions;
   private _child: ChildProcess | undefined;
-  private _expectsEnd = false;
-  private _isStopped = false;
+  private _expectsExit = false;
+  private _isPaused = false;
 
   constructor(options: FleetProcessOptions) {
     this._options = options;
@@ -60,33 +60,33 @@
 
   /** Whether it stands still after SIGSTOP. */
   get paused(): boolean {
-    return this._isStopped;
+    return this._isPaused;
   }
 
   /** Starts it unless it runs. */
   start(): void {
     if (this._child) return;
-    const { directory, settings, role, sharedKey, nodeWords = [], program = MAIN } = this._options;
+    const { directory, settings, role, sharedKey, nodeArguments = [], program = MAIN } = this._options;
     const file = path.join(directory, `${this.name}.json`);
     writeFileSync(file, JSON.stringify(settings));
     const log = openSync(this.logFile, 'a');
-    const child = spawn(process.execPath, [...nodeWords, program, role], {
+    const child = spawn(process.execPath, [...nodeArguments, program, role], {
       env: { LARKLATCH_CONFIG: file, LARKLATCH_SHARED_KEY: sharedKey },
       stdio: ['ignore', log, log],
     });
     closeSync(log);
     this._child = child;
-    this._expectsEnd = false;
-    running.add(child);
+    this._expectsExit = false;
+    runningChildren.add(child);
     child.once('exit', () => this._onExit(child));
   }
 
   /** Sends a signal; SIGKILL and SIGTERM are ends that are asked for. */
   signal(name: NodeJS.Signals): void {
     if (!this._child) return;
-    if (name === 'SIGKILL' || name === 'SIGTERM') this._expectsEnd = true;
-    if (name === 'SIGSTOP') this._isStopped = true;
-    if (name === 'SIGCONT') this._isStopped = false;
+    if (name === 'SIGKILL' || name === 'SIGTERM') this._expectsExit = true;
+    if (name === 'SIGSTOP') this._isPaused = true;
+    if (name === 'SIGCONT') this._isPaused = false;
     this._child.kill(name);
   }
 
@@ -97,10 +97,10 @@
   }
 
   private _onExit(child: ChildProcess): void {
-    running.delete(child);
+    runningChildren.delete(child);
     if (this._child !== child) return;
     this._child = undefined;
-    this._isStopped = false;
-    if (!this._expectsEnd) this.unexpectedEnds++;
+    this._isPaused = false;
+    if (!this._expectsExit) this.unexpectedExits++;
   }
 }
--- a/soak/loopbackProxy.ts
+++ b/soak/loopbackProxy.ts
@@ -12,14 +12,14 @@
 const DELAY_MILLISECONDS = 250;
 
 /** The two ends of one connection. */
-interface Pair {
+interface ProxiedConnection {
   client: Socket;
   server: Socket;
 }
 
 export class LoopbackProxy {
   private readonly _target: string;
-  private readonly _pairs = new Set<Pair>();
+  private readonly _connections = new Set<ProxiedConnection>();
   private readonly _abandoned: Socket[] = [];
   private readonly _server = net.createServer((client) => this._accept(client));
   private _mode: ProxyMode = 'pass';
@@ -47,9 +47,9 @@
   }
 
   /** Holds for open and new connections; what was held up goes on when all passes again. */
-  set(mode: ProxyMode): void {
+  setMode(mode: ProxyMode): void {
     this._mode = mode;
-    for (const pair of this._pairs) this._apply(pair);
+    for (const pair of this._connections) this._apply(pair);
   }
 
   /**
@@ -57,19 +57,19 @@
    * ones pass.
    */
   abandon(): void {
-    for (const { client, server } of this._pairs) {
+    for (const { client, server } of this._connections) {
       for (const socket of [client, server]) socket.removeAllListeners().on('error', () => undefined);
       server.pause();
       client.destroy();
       this._abandoned.push(server);
     }
-    this._pairs.clear();
+    this._connections.clear();
   }
 
   /** Refuses connections from now on, as a port where nobody listens; {@link LoopbackProxy.listen} may follow. */
   close(): void {
     this._server.close();
-    for (const pair of this._pairs) cut(pair);
+    for (const pair of this._connections) resetConnection(pair);
     for (const server of this._abandoned) server.destroy();
   }
 
@@ -78,13 +78,13 @@
     const [host, port] = splitAddress(this._target);
     const server = net.connect({ host, port, allowHalfOpen: true });
     const pair = { client, server };
-    this._pairs.add(pair);
+    this._connections.add(pair);
     for (const socket of [client, server]) {
       socket.setNoDelay(true);
-      socket.on('error', () => cut(pair));
+      socket.on('error', () => resetConnection(pair));
       socket.once('close', () => {
-        this._pairs.delete(pair);
-        cut(pair);
+        this._connections.delete(pair);
+        resetConnection(pair);
       });
     }
     this._forward(client, server);
@@ -103,19 +103,19 @@
     });
   }
 
-  private _apply(pair: Pair): void {
-    if (this._mode === 'reset') return cut(pair);
-    hold(pair.client, this._mode === 'deaf' || this._mode === 'silent');
-    hold(pair.server, this._mode === 'mute' || this._mode === 'silent');
+  private _apply(pair: ProxiedConnection): void {
+    if (this._mode === 'reset') return resetConnection(pair);
+    setPaused(pair.client, this._mode === 'deaf' || this._mode === 'silent');
+    setPaused(pair.server, this._mode === 'mute' || this._mode === 'silent');
   }
 }
 
-function hold(socket: Socket, held: boolean): void {
+function setPaused(socket: Socket, held: boolean): void {
   if (held) socket.pause();
   else socket.resume();
 }
 
-function cut({ client, server }: Pair): void {
+function resetConnection({ client, server }: ProxiedConnection): void {
   for (const socket of [client, server]) {
     // a socket that is shutting down cannot be reset: Node would never close it, and never end
     if (socket.writableEnded) socket.destroy();
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -40,7 +40,7 @@
 });
 
 const { flags } = cli;
-const PLANNED_EVERY = 4;
+const SEEDS_PER_PLANNED_RUN = 4;
 const names = flags.kinds.split(',').filter((name) => name !== '');
 const kinds = FAULT_KINDS.filter((kind) => names.includes(kind));
 if (kinds.length < names.length) {
@@ -48,9 +48,9 @@
   process.exit(2);
 }
 const until = Date.now() + flags.minutes * 60_000;
-let broken = 0;
+let failedSeeds = 0;
 for (let seed = flags.seed; seed < flags.seed + flags.seeds && Date.now() < until; seed++) {
-  const plannedOnly = flags.planned || seed % PLANNED_EVERY === 0;
+  const plannedOnly = flags.planned || seed % SEEDS_PER_PLANNED_RUN === 0;
   const report = await soak({
     seed,
     seconds: flags.seconds,
@@ -61,7 +61,7 @@
     kinds: kinds.length > 0 ? kinds : undefined,
     log: (line) => flags.verbose && console.error(`${new Date().toISOString()} seed ${seed}: ${line}`),
   });
-  if (report.breaches.length > 0) broken++;
+  if (report.breaches.length > 0) failedSeeds++;
   console.log(JSON.stringify({ ...report, plannedOnly }));
 }
-process.exit(broken > 0 ? 1 : 0);
+process.exit(failedSeeds > 0 ? 1 : 0);
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -1,7 +1,7 @@
 /** Checks what callers and backend servers have seen against the promises of docs/PROMISES.md. */
 import type { Execution } from '../standins/platformRunnerOptions.js';
 import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
-import type { Call } from './callerLog.js';
+import type { Call } from './call.js';
 import type { SignalChecks } from './signalChecks.js';
 
 export type PromiseName =
@@ -30,7 +30,7 @@
 export type BreachListener = (promise: PromiseName, what: string) => void;
 
 /** A time in which something was harmed, in wall clock milliseconds. */
-interface Harm {
+interface FaultWindow {
   from: number;
   until: number;
 }
@@ -39,22 +39,22 @@
  * What a harm strikes. Entries stay in touch with all else while servers end under a request; processes that end hold no request up;
  * the `copy` from which the store comes back lacks what was told lately, and nothing else.
  */
-export type Harmed = 'all' | 'servers' | 'processes' | 'copy';
+export type FaultScope = 'all' | 'servers' | 'processes' | 'copy';
 
 /** A planned stop of an entry. */
-interface Stop extends Harm {
+interface EntryStop extends FaultWindow {
   /** Where callers reach it, host:port. */
   entry: string;
 }
 
 /** What the bound of a version or a leaving server runs from. */
-interface Announcement {
+interface VersionAnnouncement {
   version: number;
   at: number;
 }
 
 /** What has come of a request that ends each server which runs it. */
-interface CrashingRequest {
+interface CrashingRequestRecord {
   /** When a server ended, in wall clock milliseconds. */
   crashes: number[];
   runs: number;
@@ -64,11 +64,11 @@
 /** Beyond the bounds themselves: timers and processors of a loaded machine. */
 const SLACK_MILLISECONDS = 500;
 /** After a harm, processes are held to bounds in time again. */
-const CONTACT_MILLISECONDS = 3_000;
+const RECOVERY_MILLISECONDS = 3_000;
 /** Ends of servers after which a request that ends them is known for it, and runs that it may have once all know. */
-const TELLING_CRASHES = 3;
-const MOST_LATE_RUNS = 3;
-const MOST_BREACHES = 50;
+const CRASHES_UNTIL_KNOWN = 3;
+const MAX_LATE_RUNS = 3;
+const MAX_BREACHES = 50;
 const NOT_FOUND = 404;
 
 /** Bounds in milliseconds. */
@@ -83,15 +83,15 @@
   private readonly _bounds: CheckBounds;
   private readonly _calls = new Map<string, Call>();
   private readonly _executions = new Map<string, Execution[]>();
-  private readonly _asked = new Set<string>();
-  private readonly _harms: (Harm & { harmed: Harmed })[] = [];
-  private readonly _stops: Stop[] = [];
-  private readonly _named: Announcement[] = [];
+  private readonly _sentIds = new Set<string>();
+  private readonly _faults: (FaultWindow & { scope: FaultScope })[] = [];
+  private readonly _stops: EntryStop[] = [];
+  private readonly _announcedVersions: VersionAnnouncement[] = [];
   /** Configurations that an entry was seen to have, by entry and the time at which they came. */
-  private readonly _inForce = new Set<string>();
-  private readonly _leaving = new Map<string, number>();
+  private readonly _configured = new Set<string>();
+  private readonly _leavingSince = new Map<string, number>();
   /** Requests that end servers, by their bodies. */
-  private readonly _crashing = new Map<string, CrashingRequest>();
+  private readonly _crashingRequests = new Map<string, CrashingRequestRecord>();
 
   constructor(bounds: CheckBounds) {
     this._bounds = bounds;
@@ -103,14 +103,14 @@
   }
 
   /** A caller is about to send a request. */
-  onAsked(id: string): void {
-    this._asked.add(id);
+  onSending(id: string): void {
+    this._sentIds.add(id);
   }
 
   onCall(call: Call): void {
     this._calls.set(call.id, call);
-    if (call.wrong !== undefined)
-      this._breach('answer', `${call.kind} ${call.id} at ${call.entry}: ${call.wrong}`);
+    if (call.answerError !== undefined)
+      this._breach('answer', `${call.kind} ${call.id} at ${call.entry}: ${call.answerError}`);
     this._checkOnce(call.id);
     if (call.configuredAt !== undefined) this._checkConfiguration(call, call.configuredAt);
   }
@@ -118,34 +118,34 @@
   onExecution(execution: Execution): void {
     const known = this._executions.get(execution.id) ?? [];
     this._executions.set(execution.id, [...known, execution]);
-    if (!this._asked.has(execution.id)) this._breach('asked', `nobody sent ${execution.id}`);
+    if (!this._sentIds.has(execution.id)) this._breach('asked', `nobody sent ${execution.id}`);
     this._checkOnce(execution.id);
     this._checkVersion(execution);
-    this._checkLeaving(execution);
+    this._checkDraining(execution);
     if (execution.body.startsWith(ENDING_BODY)) this._checkCrashing(execution);
   }
 
   /** A server has ended under the request with this body. */
   onCrash(body: string): void {
-    this._crashingOf(body).crashes.push(Date.now());
+    this._crashingRequest(body).crashes.push(Date.now());
   }
 
   /** How many servers have ended under requests, and how often such requests have run. */
   get crashing(): { requests: number; crashes: number; runs: number } {
-    const all = [...this._crashing.values()];
+    const all = [...this._crashingRequests.values()];
     const crashes = all.reduce((sum, request) => sum + request.crashes.length, 0);
     return { requests: all.length, crashes, runs: all.reduce((sum, request) => sum + request.runs, 0) };
   }
 
-  onUnwhole(runner: string, version: number): void {
+  onIncompleteVersion(runner: string, version: number): void {
     this._breach('whole', `${runner} took version ${version} unwhole`);
   }
 
   /** Something is harmed from now on; the returned function ends it. */
-  onHarm(harmed: Harmed = 'all'): () => void {
-    const harm = { harmed, from: Date.now(), until: Number.POSITIVE_INFINITY };
-    this._harms.push(harm);
-    return () => (harm.until = Date.now());
+  onFault(scope: FaultScope = 'all'): () => void {
+    const fault = { scope, from: Date.now(), until: Number.POSITIVE_INFINITY };
+    this._faults.push(fault);
+    return () => (fault.until = Date.now());
   }
 
   /** An entry has been asked to stop; the returned function notes its end. */
@@ -155,42 +155,42 @@
     return () => (stop.until = Date.now());
   }
 
-  onNamed(version: number): void {
-    this._named.push({ version, at: Date.now() });
+  onVersionAnnounced(version: number): void {
+    this._announcedVersions.push({ version, at: Date.now() });
   }
 
   onLeaving(runner: string): void {
-    this._leaving.set(runner, Date.now());
+    this._leavingSince.set(runner, Date.now());
   }
 
   /** Requests that planned work ended without an answer. `wasRead` tells whether an entry knows of a request. */
   checkPlanned(wasRead: (id: string) => boolean): void {
     for (const call of this._calls.values()) {
-      if (call.kind === 'newest' || (call.end !== 'cut' && call.end !== 'failed')) continue;
-      if (this._isHarmed(call.sentAt, call.endedAt)) continue;
-      if (this._crossedStop(call) && !wasRead(call.id)) continue;
-      this._breach('planned', `${call.kind} ${call.id} at ${call.entry}: ${call.end} ${call.status}`);
+      if (call.kind === 'newest' || (call.outcome !== 'cut' && call.outcome !== 'failed')) continue;
+      if (this._overlapsFault(call.sentAt, call.endedAt)) continue;
+      if (this._wasResetByStop(call) && !wasRead(call.id)) continue;
+      this._breach('planned', `${call.kind} ${call.id} at ${call.entry}: ${call.outcome} ${call.status}`);
     }
   }
 
   /** Requests sent from `at` on, when nothing is harmed any more, are served. */
   checkRecovery(at: number, leastShare: number): void {
     const late = [...this._calls.values()].filter(
-      (call) => call.sentAt >= at && call.end !== 'left' && call.kind !== 'newest',
+      (call) => call.sentAt >= at && call.outcome !== 'left' && call.kind !== 'newest',
     );
-    const served = late.filter((call) => call.end === 'whole').length;
+    const served = late.filter((call) => call.outcome === 'whole').length;
     if (late.length === 0 || served / late.length < leastShare)
       this._breach('recovery', `${served} of ${late.length} served after all faults`);
   }
 
   /** What entries were told by servers, and whether they heeded it. */
   checkSignals(signals: SignalChecks): void {
-    const links = this._harms.filter(({ harmed }) => harmed === 'all');
+    const blockingFaults = this._faults.filter(({ scope }) => scope === 'all');
     signals.check(
       {
-        callOf: (id) => this._calls.get(id),
-        isHarmed: (from, until) => this._isHarmed(from, until),
-        isHeldUp: (from, until) => this._isHarmed(from, until, links),
+        findCall: (id) => this._calls.get(id),
+        overlapsFault: (from, until) => this._overlapsFault(from, until),
+        mayBeDelayed: (from, until) => this._overlapsFault(from, until, blockingFaults),
         drainMilliseconds: this._bounds.drainMilliseconds,
       },
       (promise, what) => this._breach(promise, what),
@@ -198,7 +198,7 @@
   }
 
   /** A process that ended by itself. */
-  onOwnEnd(name: string): void {
+  onUnexpectedExit(name: string): void {
     this._breach('ends', name);
   }
 
@@ -209,15 +209,15 @@
     if (!isOnce) return;
     const where = executions.map(({ runner }) => runner).join(', ');
     if (executions.length > 1) this._breach('once', `${id} ran ${executions.length} times: ${where}`);
-    if (call?.end === 'refused' && executions.length > 0)
+    if (call?.outcome === 'refused' && executions.length > 0)
       this._breach('not-run', `${id} was refused with ${call.status} and ran at ${where}`);
   }
 
   private _checkVersion({ version, at, runner, id }: Execution): void {
     if (version === 0) return;
-    const newer = this._named.find((named) => named.version > version);
+    const newer = this._announcedVersions.find((announced) => announced.version > version);
     if (!newer || at - newer.at < this._bounds.versionMilliseconds + SLACK_MILLISECONDS) return;
-    if (this._isHarmed(newer.at, at)) return;
+    if (this._overlapsFault(newer.at, at)) return;
     this._breach(
       'version',
       `${id} began on ${version} at ${runner}, ${at - newer.at} ms after ${newer.version}`,
@@ -227,37 +227,37 @@
   private _checkConfiguration(call: Call, configuredAt: number): void {
     const { entry, status, sentAt, endedAt, id } = call;
     const key = `${entry} ${configuredAt}`;
-    if (status === 200) this._inForce.add(key);
+    if (status === 200) this._configured.add(key);
     if (status !== NOT_FOUND) return;
     const age = sentAt - configuredAt;
     const isLate = age > this._bounds.configurationMilliseconds + SLACK_MILLISECONDS;
-    if (this._inForce.has(key)) this._breach('configuration', `${id}: ${entry} went back`);
+    if (this._configured.has(key)) this._breach('configuration', `${id}: ${entry} went back`);
     else if (isLate && !this._isExcused(configuredAt, endedAt, this._bounds.configurationMilliseconds))
       this._breach('configuration', `${id}: not in force at ${entry} after ${age} ms`);
   }
 
-  private _checkLeaving({ runner, at, id }: Execution): void {
-    const since = this._leaving.get(runner);
+  private _checkDraining({ runner, at, id }: Execution): void {
+    const since = this._leavingSince.get(runner);
     if (since === undefined || at - since < this._bounds.drainMilliseconds + SLACK_MILLISECONDS) return;
     if (this._isExcused(since, at, this._bounds.drainMilliseconds)) return;
     this._breach('draining', `${id} began at ${runner}, ${at - since} ms after it was leaving`);
   }
 
   private _checkCrashing({ body, runner, at, id }: Execution): void {
-    const request = this._crashingOf(body);
+    const request = this._crashingRequest(body);
     request.runs++;
-    const known = request.crashes[TELLING_CRASHES - 1];
-    if (known === undefined || at - known < CONTACT_MILLISECONDS + SLACK_MILLISECONDS) return;
-    const all = this._harms.filter(({ harmed }) => harmed !== 'servers' && harmed !== 'copy');
-    if (this._isHarmed(known, at, all)) return;
+    const known = request.crashes[CRASHES_UNTIL_KNOWN - 1];
+    if (known === undefined || at - known < RECOVERY_MILLISECONDS + SLACK_MILLISECONDS) return;
+    const faults = this._faults.filter(({ scope }) => scope !== 'servers' && scope !== 'copy');
+    if (this._overlapsFault(known, at, faults)) return;
     request.lateRuns++;
-    if (request.lateRuns > MOST_LATE_RUNS)
+    if (request.lateRuns > MAX_LATE_RUNS)
       this._breach('crashing', `${id} ran at ${runner}, ${at - known} ms after the third end by its like`);
   }
 
-  private _crashingOf(body: string): CrashingRequest {
-    const request = this._crashing.get(body) ?? { crashes: [], runs: 0, lateRuns: 0 };
-    this._crashing.set(body, request);
+  private _crashingRequest(body: string): CrashingRequestRecord {
+    const request = this._crashingRequests.get(body) ?? { crashes: [], runs: 0, lateRuns: 0 };
+    this._crashingRequests.set(body, request);
     return request;
   }
 
@@ -265,8 +265,8 @@
    * Whether the system may have reset a connection that still waited to be accepted as its entry stopped listening: the
    * caller sees an open connection, the entry never does.
    */
-  private _crossedStop({ id, entry, end, status, onNewConnection, endedAt }: Call): boolean {
-    const isReset = end === 'cut' && status === 0 && onNewConnection;
+  private _wasResetByStop({ id, entry, outcome, status, onNewConnection, endedAt }: Call): boolean {
+    const isReset = outcome === 'cut' && status === 0 && onNewConnection;
     const ran = this._executions.has(id);
     const stopped = this._stops.some(
       (stop) => stop.entry === entry && stop.from <= endedAt && endedAt <= stop.until,
@@ -279,20 +279,24 @@
    * away and once it has come back from a copy that lacks it.
    */
   private _isExcused(since: number, at: number, bound: number): boolean {
-    const others = this._harms.filter(({ harmed }) => harmed !== 'copy');
-    const copies = this._harms.filter(({ harmed }) => harmed === 'copy');
+    const others = this._faults.filter(({ scope }) => scope !== 'copy');
+    const copies = this._faults.filter(({ scope }) => scope === 'copy');
     const isLost = copies.some(
       ({ from, until }) =>
-        since + bound + SLACK_MILLISECONDS >= from && since <= until + CONTACT_MILLISECONDS,
+        since + bound + SLACK_MILLISECONDS >= from && since <= until + RECOVERY_MILLISECONDS,
     );
-    return isLost || this._isHarmed(since, at, others);
+    return isLost || this._overlapsFault(since, at, others);
   }
 
-  private _isHarmed(from: number, until: number, harms: readonly Harm[] = this._harms): boolean {
-    return harms.some((harm) => harm.from <= until && harm.until + CONTACT_MILLISECONDS >= from);
+  private _overlapsFault(
+    from: number,
+    until: number,
+    faults: readonly FaultWindow[] = this._faults,
+  ): boolean {
+    return faults.some((fault) => fault.from <= until && fault.until + RECOVERY_MILLISECONDS >= from);
   }
 
   private _breach(promise: PromiseName, what: string): void {
-    if (this.breaches.length < MOST_BREACHES) this.breaches.push({ promise, what });
+    if (this.breaches.length < MAX_BREACHES) this.breaches.push({ promise, what });
   }
 }
--- a/soak/signalFaults.ts
+++ b/soak/signalFaults.ts
@@ -5,10 +5,10 @@
 import type { SoakBox } from './soakFleet.js';
 
 /** A limit has to be kept from three seconds on, over any four. */
-const LIMITED_MILLISECONDS = 8_000;
+const LIMIT_MILLISECONDS = 8_000;
 const LIMITS_PER_SECOND = [1, 2.8, 5];
 const RETRY_AFTER_SECONDS = 3;
-const REJECTING_MILLISECONDS = 6_000;
+const REJECT_MILLISECONDS = 6_000;
 const SHED_SHARE = 0.5;
 
 export class SignalFaults {
@@ -24,7 +24,7 @@
   async limit({ runner }: SoakBox): Promise<void> {
     const limitPerSecond = LIMITS_PER_SECOND[this._random.integer(LIMITS_PER_SECOND.length)];
     runner.faults = { ...runner.faults, limitPerSecond };
-    await pause(LIMITED_MILLISECONDS);
+    await pause(LIMIT_MILLISECONDS);
     runner.faults = { ...runner.faults, limitPerSecond: undefined };
     this._checks.onLimitLifted(runner.id);
   }
@@ -32,7 +32,7 @@
   /** A server turns half of its requests away with Retry-After. */
   async rejectWithRetryAfter({ runner }: SoakBox): Promise<void> {
     runner.faults = { ...runner.faults, sheddingShare: SHED_SHARE, retryAfterSeconds: RETRY_AFTER_SECONDS };
-    await pause(REJECTING_MILLISECONDS);
+    await pause(REJECT_MILLISECONDS);
     runner.faults = { ...runner.faults, sheddingShare: 0, retryAfterSeconds: 0 };
   }
 }
--- a/soak/soakCaller.ts
+++ b/soak/soakCaller.ts
@@ -3,7 +3,7 @@
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import { STREAM_EVENTS, eventText, sealOf } from '../standins/platformAnswers.js';
-import type { Call, CallEnd, CallKind } from './callerLog.js';
+import type { Call, CallOutcome, CallKind } from './call.js';
 import type { NewestRoute } from './soakFleet.js';
 import { CUSTOMERS, HOST } from './soakConfiguration.js';
 
@@ -36,19 +36,19 @@
   ...Array<CallKind>(2).fill('repeatable'),
   'newest',
 ];
-const PROMISES = new Set([408, 421, 429, 503]);
-const DENIALS = new Set([400, 401, 403, 404]);
-const TRIES = 2;
-/** Share of requests whose caller leaves early. */
-const LEAVING_SHARE = 0.02;
-const LEAVING_MILLISECONDS = 40;
+const REFUSAL_STATUSES = new Set([408, 421, 429, 503]);
+const DENIAL_STATUSES = new Set([400, 401, 403, 404]);
+const MAX_ATTEMPTS = 2;
+/** Share of requests whose caller aborts early. */
+const ABORT_SHARE = 0.02;
+const ABORT_MILLISECONDS = 40;
 
 /** An answer as far as it came. */
-interface Seen {
+interface ReceivedAnswer {
   status: number;
   headers: http.IncomingHttpHeaders;
   body: string;
-  end: 'whole' | 'cut' | 'never-sent' | 'left';
+  outcome: 'whole' | 'cut' | 'never-sent' | 'left';
   onNewConnection: boolean;
 }
 
@@ -56,7 +56,7 @@
   private readonly _options: SoakCallerOptions;
   private readonly _agent = new http.Agent({ keepAlive: true, maxFreeSockets: 2 });
   private _addresses: string[] = [];
-  private _keptUntil = 0;
+  private _addressesExpireAt = 0;
   private _stopped = false;
 
   constructor(options: SoakCallerOptions) {
@@ -67,7 +67,7 @@
   async run(): Promise<void> {
     const { random, pauseMilliseconds } = this._options;
     while (!this._stopped) {
-      await this._request(this._draw());
+      await this._request(this._drawKind());
       await pause(random.fraction() * 2 * pauseMilliseconds);
     }
     this._agent.destroy();
@@ -77,7 +77,7 @@
     this._stopped = true;
   }
 
-  private _draw(): CallKind {
+  private _drawKind(): CallKind {
     const drawn = this._options.random.integer(DRAWN_KINDS.length);
     return DRAWN_KINDS[drawn];
   }
@@ -85,24 +85,24 @@
   /** Sends again as callers may: what may run once only after a promise that it has not run. */
   private async _request(kind: CallKind): Promise<void> {
     const { random, onCall } = this._options;
-    for (let attempt = 0; attempt < TRIES; attempt++) {
-      const address = await this._address();
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      const address = await this._pickAddress();
       if (address === undefined) return;
-      const call = await this._send(kind, address, random.fraction() < LEAVING_SHARE);
+      const call = await this._send(kind, address, random.fraction() < ABORT_SHARE);
       onCall(call);
-      if (call.end === 'whole' || call.end === 'left') return;
-      if (call.end === 'cut' || call.end === 'never-sent') this._forget(address);
-      if (kind === 'once' && call.end !== 'refused' && call.end !== 'never-sent') return;
+      if (call.outcome === 'whole' || call.outcome === 'left') return;
+      if (call.outcome === 'cut' || call.outcome === 'never-sent') this._removeAddress(address);
+      if (kind === 'once' && call.outcome !== 'refused' && call.outcome !== 'never-sent') return;
       await pause(random.integer(100));
     }
   }
 
-  private _forget(address: string): void {
+  private _removeAddress(address: string): void {
     this._addresses = this._addresses.filter((other) => other !== address);
   }
 
-  private async _address(): Promise<string | undefined> {
-    if (Date.now() > this._keptUntil || this._addresses.length === 0) await this._resolve();
+  private async _pickAddress(): Promise<string | undefined> {
+    if (Date.now() > this._addressesExpireAt || this._addresses.length === 0) await this._resolve();
     const { random } = this._options;
     return this._addresses.length === 0 ? undefined : this._addresses[random.integer(this._addresses.length)];
   }
@@ -111,17 +111,17 @@
     const { directories, random, zone } = this._options;
     for (let attempt = 0; attempt < 3; attempt++) {
       const directory = directories[random.integer(directories.length)];
-      const seen = await this._get(`http://${directory}/resolve?name=${HOST}&region=r&zone=${zone}`);
-      if (seen?.status !== 200) continue;
-      const answer = JSON.parse(seen.body) as { addresses: string[]; ttl_s: number };
+      const received = await this._get(`http://${directory}/resolve?name=${HOST}&region=r&zone=${zone}`);
+      if (received?.status !== 200) continue;
+      const answer = JSON.parse(received.body) as { addresses: string[]; ttl_s: number };
       this._addresses = answer.addresses;
-      this._keptUntil = Date.now() + answer.ttl_s * 1000;
+      this._addressesExpireAt = Date.now() + answer.ttl_s * 1000;
       return;
     }
     await pause(100);
   }
 
-  private async _get(url: string): Promise<Seen | undefined> {
+  private async _get(url: string): Promise<ReceivedAnswer | undefined> {
     return await new Promise((resolve) => {
       const request = http.get(url, { agent: false, timeout: RESOLVE_MILLISECONDS }, (answer) => {
         let body = '';
@@ -131,7 +131,7 @@
             status: answer.statusCode ?? 0,
             headers: answer.headers,
             body,
-            end: 'whole',
+            outcome: 'whole',
             onNewConnection: true,
           }),
         );
@@ -142,18 +142,18 @@
     });
   }
 
-  private async _send(kind: CallKind, address: string, leaves: boolean): Promise<Call> {
+  private async _send(kind: CallKind, address: string, aborts: boolean): Promise<Call> {
     const { newId, newestRoute } = this._options;
     const id = newId();
     const sentAt = Date.now();
     const newest = newestRoute();
     const path = kind === 'newest' ? `${newest.prefix}x` : PATHS[kind];
-    const seen = await this._exchange(kind, path, address, id, leaves);
+    const received = await this._exchange(kind, path, address, id, aborts);
     const isStillNewest = kind === 'newest' && newestRoute().prefix === newest.prefix;
     const configuredAt = isStillNewest ? newest.since : undefined;
-    const wrong = this._fault(kind, id, seen);
-    const end = endOf(seen, wrong);
-    const { status, onNewConnection } = seen;
+    const answerError = this._findAnswerError(kind, id, received);
+    const outcome = outcomeOf(received, answerError);
+    const { status, onNewConnection } = received;
     const endedAt = Date.now();
     return {
       id,
@@ -161,11 +161,11 @@
       entry: address,
       sentAt,
       endedAt,
-      end,
+      outcome,
       status,
       configuredAt,
       onNewConnection,
-      wrong,
+      answerError,
     };
   }
 
@@ -174,17 +174,23 @@
     path: string,
     address: string,
     id: string,
-    leaves: boolean,
-  ): Promise<Seen> {
+    aborts: boolean,
+  ): Promise<ReceivedAnswer> {
     const { random } = this._options;
     const customer = CUSTOMERS[random.integer(CUSTOMERS.length)];
     const [host, port] = address.split(':');
     return await new Promise((resolve) => {
-      const seen: Seen = { status: 0, headers: {}, body: '', end: 'never-sent', onNewConnection: true };
+      const received: ReceivedAnswer = {
+        status: 0,
+        headers: {},
+        body: '',
+        outcome: 'never-sent',
+        onNewConnection: true,
+      };
       const timer = setTimeout(() => request.destroy(new Error('deadline')), DEADLINE_MILLISECONDS + 500);
-      const finish = (end: Seen['end']): void => {
+      const finish = (outcome: ReceivedAnswer['outcome']): void => {
         clearTimeout(timer);
-        resolve({ ...seen, end, onNewConnection: !request.reusedSocket });
+        resolve({ ...received, outcome, onNewConnection: !request.reusedSocket });
       };
       const headers: http.OutgoingHttpHeaders = {
         host: HOST,
@@ -196,42 +202,49 @@
       if (kind === 'stream') headers['x-model'] = 'm0';
       const method = METHODS[kind];
       const request = http.request({ host, port, method, path, headers, agent: this._agent }, (answer) => {
-        seen.status = answer.statusCode ?? 0;
-        seen.headers = answer.headers;
-        answer.on('data', (bytes: Buffer) => (seen.body += bytes.toString()));
+        received.status = answer.statusCode ?? 0;
+        received.headers = answer.headers;
+        answer.on('data', (bytes: Buffer) => (received.body += bytes.toString()));
         answer.on('end', () => finish('whole'));
-        answer.on('error', () => finish(leaves ? 'left' : 'cut'));
+        answer.on('error', () => finish(aborts ? 'left' : 'cut'));
       });
       request.on('error', (error: NodeJS.ErrnoException) => {
-        if (leaves) return finish('left');
-        const neverSent = error.code === 'ECONNREFUSED' && seen.status === 0;
+        if (aborts) return finish('left');
+        const neverSent = error.code === 'ECONNREFUSED' && received.status === 0;
         finish(neverSent ? 'never-sent' : 'cut');
       });
-      if (leaves) setTimeout(() => request.destroy(), LEAVING_MILLISECONDS);
+      if (aborts) setTimeout(() => request.destroy(), ABORT_MILLISECONDS);
       request.end(kind === 'stream' ? '{"prompt":"hello"}' : undefined);
     });
   }
 
   /** What the answer shows that must never be. */
-  private _fault(kind: CallKind, id: string, seen: Seen): string | undefined {
-    if (seen.status === 0 || seen.end === 'left') return undefined;
-    return headFault(kind, id, seen) ?? (seen.status === 200 ? bodyFault(kind, id, seen) : undefined);
+  private _findAnswerError(kind: CallKind, id: string, received: ReceivedAnswer): string | undefined {
+    if (received.status === 0 || received.outcome === 'left') return undefined;
+    return (
+      findHeaderError(kind, id, received) ??
+      (received.status === 200 ? findBodyError(kind, id, received) : undefined)
+    );
   }
 }
 
-function headFault(kind: CallKind, id: string, { status, headers }: Seen): string | undefined {
+function findHeaderError(
+  kind: CallKind,
+  id: string,
+  { status, headers }: ReceivedAnswer,
+): string | undefined {
   const answered = headers['x-attempt-id'] ?? id;
   if (answered !== id) return `answer of ${String(answered)}`;
   const isSuccess = status >= 200 && status < 300;
   if (isSuccess && headers['x-server-seal'] !== sealOf(id)) return `seal ${headers['x-server-seal']}`;
   // an entry may not know the newest configuration yet: whether it is too late is for the checks to say
   const mayBeDenied = kind === 'newest' && status === 404;
-  return DENIALS.has(status) && !mayBeDenied ? `denied with ${status}` : undefined;
+  return DENIAL_STATUSES.has(status) && !mayBeDenied ? `denied with ${status}` : undefined;
 }
 
-function bodyFault(kind: CallKind, id: string, { body, end }: Seen): string | undefined {
+function findBodyError(kind: CallKind, id: string, { body, outcome }: ReceivedAnswer): string | undefined {
   const expected = kind === 'stream' ? streamText(id) : `answer of ${id}`;
-  const isWhole = end === 'whole';
+  const isWhole = outcome === 'whole';
   const fits = isWhole ? body === expected : expected.startsWith(body);
   return fits ? undefined : `${isWhole ? 'whole' : 'part'}: ${JSON.stringify(body.slice(-120))}`;
 }
@@ -240,14 +253,14 @@
   return Array.from({ length: STREAM_EVENTS }, (_unused, index) => eventText(id, index + 1)).join('');
 }
 
-function endOf(seen: Seen, wrong: string | undefined): CallEnd {
-  if (seen.end !== 'whole') return seen.end;
-  if (PROMISES.has(seen.status)) return 'refused';
-  return seen.status === 200 && wrong === undefined ? 'whole' : 'failed';
+function outcomeOf(received: ReceivedAnswer, answerError: string | undefined): CallOutcome {
+  if (received.outcome !== 'whole') return received.outcome;
+  if (REFUSAL_STATUSES.has(received.status)) return 'refused';
+  return received.status === 200 && answerError === undefined ? 'whole' : 'failed';
 }
 
 /** Sends a stream's request whose answer nobody looks at: what it does to servers is what counts. */
-export function sendCrashing(address: string, id: string, body: string): void {
+export function sendCrashingRequest(address: string, id: string, body: string): void {
   const [host, port] = address.split(':');
   const headers = {
     host: HOST,
--- a/soak/soakFleet.ts
+++ b/soak/soakFleet.ts
@@ -20,10 +20,9 @@
 }
 
 /** A server that answers at once leaves no gap between the reading back of chunks and the taking of an order. */
-const CALL_MILLISECONDS = 6;
-
+const RUNNER_CALL_MILLISECONDS = 6;
 /** A server that crashed is back after so long. */
-const CRASHED_MILLISECONDS = 2_000;
+const CRASH_RESTART_MILLISECONDS = 2_000;
 
 /** A box with a server, and the proxy before it. */
 export interface SoakBox {
@@ -34,7 +33,7 @@
   /** What requests pass through. */
   proxy: LoopbackProxy;
   /** How often a server has been started here. */
-  lives: number;
+  startCount: number;
   /** What the server last said of itself in the store. */
   state: 'ready' | 'draining';
 }
@@ -79,7 +78,7 @@
   private _originProxy: LoopbackProxy | undefined;
   private _originAddress = '';
   private _storeAddress = '';
-  private _runnersMade = 0;
+  private _runnerCount = 0;
   private _isStopped = false;
 
   constructor(options: SoakFleetOptions) {
@@ -139,7 +138,7 @@
   }
 
   /** Names a newer version of the model's weights. */
-  nameWeights(): number {
+  announceWeights(): number {
     this._weightsVersion++;
     this.store.put('versions', MODEL, { model: MODEL, version: this._weightsVersion });
     return this._weightsVersion;
@@ -158,7 +157,7 @@
     if (!box) return;
     box.proxy.close();
     this._options.listener.onCrash(body);
-    await pause(CRASHED_MILLISECONDS);
+    await pause(CRASH_RESTART_MILLISECONDS);
     if (box.runner !== runner || this._isStopped) return;
     this.store.remove('servers', runner.id);
     await this.startRunner(box);
@@ -166,20 +165,20 @@
 
   /** Starts another server on a box: another id, and no model. */
   async startRunner(box: SoakBox): Promise<void> {
-    await this._startLife(box, this._createRunner(box.service, 0), true);
+    await this._startOn(box, this._createRunner(box.service, 0), true);
   }
 
   /** Ends the server of a box and starts it again under its id: it holds no model, and what lay staged if `keepsStaged`. */
   async restartRunner(box: SoakBox, keepsStaged: boolean): Promise<void> {
     box.runner.close();
-    await this._startLife(box, this._createRunner(box.service, 0, box.runner.id), keepsStaged);
+    await this._startOn(box, this._createRunner(box.service, 0, box.runner.id), keepsStaged);
   }
 
-  private async _startLife(box: SoakBox, runner: PlatformRunnerStandin, keepsStaged: boolean): Promise<void> {
+  private async _startOn(box: SoakBox, runner: PlatformRunnerStandin, keepsStaged: boolean): Promise<void> {
     const { staged } = box.runner;
     box.runner = runner;
     if (keepsStaged) for (const [piece, bytes] of staged) runner.staged.set(piece, bytes);
-    box.lives++;
+    box.startCount++;
     await runner.listen(box.host, PORTS.runner);
     if (!box.proxy.isListening) await box.proxy.listen(box.host, PORTS.proxied);
     this.publish(box);
@@ -193,19 +192,19 @@
   }
 
   /** What the boxes of all agents leave behind at the origin when they lose their power; the processes are killed by others. */
-  abandonOrigin(): void {
+  abandonOriginConnections(): void {
     this._originProxy?.abandon();
   }
 
   /** Operator and servers write again what the store may have lost, as they said it last. */
-  writeAgain(): void {
+  rewriteRecords(): void {
     this.store.put('config', 'main', this._configuration());
     this.store.put('versions', MODEL, { model: MODEL, version: this._weightsVersion });
     for (const box of this.boxes) if (box.runner.isListening) this.publish(box, box.state);
   }
 
   /** The entries of servers that have ended go, since nobody renews them. */
-  lapseEntries(): void {
+  removeStaleServers(): void {
     const running = new Set(this.boxes.map(({ runner }) => runner.id));
     for (const { name } of this.store.all('servers'))
       if (!running.has(name)) this.store.remove('servers', name);
@@ -222,7 +221,7 @@
   }
 
   /** Whether an entry has logged anything about a request. */
-  wasRead(id: string): boolean {
+  hasLogged(id: string): boolean {
     return this.entries.some(({ logFile }) => readFileSync(logFile, 'utf8').includes(`"${id}"`));
   }
 
@@ -231,20 +230,20 @@
   }
 
   private _createRunner(service: string, version: number, formerId?: string): PlatformRunnerStandin {
-    if (formerId === undefined) this._runnersMade++;
+    if (formerId === undefined) this._runnerCount++;
     return new PlatformRunnerStandin({
-      id: formerId ?? `i-${this._runnersMade}`,
+      id: formerId ?? `i-${this._runnerCount}`,
       service,
       slots: 8,
       weights: service === MODEL_SERVICE ? this._weights.shape : undefined,
       version: service === MODEL_SERVICE ? version : 0,
       onExecution: (execution) => this._options.listener.onExecution(execution),
       onArrival: (arrival) => this._options.listener.onArrival(arrival),
-      onSpoken: (spoken) => this._options.listener.onSpoken(spoken),
+      onSpoken: (spoken) => this._options.listener.onSignals(spoken),
       onCrash: (runner, body) => void this._onCrash(runner, body),
-      onUnwhole: (runner, unwhole) => this._options.listener.onUnwhole(runner, unwhole),
+      onUnwhole: (runner, incomplete) => this._options.listener.onIncompleteVersion(runner, incomplete),
       fraction: () => this._options.random.fraction(),
-      callMilliseconds: CALL_MILLISECONDS,
+      callMilliseconds: RUNNER_CALL_MILLISECONDS,
     });
   }
 
@@ -253,7 +252,7 @@
     const zone = ZONES[index % ZONES.length];
     const runner = this._createRunner(service, 1);
     const proxy = new LoopbackProxy(`${host}:${PORTS.runner}`);
-    const box: SoakBox = { host, zone, service, runner, proxy, lives: 1, state: 'ready' };
+    const box: SoakBox = { host, zone, service, runner, proxy, startCount: 1, state: 'ready' };
     await runner.listen(host, PORTS.runner);
     await proxy.listen(host, PORTS.proxied);
     this.boxes.push(box);
@@ -268,7 +267,7 @@
       service: box.service,
       platform: { address: this._storeAddress },
     };
-    const agent = this._process(`agent-${box.host}`, 'agent', settings);
+    const agent = this._createProcess(`agent-${box.host}`, 'agent', settings);
     this.agents.push(agent);
     agent.start();
   }
@@ -290,19 +289,19 @@
       },
       seeds: Array.from({ length: SEEDS }, (_unused, seed) => `${this._entryHost(seed)}:${PORTS.control}`),
     };
-    const entry = this._process(name, 'entry', settings);
+    const entry = this._createProcess(name, 'entry', settings);
     this.entries.push(entry);
     entry.start();
   }
 
-  private _process(name: string, role: ProcessRole, settings: unknown): FleetProcess {
+  private _createProcess(name: string, role: ProcessRole, settings: unknown): FleetProcess {
     return new FleetProcess({
       name,
       role,
       settings,
       directory: this.directory,
       sharedKey: SHARED_KEY,
-      nodeWords: this._options.nodeWords?.[role],
+      nodeArguments: this._options.nodeArguments?.[role],
       program: this._options.program,
     });
   }
--- a/soak/soakRun.ts
+++ b/soak/soakRun.ts
@@ -2,7 +2,7 @@
 import { SeededRandom } from '../src/utils/random.js';
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
-import type { Call } from './callerLog.js';
+import type { Call } from './call.js';
 import type { Breach } from './promiseChecks.js';
 import { PromiseChecks } from './promiseChecks.js';
 import { SignalChecks } from './signalChecks.js';
@@ -48,12 +48,12 @@
 const CONFIGURATION_MILLISECONDS = 2_000;
 const START_MILLISECONDS = 2_500;
 /** Faults under way at the same time, at the most. */
-const MOST_AT_ONCE = 3;
-const MEAN_GAP_MILLISECONDS = 900;
+const MAX_CONCURRENT_FAULTS = 3;
+const MEAN_FAULT_INTERVAL_MILLISECONDS = 900;
 /** After the last fault: links are opened anew, versions brought, servers found. */
 const SETTLE_MILLISECONDS = 6_000;
 const RECOVERED_MILLISECONDS = 2_000;
-const LEAST_SERVED_SHARE = 0.9;
+const MIN_SERVED_SHARE = 0.9;
 const CALLER_PAUSE_MILLISECONDS = 60;
 
 export async function soak(options: SoakOptions): Promise<SoakReport> {
@@ -72,17 +72,17 @@
     listener: {
       onExecution: (execution) => checks.onExecution(execution),
       onCrash: (body) => checks.onCrash(body),
-      onUnwhole: (runner, version) => checks.onUnwhole(runner, version),
+      onIncompleteVersion: (runner, version) => checks.onIncompleteVersion(runner, version),
       onArrival: (arrival) => signals.onArrival(arrival),
-      onSpoken: (spoken) => signals.onSpoken(spoken),
+      onSignals: (spoken) => signals.onSignals(spoken),
     },
   });
   try {
     await fleet.start();
-    checks.onNamed(fleet.weightsVersion);
+    checks.onVersionAnnounced(fleet.weightsVersion);
     await pause(START_MILLISECONDS);
     const faults = new SoakFaults(fleet, checks, signals, random, options.log);
-    return await withCallers({ options, fleet, checks, signals, faults, random });
+    return await runWithCallers({ options, fleet, checks, signals, faults, random });
   } finally {
     await fleet.stop();
   }
@@ -98,7 +98,7 @@
   random: Random;
 }
 
-async function withCallers(running: RunningSoak): Promise<SoakReport> {
+async function runWithCallers(running: RunningSoak): Promise<SoakReport> {
   const { options, fleet, checks, signals, faults, random } = running;
   const callers = createCallers(options, fleet, checks);
   const ended = Promise.all(callers.map((caller) => caller.run()));
@@ -112,11 +112,11 @@
     for (const caller of callers) caller.stop();
     await ended;
   }
-  checks.checkRecovery(settledAt, LEAST_SERVED_SHARE);
+  checks.checkRecovery(settledAt, MIN_SERVED_SHARE);
   checks.checkSignals(signals);
-  if (options.plannedOnly) checks.checkPlanned((id) => fleet.wasRead(id));
-  for (const { name, unexpectedEnds } of [...fleet.entries, ...fleet.agents])
-    if (unexpectedEnds > 0) checks.onOwnEnd(`${name} ended ${unexpectedEnds} times by itself`);
+  if (options.plannedOnly) checks.checkPlanned((id) => fleet.hasLogged(id));
+  for (const { name, unexpectedExits } of [...fleet.entries, ...fleet.agents])
+    if (unexpectedExits > 0) checks.onUnexpectedExit(`${name} ended ${unexpectedExits} times by itself`);
   return report(options, fleet, checks);
 }
 
@@ -131,7 +131,7 @@
         random: new SeededRandom(options.seed * 1_000 + index),
         newId: () => {
           const id = `call-${options.seed}-${ids++}`;
-          checks.onAsked(id);
+          checks.onSending(id);
           return id;
         },
         onCall: (call: Call) => checks.onCall(call),
@@ -148,14 +148,14 @@
   const underWay = new Set<Promise<void>>();
   const failures: unknown[] = [];
   while (Date.now() < until) {
-    if (underWay.size < MOST_AT_ONCE) {
+    if (underWay.size < MAX_CONCURRENT_FAULTS) {
       const fault = faults
         .apply(kinds[random.integer(kinds.length)])
         .catch((error: unknown) => void failures.push(error))
         .finally(() => underWay.delete(fault));
       underWay.add(fault);
     }
-    await pause(random.integer(2 * MEAN_GAP_MILLISECONDS));
+    await pause(random.integer(2 * MEAN_FAULT_INTERVAL_MILLISECONDS));
   }
   await Promise.all(underWay);
   if (failures.length > 0) throw failures[0];
@@ -163,15 +163,15 @@
 
 function report(options: SoakOptions, fleet: SoakFleet, checks: PromiseChecks): SoakReport {
   const ends: Record<string, number> = {};
-  for (const { kind, end, status } of checks.calls) {
-    const key = `${kind} ${end} ${status}`;
+  for (const { kind, outcome, status } of checks.calls) {
+    const key = `${kind} ${outcome} ${status}`;
     ends[key] = (ends[key] ?? 0) + 1;
   }
   return {
     seed: options.seed,
     breaches: checks.breaches,
     calls: checks.calls.length,
-    served: checks.calls.filter((call) => call.end === 'whole').length,
+    served: checks.calls.filter((call) => call.outcome === 'whole').length,
     ends,
     originBytes: fleet.origin.bytesSent,
     crashing: checks.crashing,
--- a/tests/connectedEntries.spec.ts
+++ b/tests/connectedEntries.spec.ts
@@ -6,7 +6,7 @@
 import { FrameReader } from '../src/protocol/frameCodec.js';
 import type { Message } from '../src/protocol/message.js';
 import { ConnectedEntries } from '../src/staging/connectedEntries.js';
-import { notedLog } from './fixtures/notedLog.js';
+import { createRecordingLog } from './fixtures/recordingLog.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { quietLog } from './fixtures/quietLog.js';
 import { until } from './fixtures/until.js';
@@ -125,7 +125,7 @@
 });
 
 test('should log once that an entry is connected, and that its last connection has ended', () => {
-  const { log, steps } = notedLog();
+  const { log, steps } = createRecordingLog();
   const entries = new ConnectedEntries('north', log, new ManualClock());
   const older = new RecordedConnection().asConnection();
   const newer = new RecordedConnection().asConnection();
--- a/tests/foreignRecords.spec.ts
+++ b/tests/foreignRecords.spec.ts
@@ -15,7 +15,7 @@
 import { PlatformStoreStandin } from '../standins/platformStoreStandin.js';
 import { ScriptedBackend } from '../standins/scriptedBackend.js';
 import { freePort } from './fixtures/freePort.js';
-import { notedLog } from './fixtures/notedLog.js';
+import { createRecordingLog } from './fixtures/recordingLog.js';
 import { until } from './fixtures/until.js';
 
 const SEED = 20_261_203;
@@ -129,7 +129,7 @@
   });
   store.put('config', 'main', CONFIGURATION);
   store.put('servers', 'good', { ...GOOD, service: 'plain', address: await backend.listen() });
-  const log = notedLog();
+  const log = createRecordingLog();
   const unreadable = new UnreadableRecords(log.log);
   const front = `127.0.0.1:${await freePort()}`;
   const other = `127.0.0.1:${await freePort()}`;
--- a/tests/liveEntryLog.spec.ts
+++ b/tests/liveEntryLog.spec.ts
@@ -3,11 +3,11 @@
 import { expect } from 'earl';
 import { LiveEntryLog } from '../src/serving/liveEntryLog.js';
 import { ManualClock } from '../src/utils/clock.js';
-import { notedLog } from './fixtures/notedLog.js';
+import { createRecordingLog } from './fixtures/recordingLog.js';
 
 test('should log when an entry becomes live, and which agents listed it when it no longer is', () => {
   const clock = new ManualClock();
-  const { log, lines } = notedLog();
+  const { log, lines } = createRecordingLog();
   const live = new LiveEntryLog(clock, log);
   clock.advance(1_000);
   live.update(new Map([['b', { agents: ['one'], heardAt: 1_000 }]]));
@@ -24,7 +24,7 @@
 
 test('should log the last agents that listed an entry that was only remembered', () => {
   const clock = new ManualClock();
-  const { log, lines } = notedLog();
+  const { log, lines } = createRecordingLog();
   const live = new LiveEntryLog(clock, log);
   live.update(new Map([['b', { agents: ['one'], heardAt: 0 }]]));
   clock.advance(700);
--- a/tests/serverIncarnation.spec.ts
+++ b/tests/serverIncarnation.spec.ts
@@ -10,7 +10,7 @@
 import { ServerPool } from '../src/serving/serverPool.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { SeededRandom } from '../src/utils/random.js';
-import { notedLog } from './fixtures/notedLog.js';
+import { createRecordingLog } from './fixtures/recordingLog.js';
 import { servingSignals } from './fixtures/servingSignals.js';
 
 for (const [what, current, previouslyReported, reported, match] of [
@@ -87,7 +87,7 @@
 function poolFixture() {
   const clock = new ManualClock();
   clock.advance(10_000);
-  const noted = notedLog();
+  const noted = createRecordingLog();
   const pool = new ServerPool({
     dataCentre: 'north',
     clock,
--- a/tests/signalChecks.spec.ts
+++ b/tests/signalChecks.spec.ts
@@ -16,9 +16,9 @@
 /** Each request was sent by its caller as it arrived, to the entry that begins its id. */
 function context(changes: Partial<SignalContext> = {}): SignalContext {
   return {
-    callOf: (id) => ({ entry: id.split(' ')[0], sentAt: Number(id.split(' ')[1]) }),
-    isHarmed: () => false,
-    isHeldUp: () => false,
+    findCall: (id) => ({ entry: id.split(' ')[0], sentAt: Number(id.split(' ')[1]) }),
+    overlapsFault: () => false,
+    mayBeDelayed: () => false,
     drainMilliseconds: 2_000,
     ...changes,
   };
@@ -31,7 +31,7 @@
   changes: Partial<SignalContext> = {},
 ): string[] {
   const checks = new SignalChecks();
-  checks.onSpoken(said);
+  checks.onSignals(said);
   for (const [entry, at] of arrivals) checks.onArrival({ id: `${entry} ${at}`, runner: RUNNER, at });
   const promises: string[] = [];
   checks.check(context(changes), (promise) => void promises.push(promise));
@@ -54,14 +54,14 @@
 test('should pass over what came before entries could know a limit, or lay on its way', () => {
   const said = spoken({ limitPerSecond: 1 });
   expect(broken(said, evenly(12, NAMED_AT, 200))).toEqual([]);
-  expect(broken(said, evenly(12, NAMED_AT + 3_000, 300), { isHeldUp: () => true })).toEqual([]);
+  expect(broken(said, evenly(12, NAMED_AT + 3_000, 300), { mayBeDelayed: () => true })).toEqual([]);
 });
 
 test('should see a request that its caller sent long after an answer said that its server leaves', () => {
   const said = spoken({ leaving: true });
   expect(broken(said, [['entry-0', NAMED_AT + 2_600]])).toEqual(['draining']);
   expect(broken(said, [['entry-0', NAMED_AT + 2_400]])).toEqual([]);
-  expect(broken(said, [['entry-0', NAMED_AT + 2_600]], { isHarmed: () => true })).toEqual([]);
+  expect(broken(said, [['entry-0', NAMED_AT + 2_600]], { overlapsFault: () => true })).toEqual([]);
 });
 
 test('should see three requests of an entry within the Retry-After that it was given', () => {
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -1,7 +1,7 @@
 /** A short soak with a fixed seed, and the checks of a soak themselves. */
 import { test } from 'node:test';
 import { expect } from 'earl';
-import type { Call } from '../soak/callerLog.js';
+import type { Call } from '../soak/call.js';
 import { PromiseChecks } from '../soak/promiseChecks.js';
 import type { FaultKind } from '../soak/faultKinds.js';
 import { FAULT_KINDS } from '../soak/faultKinds.js';
@@ -30,7 +30,12 @@
 
 function call(changes: Partial<Call> = {}): Call {
   const base = { id: 'a', kind: 'once', entry: 'entry', sentAt: 0, endedAt: 0, status: 200 } as const;
-  const rest = { end: 'whole', configuredAt: undefined, onNewConnection: false, wrong: undefined } as const;
+  const rest = {
+    outcome: 'whole',
+    configuredAt: undefined,
+    onNewConnection: false,
+    answerError: undefined,
+  } as const;
   return { ...base, ...rest, ...changes };
 }
 
@@ -40,7 +45,7 @@
     drainMilliseconds: 2_000,
     configurationMilliseconds: 2_000,
   });
-  made.onAsked('a');
+  made.onSending('a');
   return made;
 }
 
@@ -73,9 +78,9 @@
 test('should find a refusal that is not true, whichever is seen first', () => {
   const ranFirst = checks();
   ranFirst.onExecution(execution());
-  ranFirst.onCall(call({ end: 'refused', status: 503 }));
+  ranFirst.onCall(call({ outcome: 'refused', status: 503 }));
   const toldFirst = checks();
-  toldFirst.onCall(call({ end: 'refused', status: 503 }));
+  toldFirst.onCall(call({ outcome: 'refused', status: 503 }));
   toldFirst.onExecution(execution());
   for (const { breaches } of [ranFirst, toldFirst])
     expect(breaches.map(({ promise }) => promise)).toEqual(['not-run']);
@@ -84,34 +89,34 @@
 test('should find a request that nobody sent, and an answer that is wrong', () => {
   const found = checks();
   found.onExecution(execution({ id: 'b', path: '/boards/x' }));
-  found.onCall(call({ wrong: 'answer of b' }));
+  found.onCall(call({ answerError: 'answer of b' }));
   expect(found.breaches.map(({ promise }) => promise)).toEqual(['asked', 'answer']);
 });
 
 test('should find a version and a leaving server that are kept too long, unless something was harmed', () => {
   const found = checks();
-  found.onNamed(2);
+  found.onVersionAnnounced(2);
   found.onLeaving('i-1');
   const at = Date.now() + 9_000;
   found.onExecution(execution({ path: '/chat/x', version: 1, at }));
   expect(found.breaches.map(({ promise }) => promise)).toEqual(['version', 'draining']);
   const harmed = checks();
-  harmed.onNamed(2);
-  harmed.onHarm()();
+  harmed.onVersionAnnounced(2);
+  harmed.onFault()();
   harmed.onExecution(execution({ path: '/chat/x', version: 1, at }));
   expect(harmed.breaches).toEqual([]);
 });
 
 test('should find requests that planned work cut, and a service that does not come back', () => {
   const found = checks();
-  found.onCall(call({ end: 'cut', status: 0, sentAt: 1, endedAt: 2 }));
+  found.onCall(call({ outcome: 'cut', status: 0, sentAt: 1, endedAt: 2 }));
   found.checkPlanned(() => false);
   found.checkRecovery(0, 0.9);
   expect(found.breaches.map(({ promise }) => promise)).toEqual(['planned', 'recovery']);
 });
 
 test('should tell a request that a stopping entry cut from one that it never read', () => {
-  const reset = { end: 'cut', status: 0, sentAt: Date.now(), onNewConnection: true } as const;
+  const reset = { outcome: 'cut', status: 0, sentAt: Date.now(), onNewConnection: true } as const;
   const now = { endedAt: Date.now() + 1 };
   const breachesOf = (
     changes: Partial<Call>,
@@ -136,13 +141,13 @@
 
 test('should find a configuration that is late, and one that goes back', () => {
   const late = checks();
-  const probe = { kind: 'newest', configuredAt: 1, end: 'failed', status: 404 } as const;
+  const probe = { kind: 'newest', configuredAt: 1, outcome: 'failed', status: 404 } as const;
   late.onCall(call({ ...probe, sentAt: 1_000, endedAt: 1_001 }));
   expect(late.breaches).toEqual([]);
   late.onCall(call({ ...probe, id: 'b', sentAt: 2_600, endedAt: 2_601 }));
   expect(late.breaches.map(({ promise }) => promise)).toEqual(['configuration']);
   const back = checks();
-  back.onCall(call({ ...probe, end: 'whole', status: 200 }));
+  back.onCall(call({ ...probe, outcome: 'whole', status: 200 }));
   back.onCall(call({ ...probe, id: 'b', sentAt: 100, endedAt: 101 }));
   expect(back.breaches.map(({ promise }) => promise)).toEqual(['configuration']);
 });
@@ -152,7 +157,7 @@
   const breachesAfter = (runs: number, harmed = false): string[] => {
     const found = checks();
     for (let crash = 0; crash < 3; crash++) found.onCrash(body);
-    if (harmed) found.onHarm()();
+    if (harmed) found.onFault()();
     found.onExecution(execution({ path: '/chat/x', body }));
     const at = Date.now() + 4_000;
     for (let run = 0; run < runs; run++) found.onExecution(execution({ path: '/chat/x', body, at }));
--- a/tests/stagingFleet.spec.ts
+++ b/tests/stagingFleet.spec.ts
@@ -66,7 +66,7 @@
 });
 
 test('should detect a corrupt download and repeat it', async () => {
-  fixture.origin.spoilt.add(0);
+  fixture.origin.corruptedChunks.add(0);
   await fixture.start(3);
   await until(() => fixture.allServe(1));
   expect(readsOf(1)).toEqual(CHUNKS + 1);
