--- a/soak/call.ts
+++ b/soak/call.ts
@@ -1,26 +1,30 @@
-/** What callers have seen of each request, for the checks. */
+/** Records of the requests that callers sent, as input of the checks. */
 
-/** What a caller sends. */
+/** The kinds of requests. `newest` probes the route that only the newest configuration has. */
 export type CallKind = 'stream' | 'once' | 'repeatable' | 'newest';
 
-/** How an answer looked to the caller. */
+/**
+ * How a request ended for the caller. `whole`: complete and correct. `refused`: with a status that promises that
+ * the request has not run. `failed`: another status or a wrong answer. `cut`: the connection broke. `never-sent`:
+ * the connection was refused. `left`: the caller aborted it.
+ */
 export type CallOutcome = 'whole' | 'refused' | 'failed' | 'cut' | 'never-sent' | 'left';
 
-/** One attempt with an id of its own. */
+/** One attempt to send a request. Each attempt has its own id. */
 export interface Call {
   id: string;
   kind: CallKind;
   entry: string;
-  /** Wall clock, in milliseconds. */
+  /** Wall clock time, in milliseconds. */
   sentAt: number;
   endedAt: number;
   outcome: CallOutcome;
-  /** 0 when there was no answer. */
+  /** HTTP status, 0 if there was no answer. */
   status: number;
-  /** Of calls on the route of the newest configuration: since when that is there. */
+  /** When the newest configuration was stored, for `newest` requests only. */
   configuredAt: number | undefined;
-  /** Whether its connection was opened for it. */
+  /** Whether a new connection was opened for this request. */
   onNewConnection: boolean;
-  /** What was wrong with the answer, if anything. */
+  /** Why the answer is wrong, if it is. */
   answerError: string | undefined;
 }
--- a/soak/faultKinds.ts
+++ b/soak/faultKinds.ts
@@ -1,6 +1,9 @@
-/** The kinds of faults and planned work that a soak draws from. A new one comes last: seeds go on drawing what they drew. */
+/**
+ * The kinds of faults and planned operations that a soak draws from. Add new kinds at the end, so that existing
+ * seeds draw the same sequence as before.
+ */
 
-/** Work that must not be noticed by any request. */
+/** Planned operations, which must not fail any request. */
 export const PLANNED_KINDS = [
   'configure',
   'name-weights',
--- a/soak/fleetOptions.ts
+++ b/soak/fleetOptions.ts
@@ -1,4 +1,4 @@
-/** What a fleet of a soak is made from, and who hears what its servers see. */
+/** Options of a soak's fleet, and the listener for events of its backend servers. */
 import type { Random } from '../src/utils/random.js';
 import type { OriginLink } from '../standins/platformOriginStandin.js';
 import type { Arrival, SpokenSignals } from '../standins/platformRunnerSignals.js';
@@ -6,7 +6,7 @@
 import type { WeightsShape } from '../standins/weightsFixture.js';
 import type { ProcessRole } from './fleetProcess.js';
 
-/** How large a fleet is. */
+/** Number of processes in a fleet. */
 export interface FleetSize {
   entries: number;
   /** Boxes with a model server and an agent. */
@@ -14,35 +14,37 @@
   plainServers: number;
 }
 
-/** How weights move. */
+/** Size of the model weights and speed of the links that carry them. */
 export interface FleetWeights {
   shape: WeightsShape;
   boxLinkMegabits: number;
   originLink: OriginLink;
 }
 
-/** What a fleet is made from. */
+/** Options of a fleet. */
 export interface SoakFleetOptions {
   size: FleetSize;
   weights?: FleetWeights;
-  /** The second part of all loopback addresses, so that fleets do not meet. */
+  /** The second octet of all loopback addresses. Fleets that run at the same time need different ones. */
   network: number;
   random: Random;
   listener: FleetListener;
-  /** Further words for node, by role. */
+  /** Additional command-line arguments of node, by role. */
   nodeArguments?: Record<ProcessRole, readonly string[]>;
-  /** The program; as it is built for tests when left out. */
+  /** Path of the program. Defaults to the unbundled build in dist. */
   program?: string;
 }
 
-/** Hears what servers see. */
+/** Receives events of the fleet's backend servers. */
 export interface FleetListener {
+  /** A server has begun to work on a request. */
   onExecution(execution: Execution): void;
-  /** A request has reached a server, whether it runs or not. */
+  /** A request has reached a server, which may still reject it. */
   onArrival(arrival: Arrival): void;
-  /** A server has said something of itself in an answer. */
+  /** A server has sent a limit, a leave or a Retry-After in the headers of an answer. */
   onSignals(spoken: SpokenSignals): void;
+  /** A server has activated a version that lacks chunks or has corrupted ones. */
   onIncompleteVersion(runner: string, version: number): void;
-  /** The request with this body has ended a server. */
+  /** The request with this body has crashed a server. */
   onCrash(body: string): void;
 }
--- a/soak/fleetProcess.ts
+++ b/soak/fleetProcess.ts
@@ -1,4 +1,7 @@
-/** One process of larklatch as the platform starts it: a settings file, a role, its log lines. */
+/**
+ * Runs one entry or agent process as the platform does: with a settings file and a role, and its output in a log
+ * file.
+ */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { closeSync, openSync, writeFileSync } from 'node:fs';
@@ -6,24 +9,24 @@
 
 export type ProcessRole = 'entry' | 'agent';
 
-/** How a process is started; it can be started again after its end. */
+/** Options of a process, used for each start of it. */
 export interface FleetProcessOptions {
   name: string;
   role: ProcessRole;
-  /** Contents of its settings file. */
+  /** Written to the settings file as JSON. */
   settings: unknown;
-  /** Where its settings and its log lie. */
+  /** Directory of the settings file and the log file. */
   directory: string;
   sharedKey: string;
-  /** Further words for node. */
+  /** Additional command-line arguments of node. */
   nodeArguments?: readonly string[];
-  /** The program; as it is built for tests when left out. */
+  /** Path of the program. Defaults to the unbundled build in dist. */
   program?: string;
 }
 
 const MAIN = new URL('../platform/main.js', import.meta.url).pathname;
 
-/** Processes that still run; none outlives this one. */
+/** Running child processes. They are killed when this process exits. */
 const runningChildren = new Set<ChildProcess>();
 process.once('exit', () => runningChildren.forEach((child) => child.kill('SIGKILL')));
 for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(1));
@@ -31,7 +34,7 @@
 export class FleetProcess {
   readonly name: string;
   readonly role: ProcessRole;
-  /** Ends that nobody asked for. */
+  /** Number of exits that were not caused by {@link FleetProcess.signal}. */
   unexpectedExits = 0;
   private readonly _options: FleetProcessOptions;
   private _child: ChildProcess | undefined;
@@ -44,12 +47,12 @@
     this.role = options.role;
   }
 
-  /** Where its output goes. */
+  /** The file that stdout and stderr are appended to. */
   get logFile(): string {
     return path.join(this._options.directory, `${this.name}.log`);
   }
 
-  /** Undefined while it does not run. */
+  /** Undefined while the process is not running. */
   get processId(): number | undefined {
     return this._child?.pid;
   }
@@ -58,12 +61,12 @@
     return this._child !== undefined;
   }
 
-  /** Whether it stands still after SIGSTOP. */
+  /** Whether it is paused by SIGSTOP. */
   get paused(): boolean {
     return this._isPaused;
   }
 
-  /** Starts it unless it runs. */
+  /** Writes the settings file and starts the process, unless it is running. */
   start(): void {
     if (this._child) return;
     const { directory, settings, role, sharedKey, nodeArguments = [], program = MAIN } = this._options;
@@ -81,7 +84,7 @@
     child.once('exit', () => this._onExit(child));
   }
 
-  /** Sends a signal; SIGKILL and SIGTERM are ends that are asked for. */
+  /** Sends a signal. An exit after SIGKILL or SIGTERM counts as expected. */
   signal(name: NodeJS.Signals): void {
     if (!this._child) return;
     if (name === 'SIGKILL' || name === 'SIGTERM') this._expectsExit = true;
@@ -90,7 +93,7 @@
     this._child.kill(name);
   }
 
-  /** Resolves when it has ended. */
+  /** Resolves when the process has exited. */
   async ended(): Promise<void> {
     const child = this._child;
     if (child) await new Promise<void>((resolve) => child.once('exit', () => resolve()));
--- a/soak/loopbackProxy.ts
+++ b/soak/loopbackProxy.ts
@@ -1,17 +1,18 @@
-/** A TCP proxy on loopback that harms what passes through it, from outside the processes at both ends. */
+/** A TCP proxy on loopback that injects link faults between two processes without changing either. */
 import net from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 import { splitAddress } from '../src/utils/hostPort.js';
 
 /**
- * `pass`: all goes through. `delay`: late. `reset`: connections are reset. `deaf`: nothing goes from the client to the
- * server. `mute`: nothing comes back. `silent`: neither way, and nothing is closed.
+ * `pass`: forwards all data. `delay`: forwards all data late. `reset`: resets connections. `stall-requests`: holds
+ * back data from the client to the server. `stall-answers`: holds back data from the server to the client. `stall`:
+ * holds back data both ways and closes nothing.
  */
-export type ProxyMode = 'pass' | 'delay' | 'reset' | 'deaf' | 'mute' | 'silent';
+export type ProxyMode = 'pass' | 'delay' | 'reset' | 'stall-requests' | 'stall-answers' | 'stall';
 
 const DELAY_MILLISECONDS = 250;
 
-/** The two ends of one connection. */
+/** The sockets to the client and to the server of one proxied connection. */
 interface ProxiedConnection {
   client: Socket;
   server: Socket;
@@ -24,7 +25,7 @@
   private readonly _server = net.createServer((client) => this._accept(client));
   private _mode: ProxyMode = 'pass';
 
-  /** `target` is host:port. */
+  /** Forwards to `target`, host:port. */
   constructor(target: string) {
     this._target = target;
   }
@@ -46,15 +47,15 @@
     return `${host}:${(this._server.address() as AddressInfo).port}`;
   }
 
-  /** Holds for open and new connections; what was held up goes on when all passes again. */
+  /** Sets the mode of open and new connections. Held back data is forwarded once the mode allows it. */
   setMode(mode: ProxyMode): void {
     this._mode = mode;
-    for (const pair of this._connections) this._apply(pair);
+    for (const connection of this._connections) this._apply(connection);
   }
 
   /**
-   * Leaves all connections open at the server for good and says nothing on them any more, as a client that has lost its power. New
-   * ones pass.
+   * Drops the client side of all connections and keeps the server side open and silent, as when the client's
+   * machine loses power. New connections are not affected.
    */
   abandon(): void {
     for (const { client, server } of this._connections) {
@@ -66,10 +67,13 @@
     this._connections.clear();
   }
 
-  /** Refuses connections from now on, as a port where nobody listens; {@link LoopbackProxy.listen} may follow. */
+  /**
+   * Stops listening and closes all connections, abandoned ones too. {@link LoopbackProxy.listen} may be called
+   * again.
+   */
   close(): void {
     this._server.close();
-    for (const pair of this._connections) resetConnection(pair);
+    for (const connection of this._connections) resetConnection(connection);
     for (const server of this._abandoned) server.destroy();
   }
 
@@ -77,19 +81,19 @@
     if (this._mode === 'reset') return void client.resetAndDestroy();
     const [host, port] = splitAddress(this._target);
     const server = net.connect({ host, port, allowHalfOpen: true });
-    const pair = { client, server };
-    this._connections.add(pair);
+    const connection = { client, server };
+    this._connections.add(connection);
     for (const socket of [client, server]) {
       socket.setNoDelay(true);
-      socket.on('error', () => resetConnection(pair));
+      socket.on('error', () => resetConnection(connection));
       socket.once('close', () => {
-        this._connections.delete(pair);
-        resetConnection(pair);
+        this._connections.delete(connection);
+        resetConnection(connection);
       });
     }
     this._forward(client, server);
     this._forward(server, client);
-    this._apply(pair);
+    this._apply(connection);
   }
 
   private _forward(from: Socket, to: Socket): void {
@@ -103,21 +107,21 @@
     });
   }
 
-  private _apply(pair: ProxiedConnection): void {
-    if (this._mode === 'reset') return resetConnection(pair);
-    setPaused(pair.client, this._mode === 'deaf' || this._mode === 'silent');
-    setPaused(pair.server, this._mode === 'mute' || this._mode === 'silent');
+  private _apply(connection: ProxiedConnection): void {
+    if (this._mode === 'reset') return resetConnection(connection);
+    setPaused(connection.client, this._mode === 'stall-requests' || this._mode === 'stall');
+    setPaused(connection.server, this._mode === 'stall-answers' || this._mode === 'stall');
   }
 }
 
-function setPaused(socket: Socket, held: boolean): void {
-  if (held) socket.pause();
+function setPaused(socket: Socket, paused: boolean): void {
+  if (paused) socket.pause();
   else socket.resume();
 }
 
 function resetConnection({ client, server }: ProxiedConnection): void {
   for (const socket of [client, server]) {
-    // a socket that is shutting down cannot be reset: Node would never close it, and never end
+    // Node never closes a socket that is reset while it is shutting down, which keeps the process from exiting.
     if (socket.writableEnded) socket.destroy();
     else if (!socket.destroyed) socket.resetAndDestroy();
   }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --minutes M --seed S`: soaks one seed after the other until the time is over. */
+/** `npm run soak -- --minutes M --seed S`: runs a soak for one seed after the other until the time is over. */
 import meow from 'meow';
 import { FAULT_KINDS } from './faultKinds.js';
 import { soak } from './soakRun.js';
@@ -8,16 +8,16 @@
     $ npm run soak -- --minutes 5 --seed 1
 
   Options
-    --minutes      how long to go on with further seeds (default 3)
+    --minutes      no further seed starts after this time (default 3)
     --seed         the first seed; the same seed draws the same faults (default: from the clock)
-    --seeds        how many seeds at the most (default 1000)
-    --seconds      faults of one seed, in seconds (default 12)
-    --entries      entry processes (default 3)
-    --boxes        boxes with a model server and an agent (default 6)
-    --callers      callers (default 10)
-    --planned      only planned work, which no request may notice
-    --kinds        faults to draw from, separated by commas (default: all)
-    --network      second part of the loopback addresses (default 31)
+    --seeds        maximum number of seeds (default 1000)
+    --seconds      duration of the faults of one seed (default 12)
+    --entries      number of entry processes (default 3)
+    --boxes        number of boxes with a model server and an agent (default 6)
+    --callers      number of callers (default 10)
+    --planned      only planned operations, which must not fail any request
+    --kinds        kinds of faults to draw from, separated by commas (default: all)
+    --network      second octet of the loopback addresses (default 31)
     --verbose      print each fault
 `;
 
@@ -40,6 +40,7 @@
 });
 
 const { flags } = cli;
+/** Every fourth seed runs planned operations only. */
 const SEEDS_PER_PLANNED_RUN = 4;
 const names = flags.kinds.split(',').filter((name) => name !== '');
 const kinds = FAULT_KINDS.filter((kind) => names.includes(kind));
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -1,77 +1,81 @@
-/** Checks what callers and backend servers have seen against the promises of docs/PROMISES.md. */
+/** Checks the records of callers and backend servers against the promises of docs/PROMISES.md. */
 import type { Execution } from '../standins/platformRunnerOptions.js';
 import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
 import type { Call } from './call.js';
 import type { SignalChecks } from './signalChecks.js';
 
 export type PromiseName =
-  | 'answer' // every caller gets the whole answer to its own request
-  | 'once' // what may run once runs once
-  | 'not-run' // a refusal is true
-  | 'asked' // nothing runs that nobody asked for, or for another customer
-  | 'whole' // no server takes an unwhole version
-  | 'version' // no request begins on an older version after the bound
-  | 'configuration' // a configuration is in force in time, and stays
-  | 'draining' // a leaving server gets nothing new
-  | 'limit' // a server gets no more requests than it has said it takes
-  | 'retry-after' // an entry keeps to the Retry-After of a server
-  | 'crashing' // a request that ends each server which runs it is kept from them
-  | 'planned' // planned work cuts nothing
-  | 'ends' // no process ends by itself
-  | 'recovery'; // requests are served again once faults are over
-
-/** A promise that was broken. */
+  | 'answer' // every caller gets the complete answer to its own request
+  | 'once' // a request that must not be repeated runs at most once
+  | 'not-run' // a refused request has not run
+  | 'asked' // only requests that a caller sent run
+  | 'whole' // no server activates an incomplete version
+  | 'version' // no request starts on an older version after the time bound
+  | 'configuration' // a configuration is in force within the time bound and is not reverted
+  | 'draining' // a leaving server gets no new requests
+  | 'limit' // a server gets no more requests than the limit that it announced
+  | 'retry-after' // an entry obeys the Retry-After of a server
+  | 'crashing' // a request that crashes every server is no longer sent to servers
+  | 'planned' // planned operations fail no request
+  | 'ends' // no process exits unexpectedly
+  | 'recovery'; // requests are served again after the last fault
+
+/** A broken promise, with a description for the report. */
 export interface Breach {
   promise: PromiseName;
   what: string;
 }
 
-/** Hears of broken promises. */
+/** Is called for each broken promise. */
 export type BreachListener = (promise: PromiseName, what: string) => void;
 
-/** A time in which something was harmed, in wall clock milliseconds. */
+/** The period of a fault, in wall clock milliseconds. */
 interface FaultWindow {
   from: number;
   until: number;
 }
 
 /**
- * What a harm strikes. Entries stay in touch with all else while servers end under a request; processes that end hold no request up;
- * the `copy` from which the store comes back lacks what was told lately, and nothing else.
+ * What a fault affects, which decides the checks that are suspended during it. `servers`: requests crash backend
+ * servers, while entries keep their connections to the store and to each other. `processes`: entries or agents
+ * exit, which delays no request in flight. `copy`: the store is restored from a copy that lacks the latest writes.
+ * `all`: anything.
  */
 export type FaultScope = 'all' | 'servers' | 'processes' | 'copy';
 
-/** A planned stop of an entry. */
+/** The period of a planned stop of an entry. */
 interface EntryStop extends FaultWindow {
-  /** Where callers reach it, host:port. */
+  /** The address for callers, host:port. */
   entry: string;
 }
 
-/** What the bound of a version or a leaving server runs from. */
+/** When a version of the weights was announced, in wall clock milliseconds. */
 interface VersionAnnouncement {
   version: number;
   at: number;
 }
 
-/** What has come of a request that ends each server which runs it. */
+/** History of a request that crashes every server which runs it. */
 interface CrashingRequestRecord {
-  /** When a server ended, in wall clock milliseconds. */
+  /** Times of the crashes, in wall clock milliseconds. */
   crashes: number[];
   runs: number;
+  /** Runs after all entries should have known about the request. */
   lateRuns: number;
 }
 
-/** Beyond the bounds themselves: timers and processors of a loaded machine. */
+/** Added to each time bound, since timers are late on a loaded machine. */
 const SLACK_MILLISECONDS = 500;
-/** After a harm, processes are held to bounds in time again. */
+/** Time bounds apply again this long after a fault. */
 const RECOVERY_MILLISECONDS = 3_000;
-/** Ends of servers after which a request that ends them is known for it, and runs that it may have once all know. */
+/** Number of crashes after which entries must stop forwarding the request. */
 const CRASHES_UNTIL_KNOWN = 3;
+/** Runs that are allowed once all entries should know about the request. */
 const MAX_LATE_RUNS = 3;
 const MAX_BREACHES = 50;
 const NOT_FOUND = 404;
 
-/** Bounds in milliseconds. */
+/** Time bounds of the promises. */
 export interface CheckBounds {
   versionMilliseconds: number;
   drainMilliseconds: number;
@@ -87,17 +91,17 @@
   private readonly _faults: (FaultWindow & { scope: FaultScope })[] = [];
   private readonly _stops: EntryStop[] = [];
   private readonly _announcedVersions: VersionAnnouncement[] = [];
-  /** Configurations that an entry was seen to have, by entry and the time at which they came. */
+  /** Keys of an entry and a configuration's time, once the entry has answered by that configuration. */
   private readonly _configured = new Set<string>();
   private readonly _leavingSince = new Map<string, number>();
-  /** Requests that end servers, by their bodies. */
+  /** Requests that crash servers, by body. */
   private readonly _crashingRequests = new Map<string, CrashingRequestRecord>();
 
   constructor(bounds: CheckBounds) {
     this._bounds = bounds;
   }
 
-  /** Calls that have ended. */
+  /** Requests that have ended for their callers. */
   get calls(): readonly Call[] {
     return [...this._calls.values()];
   }
@@ -125,12 +129,12 @@
     if (execution.body.startsWith(ENDING_BODY)) this._checkCrashing(execution);
   }
 
-  /** A server has ended under the request with this body. */
+  /** The request with this body has crashed a server. */
   onCrash(body: string): void {
     this._crashingRequest(body).crashes.push(Date.now());
   }
 
-  /** How many servers have ended under requests, and how often such requests have run. */
+  /** Totals over all requests that crash servers. */
   get crashing(): { requests: number; crashes: number; runs: number } {
     const all = [...this._crashingRequests.values()];
     const crashes = all.reduce((sum, request) => sum + request.crashes.length, 0);
@@ -138,17 +142,17 @@
   }
 
   onIncompleteVersion(runner: string, version: number): void {
-    this._breach('whole', `${runner} took version ${version} unwhole`);
+    this._breach('whole', `${runner} activated an incomplete version ${version}`);
   }
 
-  /** Something is harmed from now on; the returned function ends it. */
+  /** A fault begins; the returned function ends it. */
   onFault(scope: FaultScope = 'all'): () => void {
     const fault = { scope, from: Date.now(), until: Number.POSITIVE_INFINITY };
     this._faults.push(fault);
     return () => (fault.until = Date.now());
   }
 
-  /** An entry has been asked to stop; the returned function notes its end. */
+  /** An entry has been asked to stop; the returned function must be called when it has exited. */
   onStopping(entry: string): () => void {
     const stop = { entry, from: Date.now(), until: Number.POSITIVE_INFINITY };
     this._stops.push(stop);
@@ -163,7 +167,7 @@
     this._leavingSince.set(runner, Date.now());
   }
 
-  /** Requests that planned work ended without an answer. `wasRead` tells whether an entry knows of a request. */
+  /** Reports requests that planned operations failed. `wasRead` tells whether an entry has read a request. */
   checkPlanned(wasRead: (id: string) => boolean): void {
     for (const call of this._calls.values()) {
       if (call.kind === 'newest' || (call.outcome !== 'cut' && call.outcome !== 'failed')) continue;
@@ -173,17 +177,17 @@
     }
   }
 
-  /** Requests sent from `at` on, when nothing is harmed any more, are served. */
-  checkRecovery(at: number, leastShare: number): void {
+  /** Checks that at least `minShare` of the requests sent from `at` on, after the last fault, were served. */
+  checkRecovery(at: number, minShare: number): void {
     const late = [...this._calls.values()].filter(
       (call) => call.sentAt >= at && call.outcome !== 'left' && call.kind !== 'newest',
     );
     const served = late.filter((call) => call.outcome === 'whole').length;
-    if (late.length === 0 || served / late.length < leastShare)
-      this._breach('recovery', `${served} of ${late.length} served after all faults`);
+    if (late.length === 0 || served / late.length < minShare)
+      this._breach('recovery', `${served} of ${late.length} served after the last fault`);
   }
 
-  /** What entries were told by servers, and whether they heeded it. */
+  /** Checks that entries obeyed the limits, leaves and Retry-After of servers. */
   checkSignals(signals: SignalChecks): void {
     const blockingFaults = this._faults.filter(({ scope }) => scope === 'all');
     signals.check(
@@ -197,9 +201,9 @@
     );
   }
 
-  /** A process that ended by itself. */
-  onUnexpectedExit(name: string): void {
-    this._breach('ends', name);
+  /** A process exited unexpectedly. */
+  onUnexpectedExit(description: string): void {
+    this._breach('ends', description);
   }
 
   private _checkOnce(id: string): void {
@@ -220,7 +224,7 @@
     if (this._overlapsFault(newer.at, at)) return;
     this._breach(
       'version',
-      `${id} began on ${version} at ${runner}, ${at - newer.at} ms after ${newer.version}`,
+      `${id} started on version ${version} at ${runner}, ${at - newer.at} ms after ${newer.version} was announced`,
     );
   }
 
@@ -231,7 +235,8 @@
     if (status !== NOT_FOUND) return;
     const age = sentAt - configuredAt;
     const isLate = age > this._bounds.configurationMilliseconds + SLACK_MILLISECONDS;
-    if (this._configured.has(key)) this._breach('configuration', `${id}: ${entry} went back`);
+    if (this._configured.has(key))
+      this._breach('configuration', `${id}: ${entry} reverted the configuration`);
     else if (isLate && !this._isExcused(configuredAt, endedAt, this._bounds.configurationMilliseconds))
       this._breach('configuration', `${id}: not in force at ${entry} after ${age} ms`);
   }
@@ -240,7 +245,7 @@
     const since = this._leavingSince.get(runner);
     if (since === undefined || at - since < this._bounds.drainMilliseconds + SLACK_MILLISECONDS) return;
     if (this._isExcused(since, at, this._bounds.drainMilliseconds)) return;
-    this._breach('draining', `${id} began at ${runner}, ${at - since} ms after it was leaving`);
+    this._breach('draining', `${id} started at ${runner}, ${at - since} ms after it began to leave`);
   }
 
   private _checkCrashing({ body, runner, at, id }: Execution): void {
@@ -252,7 +257,10 @@
     if (this._overlapsFault(known, at, faults)) return;
     request.lateRuns++;
     if (request.lateRuns > MAX_LATE_RUNS)
-      this._breach('crashing', `${id} ran at ${runner}, ${at - known} ms after the third end by its like`);
+      this._breach(
+        'crashing',
+        `${id} ran at ${runner}, ${at - known} ms after the third crash by the same request`,
+      );
   }
 
   private _crashingRequest(body: string): CrashingRequestRecord {
@@ -262,8 +270,8 @@
   }
 
   /**
-   * Whether the system may have reset a connection that still waited to be accepted as its entry stopped listening: the
-   * caller sees an open connection, the entry never does.
+   * Whether the kernel may have reset a connection that was waiting in the accept queue when its entry stopped
+   * listening. The caller sees an open connection, but the entry has never seen it.
    */
   private _wasResetByStop({ id, entry, outcome, status, onNewConnection, endedAt }: Call): boolean {
     const isReset = outcome === 'cut' && status === 0 && onNewConnection;
@@ -275,8 +283,9 @@
   }
 
   /**
-   * Whether a word of `since` need not be kept at `at`. What all had heard within `bound` before the store went holds on while it is
-   * away and once it has come back from a copy that lacks it.
+   * Whether faults excuse an entry that does not yet, at `at`, act on a record written at `since`. A record that
+   * all entries read (within `bound`) before the store was rolled back must still be obeyed afterwards, even if the
+   * copy lacks it.
    */
   private _isExcused(since: number, at: number, bound: number): boolean {
     const others = this._faults.filter(({ scope }) => scope !== 'copy');
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -1,19 +1,19 @@
-/** Checks that the entries together heed what servers say of themselves in their answers: limits, leaves and Retry-After. */
+/** Checks that the entries together obey the signals in the answers of servers: limits, leaves and Retry-After. */
 import type { Arrival, SpokenSignals } from '../standins/platformRunnerSignals.js';
 import type { BreachListener } from './promiseChecks.js';
 
-/** What the checks need of callers and faults; times in wall clock milliseconds. */
+/** What the checks need to know about callers and faults. Times are in wall clock milliseconds. */
 export interface SignalContext {
-  /** The entry that a caller sent a request to, and when; undefined where that is not known. */
+  /** Returns the entry that a request was sent to and when, or undefined if the request is unknown. */
   findCall: (id: string) => { entry: string; sentAt: number } | undefined;
-  /** Whether processes or links were harmed in this time, or shortly before. */
+  /** Whether a fault was active in this period or shortly before. */
   overlapsFault: (from: number, until: number) => boolean;
-  /** Whether links were harmed or processes stood still, so that requests may have lain on their way. */
+  /** Whether a link fault or a paused process may have delayed requests in flight. */
   mayBeDelayed: (from: number, until: number) => boolean;
   drainMilliseconds: number;
 }
 
-/** A server that says something of itself, from when on and until when. */
+/** The period in which a server announces a limit. */
 interface LimitPeriod {
   runner: string;
   perSecond: number;
@@ -21,15 +21,17 @@
   until: number;
 }
 
+/** In any window of this length a server may get this factor of its limit, and some requests more. */
 const WINDOW_MILLISECONDS = 4_000;
 const WINDOW_FACTOR = 1.5;
 const WINDOW_SLACK_REQUESTS = 5;
-/** From the first naming of a limit until it has to be kept. */
+/** A limit has to be obeyed this long after its first announcement. */
 const LIMIT_GRACE_MILLISECONDS = 3_000;
-/** A Retry-After has to be kept from so long after it was given, but for so many requests. */
+/** A Retry-After has to be obeyed this long after the answer that carried it. */
 const RETRY_AFTER_GRACE_MILLISECONDS = 500;
+/** Requests that an entry may still send during the Retry-After. */
 const MAX_REQUESTS_WITHIN_RETRY_AFTER = 2;
-/** Timers and processors of a loaded machine. */
+/** Added to each time bound, since timers are late on a loaded machine. */
 const SLACK_MILLISECONDS = 500;
 
 export class SignalChecks {
@@ -44,15 +46,15 @@
     this._arrivals.set(arrival.runner, known);
   }
 
-  /** A server has said something of itself in an answer. */
-  onSignals(spoken: SpokenSignals): void {
-    const { runner, at, leaving, retryAfterMilliseconds } = spoken;
+  /** A server has sent signals in the headers of an answer. */
+  onSignals(signals: SpokenSignals): void {
+    const { runner, at, leaving, retryAfterMilliseconds } = signals;
     if (leaving && !this._leavingSince.has(runner)) this._leavingSince.set(runner, at);
-    if (retryAfterMilliseconds > 0) this._rejections.push(spoken);
-    if (spoken.limitPerSecond !== undefined) this._recordLimit(runner, spoken.limitPerSecond, at);
+    if (retryAfterMilliseconds > 0) this._rejections.push(signals);
+    if (signals.limitPerSecond !== undefined) this._recordLimit(runner, signals.limitPerSecond, at);
   }
 
-  /** A server names no limit any more. */
+  /** A server no longer announces a limit. */
   onLimitLifted(runner: string): void {
     const open = this._limits.find((limit) => limit.runner === runner && limit.until === Infinity);
     if (open) open.until = Date.now();
@@ -69,7 +71,10 @@
     if (!isKnown) this._limits.push({ runner, perSecond, from: at, until: Infinity });
   }
 
-  /** Stricter than what is promised: entries count that have not been told by an answer of their own. */
+  /**
+   * Stricter than the promise: also counts requests of entries that have not received the limit in an answer
+   * themselves.
+   */
   private _checkLimit(
     { runner, perSecond, from, until }: LimitPeriod,
     context: SignalContext,
@@ -89,7 +94,7 @@
         continue;
       return breach(
         'limit',
-        `${runner} got ${got} requests in 4 s, ${start - from} ms after it named ${perSecond} a second`,
+        `${runner} got ${got} requests in 4 s, ${start - from} ms after it announced a limit of ${perSecond} a second`,
       );
     }
   }
@@ -104,7 +109,7 @@
     const after = late[0].at - since;
     breach(
       'draining',
-      `${late.length} requests reached ${runner}, the first ${after} ms after it said that it leaves`,
+      `${late.length} requests reached ${runner}, the first ${after} ms after it announced that it leaves`,
     );
   }
 
@@ -124,7 +129,7 @@
     if (got.length > MAX_REQUESTS_WITHIN_RETRY_AFTER)
       breach(
         'retry-after',
-        `${runner} got ${got.length} requests of ${entry} in ${retryAfterMilliseconds} ms of Retry-After`,
+        `${runner} got ${got.length} requests from ${entry} in ${retryAfterMilliseconds} ms of Retry-After`,
       );
   }
 }
--- a/soak/signalFaults.ts
+++ b/soak/signalFaults.ts
@@ -1,10 +1,10 @@
-/** Servers that ask for something in their answers; nothing else is harmed meanwhile. */
+/** Makes servers send limits and Retry-After in their answers, without any other fault. */
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import type { SignalChecks } from './signalChecks.js';
 import type { SoakBox } from './soakFleet.js';
 
-/** A limit has to be kept from three seconds on, over any four. */
+/** Longer than the grace period and the window of {@link SignalChecks} together. */
 const LIMIT_MILLISECONDS = 8_000;
 const LIMITS_PER_SECOND = [1, 2.8, 5];
 const RETRY_AFTER_SECONDS = 3;
@@ -20,7 +20,7 @@
     this._random = random;
   }
 
-  /** A server names a limit. */
+  /** Makes a server announce a limit for a while. */
   async limit({ runner }: SoakBox): Promise<void> {
     const limitPerSecond = LIMITS_PER_SECOND[this._random.integer(LIMITS_PER_SECOND.length)];
     runner.faults = { ...runner.faults, limitPerSecond };
@@ -29,7 +29,7 @@
     this._checks.onLimitLifted(runner.id);
   }
 
-  /** A server turns half of its requests away with Retry-After. */
+  /** Makes a server reject half of its requests with Retry-After for a while. */
   async rejectWithRetryAfter({ runner }: SoakBox): Promise<void> {
     runner.faults = { ...runner.faults, sheddingShare: SHED_SHARE, retryAfterSeconds: RETRY_AFTER_SECONDS };
     await pause(REJECT_MILLISECONDS);
--- a/soak/soakCaller.ts
+++ b/soak/soakCaller.ts
@@ -1,4 +1,6 @@
-/** Callers: they ask which entries to use, keep connections, send requests and look at every byte of the answers. */
+/**
+ * A caller that looks up the entries, keeps connections open, sends requests and checks every byte of the answers.
+ */
 import http from 'node:http';
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
@@ -7,15 +9,15 @@
 import type { NewestRoute } from './soakFleet.js';
 import { CUSTOMERS, HOST } from './soakConfiguration.js';
 
-/** What a caller works with. */
+/** Options of a caller. */
 export interface SoakCallerOptions {
   zone: string;
-  /** Directories of all entries, host:port. */
+  /** Addresses of the directory endpoints of all entries, host:port. */
   directories: readonly string[];
   random: Random;
   newId: () => string;
   onCall: (call: Call) => void;
-  /** The route that came with the newest configuration. */
+  /** Returns the route that only the newest configuration has. */
   newestRoute: () => NewestRoute;
   /** Mean pause between requests, in milliseconds. */
   pauseMilliseconds: number;
@@ -29,21 +31,23 @@
   repeatable: '/boards/x',
 };
 const METHODS: Record<CallKind, string> = { stream: 'POST', once: 'POST', repeatable: 'GET', newest: 'GET' };
-/** How often each kind is drawn. */
+/** Each kind as often as its weight in the random draw. */
 const DRAWN_KINDS: readonly CallKind[] = [
   ...Array<CallKind>(5).fill('stream'),
   ...Array<CallKind>(2).fill('once'),
   ...Array<CallKind>(2).fill('repeatable'),
   'newest',
 ];
+/** Statuses by which an entry promises that the request has not run. */
 const REFUSAL_STATUSES = new Set([408, 421, 429, 503]);
+/** Statuses that blame the request; callers here send only valid ones. */
 const DENIAL_STATUSES = new Set([400, 401, 403, 404]);
 const MAX_ATTEMPTS = 2;
-/** Share of requests whose caller aborts early. */
+/** Share of requests that the caller aborts before the answer is complete. */
 const ABORT_SHARE = 0.02;
 const ABORT_MILLISECONDS = 40;
 
-/** An answer as far as it came. */
+/** The part of an answer that was received. */
 interface ReceivedAnswer {
   status: number;
   headers: http.IncomingHttpHeaders;
@@ -82,7 +86,7 @@
     return DRAWN_KINDS[drawn];
   }
 
-  /** Sends again as callers may: what may run once only after a promise that it has not run. */
+  /** Retries as the caller rules allow: a `once` request only if it was refused or never sent. */
   private async _request(kind: CallKind): Promise<void> {
     const { random, onCall } = this._options;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
@@ -218,31 +222,26 @@
     });
   }
 
-  /** What the answer shows that must never be. */
+  /** Describes a violation that the answer shows, or returns undefined. */
   private _findAnswerError(kind: CallKind, id: string, received: ReceivedAnswer): string | undefined {
     if (received.status === 0 || received.outcome === 'left') return undefined;
     return (
-      findHeaderError(kind, id, received) ??
-      (received.status === 200 ? findBodyError(kind, id, received) : undefined)
+      headerError(kind, id, received) ?? (received.status === 200 ? bodyError(kind, id, received) : undefined)
     );
   }
 }
 
-function findHeaderError(
-  kind: CallKind,
-  id: string,
-  { status, headers }: ReceivedAnswer,
-): string | undefined {
+function headerError(kind: CallKind, id: string, { status, headers }: ReceivedAnswer): string | undefined {
   const answered = headers['x-attempt-id'] ?? id;
   if (answered !== id) return `answer of ${String(answered)}`;
   const isSuccess = status >= 200 && status < 300;
   if (isSuccess && headers['x-server-seal'] !== sealOf(id)) return `seal ${headers['x-server-seal']}`;
-  // an entry may not know the newest configuration yet: whether it is too late is for the checks to say
+  // An entry may not have the newest configuration yet; PromiseChecks decides whether it should have.
   const mayBeDenied = kind === 'newest' && status === 404;
   return DENIAL_STATUSES.has(status) && !mayBeDenied ? `denied with ${status}` : undefined;
 }
 
-function findBodyError(kind: CallKind, id: string, { body, outcome }: ReceivedAnswer): string | undefined {
+function bodyError(kind: CallKind, id: string, { body, outcome }: ReceivedAnswer): string | undefined {
   const expected = kind === 'stream' ? streamText(id) : `answer of ${id}`;
   const isWhole = outcome === 'whole';
   const fits = isWhole ? body === expected : expected.startsWith(body);
@@ -259,7 +258,7 @@
   return received.status === 200 && answerError === undefined ? 'whole' : 'failed';
 }
 
-/** Sends a stream's request whose answer nobody looks at: what it does to servers is what counts. */
+/** Sends a streaming request that crashes the server, and ignores the answer. */
 export function sendCrashingRequest(address: string, id: string, body: string): void {
   const [host, port] = address.split(':');
   const headers = {
--- a/soak/soakConfiguration.ts
+++ b/soak/soakConfiguration.ts
@@ -1,4 +1,4 @@
-/** What the operator of a soak configures, as the platform writes it. */
+/** The configuration of a soak, in the format of the platform's store. */
 
 export const MODEL_SERVICE = 'chat';
 export const PLAIN_SERVICE = 'turns';
@@ -9,7 +9,7 @@
 export const HOST = 'games.example';
 export const MODEL = 'm0';
 
-/** What other writers leave in the store. */
+/** Invalid records, as other writers may leave them in the store. */
 export const FOREIGN_VALUES: readonly unknown[] = [
   null,
   'text',
@@ -20,7 +20,7 @@
   { model: 'other', version: 1e300 },
 ];
 
-/** A configuration of which `newestPrefix` is the route that no earlier one has. */
+/** Returns a configuration. `newestPrefix` is the prefix of a route that no earlier version has. */
 export function soakConfiguration(version: number, newestPrefix: string, originAddress: string): unknown {
   return {
     version,
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -1,4 +1,4 @@
-/** Faults and planned work that a soak draws from; each is applied from outside the processes. */
+/** Applies the faults and planned operations of a soak, from outside of the processes. */
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import { SICKNESSES } from '../standins/platformRunnerFaults.js';
@@ -15,31 +15,32 @@
 import type { SoakBox, SoakFleet } from './soakFleet.js';
 import { FOREIGN_VALUES, MODEL_SERVICE, PLAIN_SERVICE } from './soakConfiguration.js';
 
-const PROXY_MODES: readonly ProxyMode[] = ['delay', 'reset', 'deaf', 'mute', 'silent'];
+const PROXY_MODES: readonly ProxyMode[] = ['delay', 'reset', 'stall-requests', 'stall-answers', 'stall'];
 const MAX_FAULT_MILLISECONDS = 3_500;
 const MIN_FAULT_MILLISECONDS = 300;
 const RESTART_MILLISECONDS = 300;
-/** A leaving server works on for so long before it ends. */
+/** Time that a leaving server keeps running before it ends. */
 const DRAIN_MILLISECONDS = 3_500;
 const KILLED_SHARE = 0.6;
 const CORRUPTED_SHARE = 0.05;
 const CORRUPTION_INTERVAL_MILLISECONDS = 400;
-/** A server that starts again does so up to so many times in a row. */
+/** Maximum number of restarts of a server in a row. */
 const MAX_RESTARTS = 3;
 const RESTART_GAP_MILLISECONDS = 700;
-/** Versions close together, each with some of the servers starting again while its chunks come. */
+/** Number of versions announced shortly after each other while servers restart. */
 const VERSIONS_DURING_RESTARTS = 4;
 const VERSION_PAUSE_MILLISECONDS = 400;
 const RESTARTED_SHARE = 0.5;
-/** Writes that got no answer are done so much later. */
+/** Delay after which the store performs a write that it did not answer. */
 const LATE_WRITE_MILLISECONDS = 1_500;
-/** Faults that are no harm to processes or links: what entries promise holds all the while. */
+/** Kinds in which servers only send signals in their answers. All promises hold meanwhile. */
 const SIGNAL_KINDS: readonly FaultKind[] = ['limit-server', 'leave-by-answers', 'reject-with-retry-after'];
-/** Processes end by these and start again; none stands still, and no request lies on its way. */
+/** Kinds that kill and restart processes, but neither pause one nor delay requests in flight. */
 const PROCESS_KILL_KINDS: readonly FaultKind[] = ['kill-entry', 'kill-agent', 'kill-many'];
 const CRASHING_REQUESTS = 80;
 const CRASHING_INTERVAL_MILLISECONDS = 120;
-/** Applies one fault after the other; several may overlap. */
+
+/** Applies faults, of which several may be active at the same time. */
 export class SoakFaults {
   private readonly _fleet: SoakFleet;
   private readonly _checks: PromiseChecks;
@@ -63,18 +64,18 @@
     this._log = log;
   }
 
-  /** Applies a fault and resolves when it has been lifted. */
+  /** Applies a fault and resolves when it is over. */
   async apply(kind: FaultKind): Promise<void> {
     const isPlanned = (PLANNED_KINDS as readonly FaultKind[]).includes(kind);
-    const isHarmless = isPlanned || SIGNAL_KINDS.includes(kind);
-    const lift = isHarmless ? () => undefined : this._checks.onFault(faultScope(kind));
+    const keepsPromises = isPlanned || SIGNAL_KINDS.includes(kind);
+    const endFault = keepsPromises ? () => undefined : this._checks.onFault(faultScope(kind));
     const milliseconds = MIN_FAULT_MILLISECONDS + this._random.integer(MAX_FAULT_MILLISECONDS);
     this._log(`${kind} ${milliseconds}`);
     try {
       if (SIGNAL_KINDS.includes(kind)) await this._applySignal(kind, this._pick(this._fleet.boxes));
       else await this._perform(kind, milliseconds);
     } finally {
-      lift();
+      endFault();
     }
     if (kind === 'roll-back-store') await this._changeAfterRollback();
   }
@@ -129,7 +130,7 @@
       await this._breakStore(kind, milliseconds);
     } else if (kind === 'harm-origin') {
       origin.faults = this._originFaults();
-      // without a version that moves, nobody would notice
+      // The origin is read only while a new version is transferred.
       this._checks.onVersionAnnounced(this._fleet.announceWeights());
       await pause(milliseconds);
       origin.faults = {};
@@ -143,7 +144,7 @@
     }
   }
 
-  /** A server asks for something in its answers. */
+  /** Makes a server send a signal in its answers. */
   private async _applySignal(kind: FaultKind, box: SoakBox): Promise<void> {
     if (kind === 'limit-server') await this._signals.limit(box);
     else if (kind === 'reject-with-retry-after') await this._signals.rejectWithRetryAfter(box);
@@ -158,7 +159,7 @@
     store.faults = {};
   }
 
-  /** What is said once all are in touch again is kept like anything else. */
+  /** Writes new records after a rollback, which entries must obey like any others. */
   private async _changeAfterRollback(): Promise<void> {
     await removeStaleServers(this._fleet);
     this._fleet.configure();
@@ -182,7 +183,7 @@
     for (const process of ended) process.start();
   }
 
-  /** The boxes of all agents, while a version comes: the origin hears nothing of it. */
+  /** Cuts the power of all agents' boxes during the transfer of a version. The origin sees no closed connections. */
   private async _losePower(): Promise<void> {
     this._checks.onVersionAnnounced(this._fleet.announceWeights());
     await pause(this._random.integer(VERSION_PAUSE_MILLISECONDS));
@@ -197,14 +198,14 @@
     process.signal('SIGCONT');
   }
 
-  /** What the server asks for in its answers meanwhile goes on. */
+  /** Gives a server a fault for a while, and keeps the signals that it sends in its answers. */
   private async _degrade(box: SoakBox, milliseconds: number): Promise<void> {
     const { runner } = box;
-    const sick = this._pick(SICKNESSES);
-    runner.faults = { ...runner.faults, ...sick };
+    const faults = this._pick(SICKNESSES);
+    runner.faults = { ...runner.faults, ...faults };
     await pause(milliseconds);
-    const well = Object.fromEntries(Object.keys(sick).map((fault) => [fault, undefined]));
-    runner.faults = { ...runner.faults, ...well };
+    const cleared = Object.fromEntries(Object.keys(faults).map((fault) => [fault, undefined]));
+    runner.faults = { ...runner.faults, ...cleared };
   }
 
   private async _crashServer(box: SoakBox, milliseconds: number): Promise<void> {
@@ -214,7 +215,7 @@
     if (box.runner === runner) await this._fleet.startRunner(box);
   }
 
-  /** The server starts again under its id, up to a few times in a row; what lay staged is lost with the power. */
+  /** Restarts a server under its id, up to a few times in a row. Each restart keeps or loses its staged chunks. */
   private async _restartServer(box: SoakBox): Promise<void> {
     const restarts = 1 + this._random.integer(MAX_RESTARTS);
     for (let restart = 0; restart < restarts && !this._leaving.has(box); restart++) {
@@ -223,7 +224,7 @@
     }
   }
 
-  /** Names versions one after the other, and lets servers start again, with what lay staged, while chunks of each come. */
+  /** Announces several versions and restarts some servers, which keep their staged chunks, during each transfer. */
   private async _restartDuringVersions(): Promise<void> {
     for (let version = 0; version < VERSIONS_DURING_RESTARTS; version++) {
       this._checks.onVersionAnnounced(this._fleet.announceWeights());
@@ -235,7 +236,7 @@
     }
   }
 
-  /** Writes what nobody can understand: beside the good entries, and for a while over one of them. */
+  /** Writes invalid records under new names, and for a while in place of the record of one server. */
   private async _writeForeignRecords(milliseconds: number): Promise<void> {
     const { store, boxes } = this._fleet;
     const kinds = ['servers', 'versions', 'config'];
@@ -249,21 +250,21 @@
     if (box.runner.id === runner.id && !this._leaving.has(box)) this._fleet.publish(box);
   }
 
-  /** Another server takes over a box once the one there has ended in order. */
+  /** Replaces the server of a box by another one, after a graceful drain. */
   private async _replaceServer(box: SoakBox): Promise<void> {
     this._fleet.publish(box, 'draining');
     this._checks.onLeaving(box.runner.id);
     await this._replaceAfterDrain(box);
   }
 
-  /** The server leaves, and only its answers say so: its record stays as it was until it has ended. */
+  /** Makes a server leave and announce that only in its answers: its record stays unchanged until it has ended. */
   private async _leaveByAnswers(box: SoakBox): Promise<void> {
     if (this._leaving.has(box)) return;
     box.runner.faults = { ...box.runner.faults, leaving: true };
     await this._replaceAfterDrain(box);
   }
 
-  /** Ends a server some time after it has said that it leaves, and starts another one in its place. */
+  /** Ends a server some time after it announced that it leaves, and starts another one in its place. */
   private async _replaceAfterDrain(box: SoakBox): Promise<void> {
     const { runner } = box;
     this._leaving.add(box);
@@ -274,7 +275,7 @@
     await this._fleet.startRunner(box);
   }
 
-  /** Callers come again and again with a request that ends each server which runs it, to any entry. */
+  /** Sends a request that crashes every server which runs it, again and again, to randomly chosen entries. */
   private async _sendCrashingRequests(): Promise<void> {
     const round = this._crashingRounds++;
     const body = `${ENDING_BODY} ${round}"}`;
@@ -286,10 +287,10 @@
     }
   }
 
-  /** Spoils what lies staged again and again while a version moves, but not so late that nobody could notice. */
+  /** Corrupts staged chunks during the transfer of a version, while the agent can still detect that. */
   private async _corruptStagedChunks(box: SoakBox, milliseconds: number): Promise<void> {
     this._checks.onVersionAnnounced(this._fleet.announceWeights());
-    for (let rotten = 0; rotten < milliseconds; rotten += CORRUPTION_INTERVAL_MILLISECONDS) {
+    for (let elapsed = 0; elapsed < milliseconds; elapsed += CORRUPTION_INTERVAL_MILLISECONDS) {
       for (const piece of box.runner.staged.keys()) {
         if (this._random.fraction() < CORRUPTED_SHARE) box.runner.spoil(piece);
       }
--- a/soak/soakFleet.ts
+++ b/soak/soakFleet.ts
@@ -1,4 +1,4 @@
-/** The real programs as processes on loopback addresses, before stand-ins of the platform. */
+/** Runs the real programs as processes on loopback addresses against stand-ins of the platform. */
 import { mkdtempSync, readFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
@@ -13,43 +13,44 @@
 import { MODEL, MODEL_SERVICE, PLAIN_SERVICE, soakConfiguration } from './soakConfiguration.js';
 import { PORTS } from './soakPorts.js';
 
-/** A route that came with the newest configuration. */
+/** The route that only the newest configuration has. */
 export interface NewestRoute {
   prefix: string;
+  /** When that configuration was stored, in wall clock milliseconds. */
   since: number;
 }
 
-/** A server that answers at once leaves no gap between the reading back of chunks and the taking of an order. */
+/** Delay of calls to a runner, so that other events can fall between reading chunks back and activating a version. */
 const RUNNER_CALL_MILLISECONDS = 6;
-/** A server that crashed is back after so long. */
+/** Time until a crashed server is replaced. */
 const CRASH_RESTART_MILLISECONDS = 2_000;
 
-/** A box with a server, and the proxy before it. */
+/** A box with a backend server and the proxy in front of it. */
 export interface SoakBox {
   host: string;
   zone: string;
   service: string;
   runner: PlatformRunnerStandin;
-  /** What requests pass through. */
+  /** Forwards requests from entries to the server. */
   proxy: LoopbackProxy;
-  /** How often a server has been started here. */
+  /** Number of servers that have been started on this box. */
   startCount: number;
-  /** What the server last said of itself in the store. */
+  /** The state in the server's latest record. */
   state: 'ready' | 'draining';
 }
 
 export const ZONES = ['north', 'south', 'west'];
-/** Small versions on fast links: a soak looks for broken promises, not for time. */
+/** Small versions on fast links, since a soak checks promises and not transfer times. */
 const SMALL_WEIGHTS: FleetWeights = {
   shape: { model: MODEL, chunks: 12, chunkBytes: 4_096 },
   boxLinkMegabits: 50,
   originLink: { bytesPerSecond: 0, maximumConnections: 48 },
 };
-/** Entries that the settings of each name, as the platform does. */
+/** Number of entries that the settings of each entry list as seeds, as on the platform. */
 const SEEDS = 3;
 const SHARED_KEY = 'the key of a soak';
 
-/** Bounds that the settings of a process name. */
+/** The section `bounds` of each process's settings. */
 export const BOUNDS = {
   contact_ms: 3000,
   grace_s: 3,
@@ -67,7 +68,7 @@
   readonly entries: FleetProcess[] = [];
   readonly agents: FleetProcess[] = [];
   readonly boxes: SoakBox[] = [];
-  /** Between each entry and the store. */
+  /** Proxies between entries and the store, by the entry's name. */
   readonly storeProxies = new Map<string, LoopbackProxy>();
   readonly directory = mkdtempSync(path.join(tmpdir(), 'larklatch-soak-'));
   private readonly _options: SoakFleetOptions;
@@ -88,12 +89,11 @@
     this.origin = new PlatformOriginStandin(weights.shape, () => random.fraction(), weights.originLink);
   }
 
-  /** The route that only the newest configuration has, and since when (wall clock, milliseconds). */
   get newestRoute(): NewestRoute {
     return { prefix: `/extra-${this._configurationVersion}/`, since: this._configuredAt };
   }
 
-  /** The version that was named last. */
+  /** The version of the weights that was announced last. */
   get weightsVersion(): number {
     return this._weightsVersion;
   }
@@ -125,7 +125,7 @@
     this.origin.close();
   }
 
-  /** Puts a newer configuration into the store. */
+  /** Writes a newer configuration to the store and returns its version. */
   configure(): number {
     this._configurationVersion += 1 + this._options.random.integer(3);
     this._configuredAt = Date.now();
@@ -137,21 +137,21 @@
     return soakConfiguration(this._configurationVersion, this.newestRoute.prefix, this._originAddress);
   }
 
-  /** Names a newer version of the model's weights. */
+  /** Announces a newer version of the model's weights and returns it. */
   announceWeights(): number {
     this._weightsVersion++;
     this.store.put('versions', MODEL, { model: MODEL, version: this._weightsVersion });
     return this._weightsVersion;
   }
 
-  /** Ends the server of a box at once; its record leaves the store. */
+  /** Ends the server of a box at once and removes its record from the store. */
   crashRunner(box: SoakBox): void {
     box.runner.close();
     box.proxy.close();
     this.store.remove('servers', box.runner.id);
   }
 
-  /** A request has ended the server of a box. Its record stays until another one starts there. */
+  /** Handles a request that crashed a server. The server's record stays until another one starts on the box. */
   private async _onCrash(runner: PlatformRunnerStandin, body: string): Promise<void> {
     const box = this.boxes.find((candidate) => candidate.runner === runner);
     if (!box) return;
@@ -163,12 +163,12 @@
     await this.startRunner(box);
   }
 
-  /** Starts another server on a box: another id, and no model. */
+  /** Starts a server with a new id and no model on a box. It keeps the staged chunks of the one before. */
   async startRunner(box: SoakBox): Promise<void> {
     await this._startOn(box, this._createRunner(box.service, 0), true);
   }
 
-  /** Ends the server of a box and starts it again under its id: it holds no model, and what lay staged if `keepsStaged`. */
+  /** Restarts the server of a box under its id, without a model. `keepsStaged` preserves its staged chunks. */
   async restartRunner(box: SoakBox, keepsStaged: boolean): Promise<void> {
     box.runner.close();
     await this._startOn(box, this._createRunner(box.service, 0, box.runner.id), keepsStaged);
@@ -184,43 +184,43 @@
     this.publish(box);
   }
 
-  /** Writes what a server says of itself into the store. */
+  /** Writes the record of a server to the store. */
   publish(box: SoakBox, state: SoakBox['state'] = 'ready'): void {
     box.state = state;
     const record = box.runner.record(`${box.host}:${PORTS.proxied}`, box.zone, state);
     this.store.put('servers', box.runner.id, record);
   }
 
-  /** What the boxes of all agents leave behind at the origin when they lose their power; the processes are killed by others. */
+  /** Leaves the agents' connections to the origin open, as on a loss of power. The caller kills the agents. */
   abandonOriginConnections(): void {
     this._originProxy?.abandon();
   }
 
-  /** Operator and servers write again what the store may have lost, as they said it last. */
+  /** Writes the latest records of the operator and the servers again, which the store may have lost. */
   rewriteRecords(): void {
     this.store.put('config', 'main', this._configuration());
     this.store.put('versions', MODEL, { model: MODEL, version: this._weightsVersion });
     for (const box of this.boxes) if (box.runner.isListening) this.publish(box, box.state);
   }
 
-  /** The entries of servers that have ended go, since nobody renews them. */
+  /** Removes the records of servers that have ended, since nobody renews them. */
   removeStaleServers(): void {
     const running = new Set(this.boxes.map(({ runner }) => runner.id));
     for (const { name } of this.store.all('servers'))
       if (!running.has(name)) this.store.remove('servers', name);
   }
 
-  /** Addresses of the directory of each entry. */
+  /** Addresses of the directory endpoints of all entries, host:port. */
   directories(): string[] {
     return this.entries.map((_entry, index) => `${this._entryHost(index)}:${PORTS.directory}`);
   }
 
-  /** Where callers reach an entry, host:port. */
+  /** The address of an entry for callers, host:port. */
   callerAddress(entry: FleetProcess): string {
     return `${this._entryHost(this.entries.indexOf(entry))}:${PORTS.front}`;
   }
 
-  /** Whether an entry has logged anything about a request. */
+  /** Whether any entry has logged this request id. */
   hasLogged(id: string): boolean {
     return this.entries.some(({ logFile }) => readFileSync(logFile, 'utf8').includes(`"${id}"`));
   }
--- a/soak/soakPorts.ts
+++ b/soak/soakPorts.ts
@@ -1,4 +1,4 @@
-/** Ports of the processes of a soak: the same on every loopback address. */
+/** Ports of the processes of a soak, which are the same on every loopback address. */
 export const PORTS = {
   front: 28_005,
   ready: 28_002,
--- a/soak/soakRun.ts
+++ b/soak/soakRun.ts
@@ -1,4 +1,4 @@
-/** One soak: a fleet, callers, faults drawn from a seed, and what was broken. */
+/** Runs one soak: a fleet under requests and random faults of a seed, and reports broken promises. */
 import { SeededRandom } from '../src/utils/random.js';
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
@@ -13,44 +13,44 @@
 import type { FleetSize } from './fleetOptions.js';
 import { BOUNDS, SoakFleet, ZONES } from './soakFleet.js';
 
-/** What a soak is made from. */
+/** Options of a soak. */
 export interface SoakOptions {
   seed: number;
-  /** Time in which faults are applied. */
+  /** Duration of the phase in which faults are applied. */
   seconds: number;
   size: FleetSize;
   callers: number;
-  /** Only work that no request may notice. */
+  /** Only planned operations, which must not fail any request. */
   plannedOnly: boolean;
-  /** The second part of its loopback addresses. */
+  /** The second octet of its loopback addresses. */
   network: number;
-  /** Faults to draw from; all that fit when left out. */
+  /** Kinds of faults to draw from. Defaults to all kinds, or to all planned ones if `plannedOnly`. */
   kinds?: readonly FaultKind[];
   log: (line: string) => void;
 }
 
-/** What came of a soak. */
+/** Result of a soak, printed as JSON. */
 export interface SoakReport {
   seed: number;
   breaches: readonly Breach[];
   calls: number;
   served: number;
-  /** Calls by their end. */
+  /** Number of calls by kind, outcome and status. */
   ends: Record<string, number>;
   originBytes: number;
-  /** Requests that end servers, the servers that ended under them, and how often they have run. */
+  /** Number of requests that crash servers, the crashes, and the runs of such requests. */
   crashing: { requests: number; crashes: number; runs: number };
-  /** Where settings and logs of the processes lie. */
+  /** Directory of the processes' settings and logs. */
   directory: string;
 }
 
-/** Time in which a configuration has to be in force. */
+/** Time within which every entry has to apply a new configuration. */
 const CONFIGURATION_MILLISECONDS = 2_000;
 const START_MILLISECONDS = 2_500;
-/** Faults under way at the same time, at the most. */
+/** Maximum number of faults that are active at the same time. */
 const MAX_CONCURRENT_FAULTS = 3;
 const MEAN_FAULT_INTERVAL_MILLISECONDS = 900;
-/** After the last fault: links are opened anew, versions brought, servers found. */
+/** Time after the last fault to reconnect, transfer versions and discover servers. */
 const SETTLE_MILLISECONDS = 6_000;
 const RECOVERED_MILLISECONDS = 2_000;
 const MIN_SERVED_SHARE = 0.9;
@@ -88,7 +88,7 @@
   }
 }
 
-/** A soak under way. */
+/** The parts of a running soak. */
 interface RunningSoak {
   options: SoakOptions;
   fleet: SoakFleet;
@@ -116,7 +116,7 @@
   checks.checkSignals(signals);
   if (options.plannedOnly) checks.checkPlanned((id) => fleet.hasLogged(id));
   for (const { name, unexpectedExits } of [...fleet.entries, ...fleet.agents])
-    if (unexpectedExits > 0) checks.onUnexpectedExit(`${name} ended ${unexpectedExits} times by itself`);
+    if (unexpectedExits > 0) checks.onUnexpectedExit(`${name} ended ${unexpectedExits} times unexpectedly`);
   return report(options, fleet, checks);
 }
 
@@ -141,23 +141,23 @@
   );
 }
 
-/** Draws faults until the time is over; resolves when all have been lifted. */
+/** Applies random faults for the duration of the soak, and resolves when all of them are over. */
 async function applyFaults(options: SoakOptions, faults: SoakFaults, random: Random): Promise<void> {
   const kinds = options.kinds ?? (options.plannedOnly ? PLANNED_KINDS : FAULT_KINDS);
   const until = Date.now() + options.seconds * 1_000;
-  const underWay = new Set<Promise<void>>();
+  const active = new Set<Promise<void>>();
   const failures: unknown[] = [];
   while (Date.now() < until) {
-    if (underWay.size < MAX_CONCURRENT_FAULTS) {
+    if (active.size < MAX_CONCURRENT_FAULTS) {
       const fault = faults
         .apply(kinds[random.integer(kinds.length)])
         .catch((error: unknown) => void failures.push(error))
-        .finally(() => underWay.delete(fault));
-      underWay.add(fault);
+        .finally(() => active.delete(fault));
+      active.add(fault);
     }
     await pause(random.integer(2 * MEAN_FAULT_INTERVAL_MILLISECONDS));
   }
-  await Promise.all(underWay);
+  await Promise.all(active);
   if (failures.length > 0) throw failures[0];
 }
 
--- a/soak/storeRollback.ts
+++ b/soak/storeRollback.ts
@@ -1,21 +1,24 @@
-/** The store of a soak is rolled back; operator and servers write again what they had said. */
+/** Rolls the store of a soak back to a copy, after which the operator and the servers write their records again. */
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import type { SoakFleet } from './soakFleet.js';
 
-/** The copy lacks what was written in up to this time. */
+/** The copy lacks the writes of up to this time. */
 const MAX_LOST_MILLISECONDS = 1_500;
 const MIN_OUTAGE_MILLISECONDS = 200;
 const OUTAGE_SPREAD_MILLISECONDS = 1_000;
 const MAX_REWRITE_DELAY_MILLISECONDS = 1_000;
-/** The entries of servers that have ended go after three heartbeats. */
+/** Records of ended servers are removed after three missed heartbeats. */
 const STALE_SERVER_MILLISECONDS = 3_600;
-/** Rollbacks in a row, at the most. */
+/** Maximum number of rollbacks in a row. */
 const MAX_ROLLBACKS = 2;
-/** Other writers write so much meanwhile, at the most: after many, revisions stay below those of before for long. */
+/**
+ * Maximum number of writes by others that a rollback loses. After many, the store's revisions stay below the former
+ * ones for a long time.
+ */
 const MAX_OTHER_WRITES = 200;
 
-/** The store is away for a moment and comes back without what was written lately, once or more. */
+/** Takes the store down for a moment and restores it without the latest writes, once or more. */
 export async function rollBackStore(fleet: SoakFleet, random: Random): Promise<void> {
   const rollbacks = 1 + random.integer(MAX_ROLLBACKS);
   for (let count = 0; count < rollbacks; count++) {
@@ -34,7 +37,7 @@
   }
 }
 
-/** Resolves when the entries of servers have gone that nobody renews. */
+/** Waits until the records of ended servers expire, and removes them. */
 export async function removeStaleServers(fleet: SoakFleet): Promise<void> {
   await pause(STALE_SERVER_MILLISECONDS);
   fleet.removeStaleServers();
