--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -1,7 +1,7 @@
 /** Checks the records of callers and backend servers against the promises of docs/PROMISES.md. */
 import type { Execution } from '../standins/platformRunnerOptions.js';
 import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
-import type { Call } from './call.js';
+import type { Call } from './callerLog.js';
 import type { SignalChecks } from './signalChecks.js';
 
 export type PromiseName =
--- a/soak/soakCaller.ts
+++ b/soak/soakCaller.ts
@@ -5,7 +5,7 @@
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import { STREAM_EVENTS, eventText, sealOf } from '../standins/platformAnswers.js';
-import type { Call, CallOutcome, CallKind } from './call.js';
+import type { Call, CallOutcome, CallKind } from './callerLog.js';
 import type { NewestRoute } from './soakFleet.js';
 import { CUSTOMERS, HOST } from './soakConfiguration.js';
 
@@ -223,11 +223,9 @@
   }
 
   /** Describes a violation that the answer shows, or returns undefined. */
-  private _findAnswerError(kind: CallKind, id: string, received: ReceivedAnswer): string | undefined {
-    if (received.status === 0 || received.outcome === 'left') return undefined;
-    return (
-      headerError(kind, id, received) ?? (received.status === 200 ? bodyError(kind, id, received) : undefined)
-    );
+  private _findAnswerError(kind: CallKind, id: string, answer: ReceivedAnswer): string | undefined {
+    if (answer.status === 0 || answer.outcome === 'left') return undefined;
+    return headerError(kind, id, answer) ?? (answer.status === 200 ? bodyError(kind, id, answer) : undefined);
   }
 }
 
--- a/soak/soakRun.ts
+++ b/soak/soakRun.ts
@@ -2,7 +2,7 @@
 import { SeededRandom } from '../src/utils/random.js';
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
-import type { Call } from './call.js';
+import type { Call } from './callerLog.js';
 import type { Breach } from './promiseChecks.js';
 import { PromiseChecks } from './promiseChecks.js';
 import { SignalChecks } from './signalChecks.js';
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -1,7 +1,7 @@
 /** A short soak with a fixed seed, and the checks of a soak themselves. */
 import { test } from 'node:test';
 import { expect } from 'earl';
-import type { Call } from '../soak/call.js';
+import type { Call } from '../soak/callerLog.js';
 import { PromiseChecks } from '../soak/promiseChecks.js';
 import type { FaultKind } from '../soak/faultKinds.js';
 import { FAULT_KINDS } from '../soak/faultKinds.js';
