--- a/bench/benchLine.ts
+++ b/bench/benchLine.ts
@@ -3,7 +3,7 @@
   name: string;
   value: number;
   unit: string;
-  /** The same measure of the baseline in the same run, or null. */
+  /** The same measurement of the baseline in the same run, or null if there is none. */
   baseline: number | null;
   conditions: string;
 }
--- a/bench/controlBench.ts
+++ b/bench/controlBench.ts
@@ -1,4 +1,4 @@
-/** What control costs each daemon, and how it grows with agents, entries and configurations. */
+/** Measures what the control plane costs each daemon, and how that grows with agents, entries and configurations. */
 import { pause } from '../src/utils/timers.js';
 import { LocalFleet } from '../standins/localFleet.js';
 import { printLine } from './benchLine.js';
@@ -28,7 +28,7 @@
   { name: 'control.residentMegabytes', unit: 'MB', read: (usage) => usage.residentMegabytes },
 ];
 
-/** Measures a base fleet and one that is larger in each direction. */
+/** Measures a base fleet, and for each dimension a fleet that is larger in it. */
 export async function benchControl(): Promise<void> {
   const base = await measure(BASE);
   for (const { name, unit, read } of MEASURES) {
@@ -47,10 +47,10 @@
 }
 
 function printSlopes(dimension: keyof FleetShape, base: MeasuredUsage, larger: MeasuredUsage): void {
-  const steps = larger.shape[dimension] - base.shape[dimension];
+  const difference = larger.shape[dimension] - base.shape[dimension];
   for (const { name, unit, read } of MEASURES) {
     for (const role of ['entry', 'agent'] as const) {
-      const value = (read(larger[role]) - read(base[role])) / steps;
+      const value = (read(larger[role]) - read(base[role])) / difference;
       const conditions = `${role}, slope per ${dimension}; ${describeShape(base.shape)} to ${describeShape(larger.shape)}`;
       printLine({ name, value, unit, baseline: null, conditions });
     }
--- a/bench/costBench.ts
+++ b/bench/costBench.ts
@@ -1,4 +1,7 @@
-/** Processor time of the platform's daemons by what they do: a start, an idle second, a request, an event of a stream. */
+/**
+ * Measures the processor time that the platform's daemons take for a start, an idle second, a request and a stream
+ * event.
+ */
 import { execFileSync } from 'node:child_process';
 import { readFileSync } from 'node:fs';
 import http from 'node:http';
@@ -15,11 +18,11 @@
 const SIZE = { entries: 12, modelBoxes: 12, plainServers: 3 };
 const NETWORK = 61;
 const SEED = 1;
-/** Time in which all processes have met each other. */
+/** Time in which all processes have started and connected to each other. */
 const STARTUP_MILLISECONDS = 4_000;
 const IDLE_MILLISECONDS = 8_000;
 const LOAD_MILLISECONDS = 8_000;
-/** Requests under way at the same time at one entry. */
+/** Concurrent requests to one entry. */
 const CALLERS_PER_ENTRY = 3;
 const CONDITIONS = '12 entries, 12 agents, bundled programs, loopback, mean of the processes, one run';
 const BUNDLER = path.resolve('scripts/buildPlatform.mjs');
@@ -27,7 +30,7 @@
 const PROGRAM = path.resolve(PROGRAM_IN_DEPLOY_FILE);
 const DEPLOY_FILE = 'deploy/system.toml';
 
-/** One kind of request. */
+/** The kind of request that a measurement sends. */
 interface RequestTarget {
   method: string;
   path: string;
@@ -37,6 +40,7 @@
 const REQUEST: RequestTarget = { method: 'GET', path: '/boards/x', headers: {} };
 const STREAM: RequestTarget = { method: 'POST', path: '/chat/x?stream=1', headers: { 'x-model': MODEL } };
 
+/** Prints the costs of a fleet that runs the bundled programs with the node arguments of the deploy file. */
 export async function benchCosts(): Promise<void> {
   execFileSync(process.execPath, [BUNDLER], { stdio: 'inherit' });
   const fleet = new SoakFleet({
@@ -70,24 +74,24 @@
   }
 }
 
-/** The words for node of the deploy file: a code cache fits processes with the same ones only. */
+/** Returns the arguments of node in the deploy file: a code cache is valid only for processes with the same ones. */
 function deployedNodeArguments(role: ProcessRole): string[] {
   const run = new RegExp(`^run = "node (.*)${PROGRAM_IN_DEPLOY_FILE} ${role}"$`, 'm');
-  const words = run.exec(readFileSync(DEPLOY_FILE, 'utf8'))?.[1] ?? '';
-  return words.trim().split(' ');
+  const nodeArguments = run.exec(readFileSync(DEPLOY_FILE, 'utf8'))?.[1] ?? '';
+  return nodeArguments.trim().split(' ');
 }
 
 function print(name: string, unit: string, value: number, what: string): void {
   printLine({ name, value, unit, baseline: null, conditions: `${what}; ${CONDITIONS}` });
 }
 
-/** Mean processor time since the start, in milliseconds. */
+/** Mean processor time of the processes since their start, in milliseconds. */
 function meanProcessorMilliseconds(processes: readonly FleetProcess[]): number {
   const times = processes.map(({ processId }) => processorMilliseconds(processId!));
   return times.reduce((sum, time) => sum + time, 0) / times.length;
 }
 
-/** Milliseconds that an entry and an agent take in a second without requests. */
+/** Milliseconds of processor time that an entry and an agent take in a second without requests. */
 async function measureIdle({ entries, agents }: SoakFleet): Promise<[entry: number, agent: number]> {
   const before = [meanProcessorMilliseconds(entries), meanProcessorMilliseconds(agents)];
   await pause(IDLE_MILLISECONDS);
@@ -98,14 +102,14 @@
   ];
 }
 
-/** Milliseconds that an entry takes for one request beyond `idle` milliseconds a second. */
-async function measureLoad(fleet: SoakFleet, asked: RequestTarget, idle: number): Promise<number> {
+/** Milliseconds of processor time that an entry takes for one request, beyond its `idle` milliseconds a second. */
+async function measureLoad(fleet: SoakFleet, target: RequestTarget, idle: number): Promise<number> {
   const before = meanProcessorMilliseconds(fleet.entries);
   const until = performance.now() + LOAD_MILLISECONDS;
   const callers = fleet.entries.flatMap((entry) =>
     Array.from(
       { length: CALLERS_PER_ENTRY },
-      async () => await sendRequestsUntil(fleet, entry, asked, until),
+      async () => await sendRequestsUntil(fleet, entry, target, until),
     ),
   );
   const answered = (await Promise.all(callers)).reduce((sum, count) => sum + count, 0);
@@ -113,11 +117,11 @@
   return (used * fleet.entries.length) / answered;
 }
 
-/** Asks one after the other; returns how many were answered. */
+/** Sends one request after the other until the given time and returns the number of answers with status 200. */
 async function sendRequestsUntil(
   fleet: SoakFleet,
   entry: FleetProcess,
-  asked: RequestTarget,
+  target: RequestTarget,
   until: number,
 ): Promise<number> {
   const agent = new http.Agent({ keepAlive: true });
@@ -125,13 +129,13 @@
   let answered = 0;
   while (performance.now() < until) {
     const headers = {
-      ...asked.headers,
+      ...target.headers,
       host: HOST,
       'x-attempt-id': `${entry.name}-${performance.now()}`,
       authorization: `Bearer ${CUSTOMERS[0].api_keys[0]}`,
     };
-    const { method, path: target } = asked;
-    if ((await sendRequest({ host, port, method, path: target, headers, agent })) === 200) answered++;
+    const { method, path: requestPath } = target;
+    if ((await sendRequest({ host, port, method, path: requestPath, headers, agent })) === 200) answered++;
     await pause(20);
   }
   agent.destroy();
--- a/bench/decisionBench.ts
+++ b/bench/decisionBench.ts
@@ -1,4 +1,4 @@
-/** The cost of a routing decision at the target's size. */
+/** Measures the cost of a routing decision. */
 import type { Backend } from '../src/routing/backend.js';
 import { BoxLoad } from '../src/routing/backend.js';
 import { chooseBackend } from '../src/routing/backendChoice.js';
@@ -24,7 +24,9 @@
   };
 }
 
-/** Routes to 2,900 boxes of one configuration in five data centres, every request with a prompt prefix. */
+/**
+ * Chooses among 2,900 boxes of one configuration in five data centres, each time with a prompt prefix for affinity.
+ */
 export async function benchDecisions(): Promise<void> {
   const all = Array.from({ length: BACKENDS }, (_none, index) => backend(index));
   const pool = {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,7 @@
-/** `npm run bench [-- PART ...]`: prints one JSON object a line. Parts: decisions, rollout, share, requests, control, costs. */
+/**
+ * `npm run bench [-- PART ...]`: runs the given parts, or all, and prints each result as a line of JSON. Parts: decisions,
+ * rollout, share, requests, control, costs.
+ */
 import { benchControl } from './controlBench.js';
 import { benchCosts } from './costBench.js';
 import { benchDecisions } from './decisionBench.js';
--- a/bench/processUsage.ts
+++ b/bench/processUsage.ts
@@ -1,17 +1,17 @@
-/** Processor time, memory and control traffic of a daemon. */
+/** Measures processor time, memory and control traffic of daemons. */
 import { readFileSync } from 'node:fs';
 import { pause } from '../src/utils/timers.js';
 import type { FleetBox } from '../standins/localFleet.js';
 
-/** Use over an interval. */
+/** Mean usage over an interval. */
 export interface Usage {
   bytesPerSecond: number;
-  /** Of one core. */
+  /** Percentage of one core. */
   cpuPercent: number;
   residentMegabytes: number;
 }
 
-/** Of /proc/PID/stat. */
+/** Unit of the times in /proc/PID/stat. */
 const MILLISECONDS_PER_TICK = 10;
 const KILOBYTES_PER_MEGABYTE = 1024;
 
@@ -33,7 +33,7 @@
   };
 }
 
-/** Processor time that a process has taken since its start, in user and system mode, with all its threads. */
+/** Processor time of a process since its start, in user and system mode over all threads. */
 export function processorMilliseconds(processId: number): number {
   const stat = readFileSync(`/proc/${processId}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
--- a/bench/requestBench.ts
+++ b/bench/requestBench.ts
@@ -1,4 +1,4 @@
-/** Configuration in force, leaving boxes, fairness beside a burst, first tokens during a rollout. */
+/** Measures configuration changes, fairness and overload, time to first token during a rollout, and leaving boxes. */
 import { pause } from '../src/utils/timers.js';
 import { LocalFleet } from '../standins/localFleet.js';
 import type { Run } from '../standins/runLog.js';
@@ -10,7 +10,7 @@
 const TOKENS = 10;
 const ENGINE = { slots: SLOTS, firstTokenMilliseconds: 20, tokenMilliseconds: 3 };
 const BOXES_PER_DATA_CENTRE = 1;
-/** Requests a second that all boxes together can serve. */
+/** Requests per second that all boxes together can serve. */
 const CAPACITY =
   (DATA_CENTRES.length * BOXES_PER_DATA_CENTRE * SLOTS * 1000) /
   (ENGINE.firstTokenMilliseconds + TOKENS * ENGINE.tokenMilliseconds);
@@ -21,11 +21,13 @@
 interface LoadResult {
   sent: number;
   answered: number;
-  /** Milliseconds to the whole answer, sorted. */
+  /** Milliseconds until the complete answer, sorted. */
   latencies: number[];
+  /** Milliseconds until the first byte of the answer, sorted. */
   firstBytes: number[];
 }
 
+/** Runs all request benchmarks on one small fleet. */
 export async function benchRequests(): Promise<void> {
   const fleet = await LocalFleet.start({
     dataCentres: DATA_CENTRES,
@@ -70,7 +72,7 @@
   await fleet.publish(`/v1/configurations/${customer}/judge`, { template: 'chat', parameters });
 }
 
-/** From the operator's request until every entry answers with the new revision. */
+/** Measures the time from the operator's request until every entry answers with the new revision. */
 async function benchInForce(fleet: LocalFleet): Promise<void> {
   const seconds: number[] = [];
   for (let change = 0; change < CONFIGURATION_CHANGES; change++) {
@@ -96,7 +98,7 @@
   });
 }
 
-/** A small customer at a tenth of the capacity, alone and beside a burst of ten times that. */
+/** Measures a small customer at a tenth of the capacity, alone and beside another customer at the full capacity. */
 async function benchFairness(fleet: LocalFleet): Promise<void> {
   const alone = await load(fleet, 'small', CAPACITY / 10);
   const [beside] = await Promise.all([load(fleet, 'small', CAPACITY / 10), load(fleet, 'large', CAPACITY)]);
@@ -131,7 +133,7 @@
   }
 }
 
-/** Time to the first byte while weights move, beside that without. */
+/** Measures the time to the first byte during a transfer of weights, with the time before it as the baseline. */
 async function benchFirstToken(fleet: LocalFleet): Promise<void> {
   const before = await load(fleet, 'small', CAPACITY / 4);
   await publish(fleet, 'small', 'v2', 320);
@@ -147,19 +149,19 @@
   });
 }
 
-/** From the agent's SIGTERM until the last new work on its backend server. */
+/** Measures the time from an agent's SIGTERM until the last request that starts on its backend server. */
 async function benchLeaving(fleet: LocalFleet): Promise<void> {
   const box = fleet.box(fleet.modelBoxes()[0]);
   const running = load(fleet, 'small', CAPACITY / 3);
   await pause(LOAD_MILLISECONDS / 3);
-  const left = Date.now();
+  const leftAt = Date.now();
   await box.child.end('SIGTERM');
   const result = await running;
   const runs = await fleet.read<Run[]>(`${box.backendUrl}/_runs`);
   const last = Math.max(...runs.map((run) => run.at));
   printLine({
     name: 'leaving.lastNewWork.seconds',
-    value: Math.max(0, last - left) / 1000,
+    value: Math.max(0, last - leftAt) / 1000,
     unit: 'seconds',
     baseline: null,
     conditions: `SIGTERM under load; ${CONDITIONS}`,
@@ -210,10 +212,10 @@
     result.firstBytes.push(firstByte);
     result.latencies.push(performance.now() - start);
   } catch {
-    // counted as sent and not answered
+    // The request counts as sent and not answered.
   }
 }
 
-function quantile(sorted: readonly number[], part: number): number {
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? Number.NaN;
+function quantile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? Number.NaN;
 }
--- a/bench/rolloutBench.ts
+++ b/bench/rolloutBench.ts
@@ -1,4 +1,4 @@
-/** Time to N replicas and origin bytes, with the baselines in the same run. */
+/** Measures the time to all replicas and the bytes sent by the origin, with baselines in the same run. */
 import { printLine } from './benchLine.js';
 import { injectFaults } from './rolloutFaults.js';
 import type { RolloutMeasurements, RolloutRunOptions } from './rolloutRun.js';
@@ -19,7 +19,7 @@
 const FAULTS_AFTER_MILLISECONDS = 4_000;
 const CHANGED_SHARE = 0.3;
 
-/** Baselines on a small model, the chosen layout on both sizes, with faults, and with a version that shares chunks. */
+/** Measures a small model against the baselines, a large model, faults, and a version that shares chunks. */
 export async function benchRollout(): Promise<void> {
   const direct = await measureRollout({ ...SMALL, distribution: 'direct' });
   const chain = await measureRollout({ ...SMALL, distribution: 'chain' });
@@ -54,7 +54,7 @@
     originBudgetCopies: 1.5,
     faults: (fleet) => injectFaults(fleet, FAULTS_AFTER_MILLISECONDS),
   });
-  const what = `${conditions(LARGE)}; 3 agents killed, 1 frozen for 5 s, 1% of draws corrupt, coordinator killed`;
+  const what = `${conditions(LARGE)}; 3 agents killed, 1 frozen for 5 s, 1% of chunk reads corrupted, coordinator killed`;
   printRatio('rollout.timeToReplicas.ratioToBound.faults', faulty, undefined, what);
   printCopies('rollout.originCopies.faults', faulty, undefined, what);
 }
@@ -67,7 +67,7 @@
     value: shared.originOverChanged,
     unit: 'ratio',
     baseline: 1 / CHANGED_SHARE,
-    conditions: `${conditions(options)}; 70% of chunks shared with the version before; baseline draws all chunks`,
+    conditions: `${conditions(options)}; 70% of chunks shared with the previous version; baseline downloads all chunks`,
   });
 }
 
--- a/bench/rolloutFaults.ts
+++ b/bench/rolloutFaults.ts
@@ -1,4 +1,4 @@
-/** Breaks a fleet in the middle of a rollout. */
+/** Injects faults into a fleet during a rollout. */
 import { pause } from '../src/utils/timers.js';
 import type { LocalFleet } from '../standins/localFleet.js';
 
@@ -7,8 +7,8 @@
 const BOX_LIST_LAG_MILLISECONDS = 1_000;
 
 /**
- * One agent in ten killed, one frozen for five seconds, one draw in a hundred corrupt, and the coordinator's entry
- * killed. Returns the killed boxes.
+ * Kills one agent in ten and the coordinator's entry, pauses another agent for five seconds, and corrupts one chunk
+ * read in a hundred. Returns the boxes of the killed agents.
  */
 export async function injectFaults(fleet: LocalFleet, afterMilliseconds: number): Promise<string[]> {
   await fleet.setFaults(fleet.originUrl, { corruptShare: CORRUPT_SHARE });
@@ -27,7 +27,7 @@
   return killed;
 }
 
-/** The entry that holds the lease of a configuration. */
+/** Returns the box of the entry that holds the lease of a configuration. */
 export async function findCoordinator(
   fleet: LocalFleet,
   customer: string,
--- a/bench/rolloutRun.ts
+++ b/bench/rolloutRun.ts
@@ -1,11 +1,11 @@
-/** One measured rollout on a local fleet. */
+/** Runs and measures one rollout on a local fleet. */
 import { boundSeconds } from '../demo/bound.js';
 import type { Distribution } from '../src/protocol/index.js';
 import { pause } from '../src/utils/timers.js';
 import { LocalFleet } from '../standins/localFleet.js';
 import type { FleetOptions } from '../standins/fleetSettings.js';
 
-/** What is rolled out, on what. */
+/** The model version to roll out and the fleet to use. */
 export interface RolloutRunOptions {
   distribution: Distribution;
   dataCentres: readonly string[];
@@ -13,17 +13,17 @@
   entriesPerDataCentre: number;
   chunkBytes: number;
   chunkCount: number;
-  /** The time in which the origin sends four copies and each link two. */
+  /** The time in which the origin can send four copies and the link of each box two. Sets the link rates. */
   periodSeconds: number;
-  /** Share of chunks that differ from the version before, which is then in service; undefined for a first version. */
+  /** Share of chunks that differ from a previous version in service. Undefined rolls out a first version. */
   changedShare?: number;
   originBudgetCopies?: number;
   fleet?: Partial<FleetOptions>;
-  /** Breaks things once the rollout has been published. Returns the boxes that are not expected to end. */
+  /** Injects faults once the rollout has been published. Returns the boxes that are not expected to complete. */
   faults?: (fleet: LocalFleet) => Promise<string[]>;
 }
 
-/** What was measured. Times are from the operator's yes. */
+/** Measurements of a rollout. Times count from the operator's accepted request. */
 export interface RolloutMeasurements {
   boxes: number;
   boundSeconds: number;
@@ -33,7 +33,7 @@
   allSeconds: number;
   originCopies: number;
   crossDataCentreCopies: number;
-  /** Bytes drawn from the origin over the bytes that differ from the version before. */
+  /** Ratio of the bytes downloaded from the origin to the bytes that differ from the previous version. */
   originOverChanged: number;
 }
 
@@ -58,7 +58,7 @@
   },
 };
 
-/** Starts a fleet, rolls out and measures; the fleet is gone afterwards. */
+/** Starts a fleet, measures a rollout and stops the fleet. */
 export async function measureRollout(options: RolloutRunOptions): Promise<RolloutMeasurements> {
   const modelBytes = options.chunkBytes * options.chunkCount;
   const originBytesPerSecond = (RATES.origin * modelBytes) / options.periodSeconds;
@@ -100,7 +100,7 @@
 }
 
 interface RolloutTimes {
-  /** For each box that ended, in order. */
+  /** Time of each box that completed, in ascending order. */
   seconds: number[];
   originBytes: number;
   crossDataCentreBytes: number;
@@ -126,8 +126,8 @@
   const parameters = { version, boxes, distribution, budget: options.originBudgetCopies ?? boxes.length };
   await fleet.publish(`/v1/configurations/${CUSTOMER}/advisor`, { template: 'chat', parameters });
   const start = performance.now();
-  const broken = version === 'v2' && options.faults ? options.faults(fleet) : Promise.resolve([]);
-  const seconds = await watchBoxes(fleet, boxes, version, start, broken);
+  const excluded = version === 'v2' && options.faults ? options.faults(fleet) : Promise.resolve([]);
+  const seconds = await watchBoxes(fleet, boxes, version, start, excluded);
   const status = await fleet.rollout(CUSTOMER, 'advisor');
   return {
     seconds,
@@ -136,27 +136,27 @@
   };
 }
 
-/** Notes when each box first serves the version; ends when all have that are not broken. */
+/** Records when each box first serves the version, until all boxes except `excluded` do. */
 async function watchBoxes(
   fleet: LocalFleet,
   boxes: readonly string[],
   version: string,
   start: number,
-  broken: Promise<string[]>,
+  excluded: Promise<string[]>,
 ): Promise<number[]> {
   const seen = new Map<string, number>();
-  let missing: Set<string> | undefined;
-  void broken.then((names) => (missing = new Set(names)));
+  let excludedBoxes: Set<string> | undefined;
+  void excluded.then((names) => (excludedBoxes = new Set(names)));
   while (performance.now() - start < WAIT_MILLISECONDS) {
     const status = await fleet.rollout(CUSTOMER, 'advisor').catch(() => undefined);
     for (const box of status?.perBox ?? []) {
       if (box.activeVersion === version && !seen.has(box.box))
         seen.set(box.box, (performance.now() - start) / 1000);
     }
-    const awaited = boxes.filter((box) => !missing?.has(box));
-    if (missing && awaited.every((box) => seen.has(box)))
+    const awaited = boxes.filter((box) => !excludedBoxes?.has(box));
+    if (excludedBoxes && awaited.every((box) => seen.has(box)))
       return awaited.map((box) => seen.get(box)!).sort((a, b) => a - b);
     await pause(50);
   }
-  throw new Error(`${version} is in service on ${seen.size} of ${boxes.length} boxes only`);
+  throw new Error(`${version} is in service on only ${seen.size} of ${boxes.length} boxes`);
 }
--- a/bench/shareBench.ts
+++ b/bench/shareBench.ts
@@ -1,4 +1,4 @@
-/** Two customers' rollouts at once, one of twice the weight. */
+/** Measures two customers' rollouts at the same time, one with twice the weight of the other. */
 import { pause } from '../src/utils/timers.js';
 import { LocalFleet } from '../standins/localFleet.js';
 import { printLine } from './benchLine.js';
@@ -8,10 +8,10 @@
 const PERIOD_SECONDS = 16;
 const MODEL_BYTES = CHUNK_BYTES * CHUNKS;
 const WEIGHTS = { heavy: 2, light: 1 };
-/** Part of a copy that the first rollout has drawn when the shares are read. */
+/** The shares are read when the heavy rollout has downloaded this fraction of a copy. */
 const READ_AT_COPIES = 0.6;
 
-/** Prints how many bytes the heavy rollout has drawn for each of the light one, in the middle, and both origin copies. */
+/** Prints the ratio of downloaded bytes of the heavy to the light rollout midway, and the origin copies of both. */
 export async function benchShare(): Promise<void> {
   const fleet = await LocalFleet.start({
     dataCentres: ['zagreb', 'split', 'osijek'],
--- a/demo/bound.ts
+++ b/demo/bound.ts
@@ -1,4 +1,4 @@
-/** The shortest time in which a rollout could end. */
+/** Computes a lower bound of the time that a rollout takes. */
 
 /** Rates and sizes of a rollout, in bytes and seconds. */
 export interface LinkModel {
@@ -9,8 +9,8 @@
 }
 
 /**
- * The fluid bound with full-duplex links: the origin sends one copy, each box receives one copy, and all that boxes
- * receive is sent by the origin or by boxes.
+ * Returns the lower bound for full-duplex links when data flows without granularity or latency: the origin sends at
+ * least one copy, each box receives one copy, and the origin and the boxes together send all that boxes receive.
  */
 export function boundSeconds({
   modelBytes,
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -1,41 +1,41 @@
-/** A well-behaved caller: follows docs/CALLERS.md and audits every answer. */
+/** A caller that follows the rules of docs/CALLERS.md and checks every answer. */
 import { randomUUID } from 'node:crypto';
 import { pause } from '../src/utils/timers.js';
 
-/** What a caller saw. */
+/** Counts of requests and answers. */
 export interface CallerTally {
   sent: number;
   answered: number;
   retried: number;
-  /** Requests that got no whole answer in the end. */
+  /** Requests without a complete answer after all attempts. */
   lost: number;
-  /** Answers that were another request's or customer's, or of a version that was never published. */
+  /** Answers that belong to another request or customer, or whose content doesn't match the version they name. */
   wrong: number;
   versions: Set<string>;
 }
 
-/** A caller of one customer. */
+/** Options of a caller. */
 export interface CallerOptions {
   customer: string;
   apiKey: string;
   model: string;
-  /** Entries that the caller may use, in its order. */
+  /** Returns the entries to use, in order of preference. */
   entryUrls: () => string[];
-  /** A plain service that runs what must not be repeated, or ''. */
+  /** A plain service for requests that must not be repeated, or ''. */
   service: string;
 }
 
-/** What came of one sending. */
+/** Result of one attempt; `again` asks for a retry. */
 type SendResult = 'ok' | 'wrong' | 'again';
 
 const MAX_ATTEMPTS = 40;
 const RETRY_MILLISECONDS = 150;
 const TIMEOUT_MILLISECONDS = 20_000;
 
-/** Sends one request after the other until told to stop. */
+/** Sends one request after the other until {@link Caller.stop}. */
 export class Caller {
   readonly tally: CallerTally = { sent: 0, answered: 0, retried: 0, lost: 0, wrong: 0, versions: new Set() };
-  /** Keys of requests that must not be repeated and got an answer. */
+  /** Idempotency keys of the answered requests that must not be repeated. */
   readonly onceKeys: string[] = [];
   private readonly _options: CallerOptions;
   private _stopped = false;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,4 +1,7 @@
-/** `npm run demo`: a rollout to a fleet of real processes on loopback, under requests. `--faults` breaks things. */
+/**
+ * `npm run demo [-- --faults]`: rolls out a version to a fleet of real processes on loopback while callers send
+ * requests.
+ */
 import { boundSeconds } from './bound.js';
 import { Caller } from './caller.js';
 import { progressLine } from '../src/cli/rolloutCommand.js';
@@ -12,7 +15,7 @@
 const CHUNK_BYTES = 128 * 1024;
 const CHUNKS = 160;
 const MODEL_BYTES = CHUNK_BYTES * CHUNKS;
-/** The time in which the origin could send four copies and each box's link two. */
+/** The time in which the origin can send four copies and each box's link two. */
 const PERIOD_SECONDS = 24;
 const ORIGIN_BYTES_PER_SECOND = (4 * MODEL_BYTES) / PERIOD_SECONDS;
 const BOX_BYTES_PER_SECOND = (2 * MODEL_BYTES) / PERIOD_SECONDS;
@@ -46,7 +49,7 @@
 
 const withFaults = process.argv.includes('--faults');
 
-/** Publishes a version of each customer's model and its configuration. */
+/** Publishes a version of each customer's model and a configuration that selects it. */
 async function publish(
   fleet: LocalFleet,
   version: string,
@@ -79,7 +82,7 @@
   await publish(fleet, 'v1', 8);
   for (const { name } of CUSTOMERS) await fleet.untilComplete(name, 'advisor', 'v1');
   await fleet.untilComplete('brijuni', 'turns', '1');
-  await fleet.until('a ledger', async () => (await countIdempotencyKeys(fleet)) > 0);
+  await fleet.until('idempotency keys', async () => (await countIdempotencyKeys(fleet)) > 0);
 }
 
 async function countIdempotencyKeys(fleet: LocalFleet): Promise<number> {
@@ -109,7 +112,7 @@
   return [...urls.slice(offset), ...urls.slice(0, offset)];
 }
 
-/** Kills an agent in the middle of the rollout; the box list notices a second later. */
+/** Kills an agent during the rollout. The box list drops it a second later. */
 async function injectFaults(fleet: LocalFleet): Promise<void> {
   await pause(KILL_AFTER_MILLISECONDS);
   const victim = `${DATA_CENTRES[0]}-model-2`;
@@ -137,7 +140,7 @@
   );
 }
 
-/** Times the moment at which every live box serves the version, more finely than the progress lines. */
+/** Measures the seconds until every live box serves the version, polling more often than the progress lines. */
 async function timeToReplicas(fleet: LocalFleet, customer: string, version: string): Promise<number> {
   const start = performance.now();
   await fleet.untilComplete(customer, 'advisor', version, 90_000);
@@ -187,7 +190,9 @@
     if (withFaults) await fleet.setFaults(fleet.originUrl, { corruptShare: 0.01 });
     const { callers, ended } = startCallers(fleet);
     const originBefore = await fleet.originBytes();
-    console.log(`rolling out v2, ${megabytes} MB, under requests${withFaults ? ', with faults' : ''}`);
+    console.log(
+      `rolling out v2, ${megabytes} MB, while callers send requests${withFaults ? ', with faults' : ''}`,
+    );
     const [published] = await publish(fleet, 'v2', CHUNKS, [CUSTOMERS[0]]);
     const faults = withFaults ? injectFaults(fleet) : Promise.resolve();
     const [seconds] = await Promise.all([
--- a/scripts/buildPlatform.mjs
+++ b/scripts/buildPlatform.mjs
@@ -1,4 +1,4 @@
-/** Bundles the daemons that run on the users' platform into target/, since loading hundreds of files takes longer. */
+/** Bundles the daemons that run on the users' platform into target/: one file loads faster than hundreds. */
 import { execFileSync } from 'node:child_process';
 import { readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -7,18 +7,20 @@
 
 const resolve = createRequire(import.meta.url).resolve;
 
-/** Packages of which only a part is loaded: a starting process serves nothing, so every millisecond counts. */
-const PARTS = {
+/** Replacements for packages of which only a part is used, so that processes start faster. */
+const PACKAGE_PARTS = {
   undici: path.resolve('scripts/undiciParts.mjs'),
   'hdr-histogram-js': resolve('hdr-histogram-js/dist/HistogramBuilder.js'),
 };
 
-const partsOnly = {
+const replacePackages = {
   name: 'parts-only',
   setup(bundler) {
-    const names = Object.keys(PARTS).join('|');
-    bundler.onResolve({ filter: new RegExp(`^(${names})$`) }, ({ path: name }) => ({ path: PARTS[name] }));
-    // loaded by undici for a protocol that is not used here
+    const names = Object.keys(PACKAGE_PARTS).join('|');
+    bundler.onResolve({ filter: new RegExp(`^(${names})$`) }, ({ path: name }) => ({
+      path: PACKAGE_PARTS[name],
+    }));
+    // undici loads these modules for features that the daemons do not use.
     bundler.onResolve({ filter: /^node:(http2|sqlite)$/ }, ({ path: name }) => ({
       path: name,
       namespace: 'unused',
@@ -26,7 +28,7 @@
     bundler.onLoad({ filter: /.*/, namespace: 'unused' }, () => ({
       contents: 'module.exports = { constants: {} };',
     }));
-    // error texts in forty languages, of which one is used
+    // zod has error messages in forty languages, of which the daemons use one.
     bundler.onLoad({ filter: /zod[\\/]v4[\\/]locales[\\/]index\.js$/ }, () => ({
       contents: "export { default as en } from './en.js';",
       loader: 'js',
@@ -40,16 +42,16 @@
   outdir: 'target',
   outExtension: { '.js': '.cjs' },
   bundle: true,
-  // names stay as they are: they stand in stack traces, and keeping them by assignment costs each start several milliseconds
+  // Identifiers are not minified, since stack traces show them, and `keepNames` costs each start several milliseconds.
   minifyWhitespace: true,
   minifySyntax: true,
   platform: 'node',
   target: 'node20',
   format: 'cjs',
-  plugins: [partsOnly],
+  plugins: [replacePackages],
   logLevel: 'warning',
 });
 
-// a code cache fits processes with the same flags only, so that the deploy file is asked for those of each role
+// A code cache is valid only for processes with the same flags of node, which the deploy file names for each role.
 const roles = readFileSync('deploy/system.toml', 'utf8').matchAll(/^run = "node (.*)"$/gm);
-for (const [, words] of roles) execFileSync(process.execPath, [...words.split(' '), 'write-code-cache']);
+for (const [, args] of roles) execFileSync(process.execPath, [...args.split(' '), 'write-code-cache']);
--- a/scripts/checkImports.mjs
+++ b/scripts/checkImports.mjs
@@ -1,4 +1,4 @@
-/** Fails when a file of src/<folder>, or of platform, imports from a folder of src that its DEPS.list does not name. */
+/** Fails if a file of src/<folder> or platform imports from a folder of src that the DEPS.list there does not allow. */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 
--- a/scripts/checkTests.mjs
+++ b/scripts/checkTests.mjs
@@ -1,11 +1,11 @@
 /**
- * Judges the output of a test run: failures that KNOWN-RED.txt lists are printed and passed over, any other fails.
- * Use: node scripts/checkTests.mjs EXIT-STATUS OUTPUT-FILE KNOWN-RED-FILE
+ * Checks the output of a test run: prints and ignores the failures that KNOWN-RED.txt lists, and fails on any other.
+ * Usage: node scripts/checkTests.mjs EXIT-STATUS OUTPUT-FILE KNOWN-RED-FILE
  */
 import { existsSync, readFileSync } from 'node:fs';
 
-/** More known failures than this are no exceptions any more. */
-const MOST_KNOWN = 3;
+/** Maximum number of known failures. */
+const MAX_KNOWN = 3;
 const SEPARATOR = ' | ';
 
 const [status, outputFile, knownFile] = process.argv.slice(2);
@@ -15,12 +15,12 @@
 for (const name of failed) if (known.has(name)) console.log(`known red: ${name}: ${known.get(name)}`);
 for (const name of known.keys()) if (!failed.includes(name)) console.log(`known red, but passed: ${name}`);
 for (const name of unexpected) console.error(`failed: ${name}`);
-const isUnexplained = status !== '0' && failed.length === 0;
-if (isUnexplained) console.error(`the test run ended with ${status} and named no test that failed`);
-if (known.size > MOST_KNOWN) console.error(`${knownFile}: more than ${MOST_KNOWN} lines; mend some first`);
-process.exitCode = unexpected.length > 0 || isUnexplained || known.size > MOST_KNOWN ? 1 : 0;
+const failedWithoutName = status !== '0' && failed.length === 0;
+if (failedWithoutName) console.error(`the test run ended with ${status} and named no test that failed`);
+if (known.size > MAX_KNOWN) console.error(`${knownFile}: more than ${MAX_KNOWN} lines; mend some first`);
+process.exitCode = unexpected.length > 0 || failedWithoutName || known.size > MAX_KNOWN ? 1 : 0;
 
-/** What is known of failing tests, by name. A line holds test, cause and issue. */
+/** Returns cause and issue of the known failures, by test name. Each line holds test, cause and issue. */
 function readKnown(file) {
   if (!existsSync(file)) return new Map();
   const lines = readFileSync(file, 'utf8').split('\n');
@@ -32,7 +32,7 @@
   );
 }
 
-/** Names of the tests that failed, in the format of the test runner (TAP). */
+/** Returns the names of failed tests in the TAP output of the test runner. */
 function failedTests(output) {
   const lines = output.split('\n');
   return lines
--- a/scripts/setup.mjs
+++ b/scripts/setup.mjs
@@ -1,4 +1,4 @@
-/** Installs packages when the lock file is newer than node_modules, then builds. Used before demo, test and bench. */
+/** Installs packages if the lock file is newer than node_modules, then builds. Runs before demo, test, bench and soak. */
 import { spawnSync } from 'node:child_process';
 import { existsSync, statSync } from 'node:fs';
 
--- a/soak/soakCaller.ts
+++ b/soak/soakCaller.ts
@@ -31,8 +31,8 @@
   repeatable: '/boards/x',
 };
 const METHODS: Record<CallKind, string> = { stream: 'POST', once: 'POST', repeatable: 'GET', newest: 'GET' };
-/** Each kind as often as its weight in the random draw. */
-const DRAWN_KINDS: readonly CallKind[] = [
+/** Each kind as often as its weight in the random choice. */
+const WEIGHTED_KINDS: readonly CallKind[] = [
   ...Array<CallKind>(5).fill('stream'),
   ...Array<CallKind>(2).fill('once'),
   ...Array<CallKind>(2).fill('repeatable'),
@@ -82,8 +82,8 @@
   }
 
   private _drawKind(): CallKind {
-    const drawn = this._options.random.integer(DRAWN_KINDS.length);
-    return DRAWN_KINDS[drawn];
+    const drawn = this._options.random.integer(WEIGHTED_KINDS.length);
+    return WEIGHTED_KINDS[drawn];
   }
 
   /** Retries as the caller rules allow: a `once` request only if it was refused or never sent. */
