--- a/tests/knownRed.spec.ts
+++ b/tests/knownRed.spec.ts
@@ -1,4 +1,4 @@
-/** Which failures of a test run are passed over: those that are listed, and no others. */
+/** scripts/checkTests.mjs ignores the listed failures of a test run, and no others. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -10,7 +10,7 @@
 const FAILED = 'not ok 2 - should divide';
 const LISTED = 'should divide | divides by zero | issue 4';
 
-/** Exit status and output of the check. */
+/** Runs the script and returns its exit status and output. */
 function check(runStatus: number, output: string, known?: string): { status: number | null; text: string } {
   const folder = mkdtempSync(join(tmpdir(), 'known-red-'));
   try {
@@ -18,8 +18,8 @@
     const knownFile = join(folder, 'known');
     writeFileSync(outputFile, output);
     if (known !== undefined) writeFileSync(knownFile, known);
-    const words = ['scripts/checkTests.mjs', String(runStatus), outputFile, knownFile];
-    const { status, stdout, stderr } = spawnSync(process.execPath, words, { encoding: 'utf8' });
+    const args = ['scripts/checkTests.mjs', String(runStatus), outputFile, knownFile];
+    const { status, stdout, stderr } = spawnSync(process.execPath, args, { encoding: 'utf8' });
     return { status, text: stdout + stderr };
   } finally {
     rmSync(folder, { recursive: true });
@@ -30,7 +30,7 @@
   expect(check(0, PASSED).status).toEqual(0);
 });
 
-test('should pass over a listed failure and print it', () => {
+test('should ignore a listed failure and print it', () => {
   const { status, text } = check(1, `${PASSED}\n${FAILED}`, LISTED);
   expect(status).toEqual(0);
   expect(text).toInclude('known red: should divide: divides by zero | issue 4');
@@ -45,7 +45,7 @@
   expect(check(1, PASSED, LISTED).status).toEqual(1);
 });
 
-test('should tell that a listed test has passed', () => {
+test('should report a listed test that passed', () => {
   const { status, text } = check(0, 'ok 2 - should divide', LISTED);
   expect(status).toEqual(0);
   expect(text).toInclude('known red, but passed: should divide');
--- a/tests/signalChecks.spec.ts
+++ b/tests/signalChecks.spec.ts
@@ -1,4 +1,4 @@
-/** The soak's checks of what servers ask for see each breach, and nothing else. */
+/** The soak's signal checks report each breach of a limit, a leave or a Retry-After, and nothing else. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { SignalChecks } from '../soak/signalChecks.js';
@@ -6,14 +6,18 @@
 import type { SpokenSignals } from '../standins/platformRunnerSignals.js';
 
 const RUNNER = 'i-1';
-const NAMED_AT = 1_000;
+/** When the server sent its signals. */
+const SENT_AT = 1_000;
 
-function spoken(changes: Partial<SpokenSignals>): SpokenSignals {
-  const silent = { limitPerSecond: undefined, leaving: false, retryAfterMilliseconds: 0 };
-  return { id: 'first', runner: RUNNER, at: NAMED_AT, ...silent, ...changes };
+function signals(changes: Partial<SpokenSignals>): SpokenSignals {
+  const none = { limitPerSecond: undefined, leaving: false, retryAfterMilliseconds: 0 };
+  return { id: 'first', runner: RUNNER, at: SENT_AT, ...none, ...changes };
 }
 
-/** Each request was sent by its caller as it arrived, to the entry that begins its id. */
+/**
+ * In this context the id of a request is `entry time`: the entry that it was sent to and when, which is also its
+ * arrival.
+ */
 function context(changes: Partial<SignalContext> = {}): SignalContext {
   return {
     findCall: (id) => ({ entry: id.split(' ')[0], sentAt: Number(id.split(' ')[1]) }),
@@ -24,20 +28,21 @@
   };
 }
 
-/** Promises that are broken when requests arrive at these times by these entries. */
-function broken(
-  said: SpokenSignals,
+/** Returns the promises that are broken when requests arrive from these entries at these times. */
+function brokenPromises(
+  sent: SpokenSignals,
   arrivals: readonly (readonly [string, number])[],
   changes: Partial<SignalContext> = {},
 ): string[] {
   const checks = new SignalChecks();
-  checks.onSignals(said);
+  checks.onSignals(sent);
   for (const [entry, at] of arrivals) checks.onArrival({ id: `${entry} ${at}`, runner: RUNNER, at });
   const promises: string[] = [];
   checks.check(context(changes), (promise) => void promises.push(promise));
   return promises;
 }
 
+/** Arrivals at a fixed interval, from three entries in turn. */
 function evenly(count: number, from: number, gap: number): (readonly [string, number])[] {
   return Array.from(
     { length: count },
@@ -45,30 +50,30 @@
   );
 }
 
-test('should see that entries together send more than a limit allows', () => {
-  const said = spoken({ limitPerSecond: 1 });
-  expect(broken(said, evenly(12, NAMED_AT + 3_000, 300))).toEqual(['limit']);
-  expect(broken(said, evenly(11, NAMED_AT + 3_000, 300))).toEqual([]);
+test('should report that entries together exceed a limit', () => {
+  const sent = signals({ limitPerSecond: 1 });
+  expect(brokenPromises(sent, evenly(12, SENT_AT + 3_000, 300))).toEqual(['limit']);
+  expect(brokenPromises(sent, evenly(11, SENT_AT + 3_000, 300))).toEqual([]);
 });
 
-test('should pass over what came before entries could know a limit, or lay on its way', () => {
-  const said = spoken({ limitPerSecond: 1 });
-  expect(broken(said, evenly(12, NAMED_AT, 200))).toEqual([]);
-  expect(broken(said, evenly(12, NAMED_AT + 3_000, 300), { mayBeDelayed: () => true })).toEqual([]);
+test('should ignore requests that arrive before entries must know the limit, or that were delayed', () => {
+  const sent = signals({ limitPerSecond: 1 });
+  expect(brokenPromises(sent, evenly(12, SENT_AT, 200))).toEqual([]);
+  expect(brokenPromises(sent, evenly(12, SENT_AT + 3_000, 300), { mayBeDelayed: () => true })).toEqual([]);
 });
 
-test('should see a request that its caller sent long after an answer said that its server leaves', () => {
-  const said = spoken({ leaving: true });
-  expect(broken(said, [['entry-0', NAMED_AT + 2_600]])).toEqual(['draining']);
-  expect(broken(said, [['entry-0', NAMED_AT + 2_400]])).toEqual([]);
-  expect(broken(said, [['entry-0', NAMED_AT + 2_600]], { overlapsFault: () => true })).toEqual([]);
+test('should report a request that was sent long after its server announced that it leaves', () => {
+  const sent = signals({ leaving: true });
+  expect(brokenPromises(sent, [['entry-0', SENT_AT + 2_600]])).toEqual(['draining']);
+  expect(brokenPromises(sent, [['entry-0', SENT_AT + 2_400]])).toEqual([]);
+  expect(brokenPromises(sent, [['entry-0', SENT_AT + 2_600]], { overlapsFault: () => true })).toEqual([]);
 });
 
-test('should see three requests of an entry within the Retry-After that it was given', () => {
-  const said = spoken({ id: 'entry-0 1000', retryAfterMilliseconds: 3_000 });
+test('should report three requests of an entry during its Retry-After', () => {
+  const sent = signals({ id: 'entry-0 1000', retryAfterMilliseconds: 3_000 });
   const within = [1_600, 2_000, 3_900].map((at) => ['entry-0', at] as const);
-  expect(broken(said, within)).toEqual(['retry-after']);
-  expect(broken(said, within.slice(1))).toEqual([]);
-  expect(broken(said, [...within.slice(1), ['entry-1', 3_000]])).toEqual([]);
-  expect(broken(said, [['entry-0', 1_400], ...within.slice(1), ['entry-0', 4_100]])).toEqual([]);
+  expect(brokenPromises(sent, within)).toEqual(['retry-after']);
+  expect(brokenPromises(sent, within.slice(1))).toEqual([]);
+  expect(brokenPromises(sent, [...within.slice(1), ['entry-1', 3_000]])).toEqual([]);
+  expect(brokenPromises(sent, [['entry-0', 1_400], ...within.slice(1), ['entry-0', 4_100]])).toEqual([]);
 });
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -1,4 +1,4 @@
-/** A short soak with a fixed seed, and the checks of a soak themselves. */
+/** Short soaks with fixed seeds, and unit tests of the checks that a soak makes. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Call } from '../soak/callerLog.js';
@@ -9,7 +9,7 @@
 import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-/** What the seed draws from is a part of it. */
+/** Kinds that were added later. The seed of the first test needs the original list to draw the same sequence. */
 const LATER_KINDS: readonly FaultKind[] = [
   'restart-server',
   'foreign-records',
@@ -39,17 +39,18 @@
   return { ...base, ...rest, ...changes };
 }
 
-function checks(): PromiseChecks {
-  const made = new PromiseChecks({
+/** Creates checks that know of one sent request, `a`. */
+function createChecks(): PromiseChecks {
+  const promiseChecks = new PromiseChecks({
     versionMilliseconds: 8_000,
     drainMilliseconds: 2_000,
     configurationMilliseconds: 2_000,
   });
-  made.onSending('a');
-  return made;
+  promiseChecks.onSending('a');
+  return promiseChecks;
 }
 
-test('should keep all promises through faults of one seed', async () => {
+test('should keep all promises during the faults of one seed', async () => {
   const report = await shortSoak({
     seed: 5,
     network: 41,
@@ -59,7 +60,7 @@
   expect(report.served).toBeGreaterThan(50);
 });
 
-test('should cut nothing through planned work of one seed', async () => {
+test('should fail no request during the planned operations of one seed', async () => {
   const report = await shortSoak({
     seed: 8,
     plannedOnly: true,
@@ -68,100 +69,100 @@
   expect(report.breaches).toEqual([]);
 });
 
-test('should find a request that ran twice', () => {
-  const found = checks();
-  found.onExecution(execution());
-  found.onExecution(execution({ runner: 'i-2' }));
-  expect(found.breaches.map(({ promise }) => promise)).toEqual(['once']);
+test('should report a request that ran twice', () => {
+  const promiseChecks = createChecks();
+  promiseChecks.onExecution(execution());
+  promiseChecks.onExecution(execution({ runner: 'i-2' }));
+  expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['once']);
 });
 
-test('should find a refusal that is not true, whichever is seen first', () => {
-  const ranFirst = checks();
+test('should report a refused request that ran, in either order of events', () => {
+  const ranFirst = createChecks();
   ranFirst.onExecution(execution());
   ranFirst.onCall(call({ outcome: 'refused', status: 503 }));
-  const toldFirst = checks();
-  toldFirst.onCall(call({ outcome: 'refused', status: 503 }));
-  toldFirst.onExecution(execution());
-  for (const { breaches } of [ranFirst, toldFirst])
+  const refusedFirst = createChecks();
+  refusedFirst.onCall(call({ outcome: 'refused', status: 503 }));
+  refusedFirst.onExecution(execution());
+  for (const { breaches } of [ranFirst, refusedFirst])
     expect(breaches.map(({ promise }) => promise)).toEqual(['not-run']);
 });
 
-test('should find a request that nobody sent, and an answer that is wrong', () => {
-  const found = checks();
-  found.onExecution(execution({ id: 'b', path: '/boards/x' }));
-  found.onCall(call({ answerError: 'answer of b' }));
-  expect(found.breaches.map(({ promise }) => promise)).toEqual(['asked', 'answer']);
+test('should report a request that nobody sent, and a wrong answer', () => {
+  const promiseChecks = createChecks();
+  promiseChecks.onExecution(execution({ id: 'b', path: '/boards/x' }));
+  promiseChecks.onCall(call({ answerError: 'answer of b' }));
+  expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['asked', 'answer']);
 });
 
-test('should find a version and a leaving server that are kept too long, unless something was harmed', () => {
-  const found = checks();
-  found.onVersionAnnounced(2);
-  found.onLeaving('i-1');
+test('should report an outdated version and a leaving server in use after the bound, unless there was a fault', () => {
+  const promiseChecks = createChecks();
+  promiseChecks.onVersionAnnounced(2);
+  promiseChecks.onLeaving('i-1');
   const at = Date.now() + 9_000;
-  found.onExecution(execution({ path: '/chat/x', version: 1, at }));
-  expect(found.breaches.map(({ promise }) => promise)).toEqual(['version', 'draining']);
-  const harmed = checks();
-  harmed.onVersionAnnounced(2);
-  harmed.onFault()();
-  harmed.onExecution(execution({ path: '/chat/x', version: 1, at }));
-  expect(harmed.breaches).toEqual([]);
+  promiseChecks.onExecution(execution({ path: '/chat/x', version: 1, at }));
+  expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['version', 'draining']);
+  const faulty = createChecks();
+  faulty.onVersionAnnounced(2);
+  faulty.onFault()();
+  faulty.onExecution(execution({ path: '/chat/x', version: 1, at }));
+  expect(faulty.breaches).toEqual([]);
 });
 
-test('should find requests that planned work cut, and a service that does not come back', () => {
-  const found = checks();
-  found.onCall(call({ outcome: 'cut', status: 0, sentAt: 1, endedAt: 2 }));
-  found.checkPlanned(() => false);
-  found.checkRecovery(0, 0.9);
-  expect(found.breaches.map(({ promise }) => promise)).toEqual(['planned', 'recovery']);
+test('should report requests that planned operations cut, and a service that does not recover', () => {
+  const promiseChecks = createChecks();
+  promiseChecks.onCall(call({ outcome: 'cut', status: 0, sentAt: 1, endedAt: 2 }));
+  promiseChecks.checkPlanned(() => false);
+  promiseChecks.checkRecovery(0, 0.9);
+  expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['planned', 'recovery']);
 });
 
-test('should tell a request that a stopping entry cut from one that it never read', () => {
+test('should distinguish a request that a stopping entry cut from one that it never read', () => {
   const reset = { outcome: 'cut', status: 0, sentAt: Date.now(), onNewConnection: true } as const;
   const now = { endedAt: Date.now() + 1 };
   const breachesOf = (
     changes: Partial<Call>,
-    more: (found: PromiseChecks) => void,
+    more: (promiseChecks: PromiseChecks) => void,
     wasRead = false,
   ): number => {
-    const found = checks();
-    found.onStopping('entry');
-    more(found);
-    found.onCall(call({ ...reset, ...now, ...changes }));
-    found.checkPlanned(() => wasRead);
-    return found.breaches.length;
+    const promiseChecks = createChecks();
+    promiseChecks.onStopping('entry');
+    more(promiseChecks);
+    promiseChecks.onCall(call({ ...reset, ...now, ...changes }));
+    promiseChecks.checkPlanned(() => wasRead);
+    return promiseChecks.breaches.length;
   };
   const nothing = (): void => undefined;
   expect(breachesOf({}, nothing)).toEqual(0);
   expect(breachesOf({}, nothing, true)).toEqual(1);
-  expect(breachesOf({}, (found) => found.onExecution(execution()))).toEqual(1);
+  expect(breachesOf({}, (promiseChecks) => promiseChecks.onExecution(execution()))).toEqual(1);
   expect(breachesOf({ onNewConnection: false }, nothing)).toEqual(1);
   expect(breachesOf({ status: 200 }, nothing)).toEqual(1);
   expect(breachesOf({ entry: 'another entry' }, nothing)).toEqual(1);
 });
 
-test('should find a configuration that is late, and one that goes back', () => {
-  const late = checks();
+test('should report a configuration that is late, and one that is reverted', () => {
+  const late = createChecks();
   const probe = { kind: 'newest', configuredAt: 1, outcome: 'failed', status: 404 } as const;
   late.onCall(call({ ...probe, sentAt: 1_000, endedAt: 1_001 }));
   expect(late.breaches).toEqual([]);
   late.onCall(call({ ...probe, id: 'b', sentAt: 2_600, endedAt: 2_601 }));
   expect(late.breaches.map(({ promise }) => promise)).toEqual(['configuration']);
-  const back = checks();
-  back.onCall(call({ ...probe, outcome: 'whole', status: 200 }));
-  back.onCall(call({ ...probe, id: 'b', sentAt: 100, endedAt: 101 }));
-  expect(back.breaches.map(({ promise }) => promise)).toEqual(['configuration']);
+  const reverted = createChecks();
+  reverted.onCall(call({ ...probe, outcome: 'whole', status: 200 }));
+  reverted.onCall(call({ ...probe, id: 'b', sentAt: 100, endedAt: 101 }));
+  expect(reverted.breaches.map(({ promise }) => promise)).toEqual(['configuration']);
 });
 
-test('should find a request that goes on ending servers, but not its runs until all know of it', () => {
+test('should report runs of a request that crashes servers, once all entries must know about it', () => {
   const body = `${ENDING_BODY} 1"}`;
-  const breachesAfter = (runs: number, harmed = false): string[] => {
-    const found = checks();
-    for (let crash = 0; crash < 3; crash++) found.onCrash(body);
-    if (harmed) found.onFault()();
-    found.onExecution(execution({ path: '/chat/x', body }));
+  const breachesAfter = (runs: number, hasFault = false): string[] => {
+    const promiseChecks = createChecks();
+    for (let crash = 0; crash < 3; crash++) promiseChecks.onCrash(body);
+    if (hasFault) promiseChecks.onFault()();
+    promiseChecks.onExecution(execution({ path: '/chat/x', body }));
     const at = Date.now() + 4_000;
-    for (let run = 0; run < runs; run++) found.onExecution(execution({ path: '/chat/x', body, at }));
-    return found.breaches.map(({ promise }) => promise);
+    for (let run = 0; run < runs; run++) promiseChecks.onExecution(execution({ path: '/chat/x', body, at }));
+    return promiseChecks.breaches.map(({ promise }) => promise);
   };
   expect(breachesAfter(3)).toEqual([]);
   expect(breachesAfter(4)).toEqual(['crashing']);
--- a/tests/soakCrashing.spec.ts
+++ b/tests/soakCrashing.spec.ts
@@ -1,9 +1,12 @@
-/** A short soak with a fixed seed, of requests that end each server which runs them, and of all that entries may forget meanwhile. */
+/**
+ * A short soak with a fixed seed, in which requests crash every server that runs them. Entries must go on
+ * withholding these requests although restarts and lost writes may erase what they know about them.
+ */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-test('should keep requests that end servers from them while entries start again and writes are lost', async () => {
+test('should withhold requests that crash servers while entries restart and writes are lost', async () => {
   const report = await shortSoak({
     seed: 31,
     size: { entries: 3, modelBoxes: 6, plainServers: 2 },
--- a/tests/soakPower.spec.ts
+++ b/tests/soakPower.spec.ts
@@ -1,9 +1,12 @@
-/** A short soak with a fixed seed, of boxes that lose their power while versions come from an origin that takes few connections. */
+/**
+ * A short soak with a fixed seed, in which boxes lose power during transfers. Their dead connections stay open at
+ * an origin that accepts few, which must not block later transfers.
+ */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-test('should bring versions to boxes that have lost their power time after time', async () => {
+test('should transfer versions to boxes that lose power repeatedly', async () => {
   const report = await shortSoak({
     seed: 51,
     size: { entries: 2, modelBoxes: 8, plainServers: 2 },
--- a/tests/soakRestarts.spec.ts
+++ b/tests/soakRestarts.spec.ts
@@ -1,10 +1,10 @@
-/** Short soaks with fixed seeds, of servers that start again under their ids. */
+/** Short soaks with fixed seeds, in which servers restart under their ids. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { FAULT_KINDS } from '../soak/faultKinds.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-/** What the seed draws from that is older than the last kinds. */
+/** The kinds that existed when the seed of the last test was found, so that it draws the same sequence. */
 const EARLIER_KINDS = FAULT_KINDS.filter(
   (kind) =>
     ![
@@ -18,7 +18,7 @@
     ].includes(kind),
 );
 
-test('should keep all promises while servers start again under their ids and others write entries', async () => {
+test('should keep all promises while servers restart under their ids and others write invalid records', async () => {
   const report = await shortSoak({
     seed: 11,
     network: 43,
@@ -28,7 +28,7 @@
   expect(report.served).toBeGreaterThan(50);
 });
 
-test('should let no server take chunks of two versions while servers start again amid versions', async () => {
+test('should not let a server mix chunks of two versions when it restarts during a transfer', async () => {
   const report = await shortSoak({
     seed: 21,
     network: 44,
@@ -38,7 +38,7 @@
   expect(report.served).toBeGreaterThan(50);
 });
 
-test('should order no server anew by what was read from its former life', async () => {
+test('should not send orders to a restarted server based on what was read before its restart', async () => {
   const report = await shortSoak({
     seed: 1006,
     seconds: 12,
--- a/tests/soakRollback.spec.ts
+++ b/tests/soakRollback.spec.ts
@@ -1,11 +1,11 @@
-/** Short soaks with fixed seeds, of a store that is rolled back. */
+/** Short soaks with fixed seeds, in which the store is rolled back to an older copy. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { shortSoak } from './fixtures/shortSoak.js';
 
 const SIZE = { entries: 4, modelBoxes: 4, plainServers: 3 };
 
-test('should keep what was said before and after the store was rolled back', async () => {
+test('should obey records from before and after a rollback of the store', async () => {
   const report = await shortSoak({
     seed: 71,
     size: SIZE,
@@ -17,7 +17,7 @@
   expect(report.served).toBeGreaterThan(50);
 });
 
-test('should keep requests that end servers from them though the store has forgotten them', async () => {
+test('should withhold requests that crash servers although a rollback removed their records', async () => {
   const report = await shortSoak({
     seed: 72,
     size: SIZE,
--- a/tests/soakSignals.spec.ts
+++ b/tests/soakSignals.spec.ts
@@ -1,11 +1,11 @@
-/** Short soaks with fixed seeds, of servers that ask for something in their answers while entries start again. */
+/** Short soaks with fixed seeds, in which servers send limits, leaves and Retry-After in their answers. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { shortSoak } from './fixtures/shortSoak.js';
 
 const SIZE = { entries: 4, modelBoxes: 4, plainServers: 3 };
 
-test('should keep to the limits of servers over all entries while some start again', async () => {
+test('should obey the limits of servers over all entries together while some entries restart', async () => {
   const report = await shortSoak({
     seed: 61,
     size: SIZE,
@@ -17,7 +17,7 @@
   expect(report.served).toBeGreaterThan(50);
 });
 
-test('should leave servers alone that leave by their answers alone, or reject with Retry-After', async () => {
+test('should send no requests to servers that announce a leave only in their answers, or reject with Retry-After', async () => {
   const report = await shortSoak({
     seed: 62,
     size: SIZE,
