--- a/bench/rolloutRun.ts
+++ b/bench/rolloutRun.ts
@@ -39,7 +39,7 @@
 
 const CUSTOMER = 'studio';
 const WAIT_MILLISECONDS = 180_000;
-const RATES = { origin: 4, box: 2 };
+const COPIES_PER_PERIOD = { origin: 4, box: 2 };
 
 const TEMPLATE = {
   parameters: {
@@ -61,8 +61,8 @@
 /** Starts a fleet, measures a rollout and stops the fleet. */
 export async function measureRollout(options: RolloutRunOptions): Promise<RolloutMeasurements> {
   const modelBytes = options.chunkBytes * options.chunkCount;
-  const originBytesPerSecond = (RATES.origin * modelBytes) / options.periodSeconds;
-  const boxBytesPerSecond = (RATES.box * modelBytes) / options.periodSeconds;
+  const originBytesPerSecond = (COPIES_PER_PERIOD.origin * modelBytes) / options.periodSeconds;
+  const boxBytesPerSecond = (COPIES_PER_PERIOD.box * modelBytes) / options.periodSeconds;
   const fleet = await LocalFleet.start({
     dataCentres: options.dataCentres,
     entriesPerDataCentre: options.entriesPerDataCentre,
@@ -127,7 +127,7 @@
   await fleet.publish(`/v1/configurations/${CUSTOMER}/advisor`, { template: 'chat', parameters });
   const start = performance.now();
   const excluded = version === 'v2' && options.faults ? options.faults(fleet) : Promise.resolve([]);
-  const seconds = await watchBoxes(fleet, boxes, version, start, excluded);
+  const seconds = await measureBoxTimes(fleet, boxes, version, start, excluded);
   const status = await fleet.rollout(CUSTOMER, 'advisor');
   return {
     seconds,
@@ -137,7 +137,7 @@
 }
 
 /** Records when each box first serves the version, until all boxes except `excluded` do. */
-async function watchBoxes(
+async function measureBoxTimes(
   fleet: LocalFleet,
   boxes: readonly string[],
   version: string,
--- a/bench/shareBench.ts
+++ b/bench/shareBench.ts
@@ -21,8 +21,8 @@
     boxBytesPerSecond: (2 * MODEL_BYTES) / PERIOD_SECONDS,
   });
   try {
-    await publishBoth(fleet);
-    const share = await readShare(fleet);
+    await publishRollouts(fleet);
+    const share = await measureShare(fleet);
     const conditions =
       '24 boxes, 3 data centres, weights 2 and 1, equal models started together, loopback, one run';
     printLine({ name: 'rollout.originShareByWeight', value: share, unit: 'ratio', baseline: 2, conditions });
@@ -42,7 +42,7 @@
   }
 }
 
-async function publishBoth(fleet: LocalFleet): Promise<void> {
+async function publishRollouts(fleet: LocalFleet): Promise<void> {
   const parameters = { boxes: { type: 'boxes' }, weight: { type: 'number', minimum: 0.1, maximum: 10 } };
   const rollout = {
     model: 'advisor',
@@ -70,7 +70,7 @@
   );
 }
 
-async function readShare(fleet: LocalFleet): Promise<number> {
+async function measureShare(fleet: LocalFleet): Promise<number> {
   for (;;) {
     const [heavy, light] = await Promise.all(
       Object.keys(WEIGHTS).map((customer) => fleet.rollout(customer, 'advisor')),
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -141,7 +141,7 @@
 }
 
 /** Measures the seconds until every live box serves the version, polling more often than the progress lines. */
-async function timeToReplicas(fleet: LocalFleet, customer: string, version: string): Promise<number> {
+async function measureTimeToReplicas(fleet: LocalFleet, customer: string, version: string): Promise<number> {
   const start = performance.now();
   await fleet.untilComplete(customer, 'advisor', version, 90_000);
   return (performance.now() - start) / 1000;
@@ -162,7 +162,7 @@
   );
 }
 
-async function repeatedRuns(fleet: LocalFleet): Promise<number> {
+async function countRepeatedRuns(fleet: LocalFleet): Promise<number> {
   const runs = await Promise.all(
     fleet.plainBoxes().map((name) => fleet.read<Run[]>(`${fleet.box(name).backendUrl}/_runs`)),
   );
@@ -196,7 +196,7 @@
     const [published] = await publish(fleet, 'v2', CHUNKS, [CUSTOMERS[0]]);
     const faults = withFaults ? injectFaults(fleet) : Promise.resolve();
     const [seconds] = await Promise.all([
-      timeToReplicas(fleet, 'brijuni', 'v2'),
+      measureTimeToReplicas(fleet, 'brijuni', 'v2'),
       watchRollout(fleet, 'brijuni', 'v2'),
     ]);
     await faults;
@@ -210,7 +210,7 @@
       originCopies,
       boxes: digests.length,
       wrongDigests: digests.filter((digest) => digest !== published.blobDigest).length,
-      repeated: await repeatedRuns(fleet),
+      repeated: await countRepeatedRuns(fleet),
       callers,
     });
   } finally {
--- a/soak/fleetProcess.ts
+++ b/soak/fleetProcess.ts
@@ -31,6 +31,7 @@
 process.once('exit', () => runningChildren.forEach((child) => child.kill('SIGKILL')));
 for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(1));
 
+/** A child process that can be signalled and started again. */
 export class FleetProcess {
   readonly name: string;
   readonly role: ProcessRole;
--- a/soak/loopbackProxy.ts
+++ b/soak/loopbackProxy.ts
@@ -18,6 +18,7 @@
   server: Socket;
 }
 
+/** Forwards connections to one target. */
 export class LoopbackProxy {
   private readonly _target: string;
   private readonly _connections = new Set<ProxiedConnection>();
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -26,7 +26,7 @@
   what: string;
 }
 
-/** Is called for each broken promise. */
+/** Called for each broken promise. */
 export type BreachListener = (promise: PromiseName, what: string) => void;
 
 /** The period of a fault, in wall clock milliseconds. */
@@ -82,6 +82,7 @@
   configurationMilliseconds: number;
 }
 
+/** Records the events of a soak and collects the broken promises. */
 export class PromiseChecks {
   readonly breaches: Breach[] = [];
   private readonly _bounds: CheckBounds;
@@ -111,6 +112,7 @@
     this._sentIds.add(id);
   }
 
+  /** A request has ended for its caller. */
   onCall(call: Call): void {
     this._calls.set(call.id, call);
     if (call.answerError !== undefined)
@@ -119,9 +121,10 @@
     if (call.configuredAt !== undefined) this._checkConfiguration(call, call.configuredAt);
   }
 
+  /** A server has begun to work on a request. */
   onExecution(execution: Execution): void {
-    const known = this._executions.get(execution.id) ?? [];
-    this._executions.set(execution.id, [...known, execution]);
+    const earlier = this._executions.get(execution.id) ?? [];
+    this._executions.set(execution.id, [...earlier, execution]);
     if (!this._sentIds.has(execution.id)) this._breach('asked', `nobody sent ${execution.id}`);
     this._checkOnce(execution.id);
     this._checkVersion(execution);
@@ -159,10 +162,12 @@
     return () => (stop.until = Date.now());
   }
 
+  /** A newer version of the weights has been written to the store. */
   onVersionAnnounced(version: number): void {
     this._announcedVersions.push({ version, at: Date.now() });
   }
 
+  /** A server has written to the store that it leaves. */
   onLeaving(runner: string): void {
     this._leavingSince.set(runner, Date.now());
   }
@@ -251,15 +256,15 @@
   private _checkCrashing({ body, runner, at, id }: Execution): void {
     const request = this._crashingRequest(body);
     request.runs++;
-    const known = request.crashes[CRASHES_UNTIL_KNOWN - 1];
-    if (known === undefined || at - known < RECOVERY_MILLISECONDS + SLACK_MILLISECONDS) return;
+    const knownSince = request.crashes[CRASHES_UNTIL_KNOWN - 1];
+    if (knownSince === undefined || at - knownSince < RECOVERY_MILLISECONDS + SLACK_MILLISECONDS) return;
     const faults = this._faults.filter(({ scope }) => scope !== 'servers' && scope !== 'copy');
-    if (this._overlapsFault(known, at, faults)) return;
+    if (this._overlapsFault(knownSince, at, faults)) return;
     request.lateRuns++;
     if (request.lateRuns > MAX_LATE_RUNS)
       this._breach(
         'crashing',
-        `${id} ran at ${runner}, ${at - known} ms after the third crash by the same request`,
+        `${id} ran at ${runner}, ${at - knownSince} ms after the third crash by the same request`,
       );
   }
 
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -21,8 +21,9 @@
   until: number;
 }
 
-/** In any window of this length a server may get this factor of its limit, and some requests more. */
+/** Limits are checked over sliding windows of this length. */
 const WINDOW_MILLISECONDS = 4_000;
+/** In a window a server may get this multiple of its limit, plus the slack. */
 const WINDOW_FACTOR = 1.5;
 const WINDOW_SLACK_REQUESTS = 5;
 /** A limit has to be obeyed this long after its first announcement. */
@@ -34,16 +35,18 @@
 /** Added to each time bound, since timers are late on a loaded machine. */
 const SLACK_MILLISECONDS = 500;
 
+/** Records the requests that reach servers and the signals in their answers. */
 export class SignalChecks {
   private readonly _arrivals = new Map<string, Arrival[]>();
   private readonly _leavingSince = new Map<string, number>();
   private readonly _rejections: SpokenSignals[] = [];
   private readonly _limits: LimitPeriod[] = [];
 
+  /** A request has reached a server, which may still reject it. */
   onArrival(arrival: Arrival): void {
-    const known = this._arrivals.get(arrival.runner) ?? [];
-    known.push(arrival);
-    this._arrivals.set(arrival.runner, known);
+    const arrivals = this._arrivals.get(arrival.runner) ?? [];
+    arrivals.push(arrival);
+    this._arrivals.set(arrival.runner, arrivals);
   }
 
   /** A server has sent signals in the headers of an answer. */
@@ -60,6 +63,7 @@
     if (open) open.until = Date.now();
   }
 
+  /** Reports all breaches. To be called at the end of a soak. */
   check(context: SignalContext, breach: BreachListener): void {
     for (const limit of this._limits) this._checkLimit(limit, context, breach);
     for (const [runner, at] of this._leavingSince) this._checkLeave(runner, at, context, breach);
--- a/soak/signalFaults.ts
+++ b/soak/signalFaults.ts
@@ -11,6 +11,7 @@
 const REJECT_MILLISECONDS = 6_000;
 const SHED_SHARE = 0.5;
 
+/** Applies the faults of which the result is checked by {@link SignalChecks}. */
 export class SignalFaults {
   private readonly _checks: SignalChecks;
   private readonly _random: Random;
--- a/soak/soakCaller.ts
+++ b/soak/soakCaller.ts
@@ -5,7 +5,7 @@
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import { STREAM_EVENTS, eventText, sealOf } from '../standins/platformAnswers.js';
-import type { Call, CallOutcome, CallKind } from './callerLog.js';
+import type { Call, CallKind, CallOutcome } from './callerLog.js';
 import type { NewestRoute } from './soakFleet.js';
 import { CUSTOMERS, HOST } from './soakConfiguration.js';
 
@@ -56,6 +56,7 @@
   onNewConnection: boolean;
 }
 
+/** Sends random requests one after the other, each to a random entry. */
 export class SoakCaller {
   private readonly _options: SoakCallerOptions;
   private readonly _agent = new http.Agent({ keepAlive: true, maxFreeSockets: 2 });
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -16,9 +16,9 @@
 import { FOREIGN_VALUES, MODEL_SERVICE, PLAIN_SERVICE } from './soakConfiguration.js';
 
 const PROXY_MODES: readonly ProxyMode[] = ['delay', 'reset', 'stall-requests', 'stall-answers', 'stall'];
-const MAX_FAULT_MILLISECONDS = 3_500;
+const FAULT_SPREAD_MILLISECONDS = 3_500;
 const MIN_FAULT_MILLISECONDS = 300;
-const RESTART_MILLISECONDS = 300;
+const MAX_RESTART_DELAY_MILLISECONDS = 300;
 /** Time that a leaving server keeps running before it ends. */
 const DRAIN_MILLISECONDS = 3_500;
 const KILLED_SHARE = 0.6;
@@ -26,14 +26,14 @@
 const CORRUPTION_INTERVAL_MILLISECONDS = 400;
 /** Maximum number of restarts of a server in a row. */
 const MAX_RESTARTS = 3;
-const RESTART_GAP_MILLISECONDS = 700;
+const MAX_RESTART_GAP_MILLISECONDS = 700;
 /** Number of versions announced shortly after each other while servers restart. */
 const VERSIONS_DURING_RESTARTS = 4;
-const VERSION_PAUSE_MILLISECONDS = 400;
+const MAX_VERSION_PAUSE_MILLISECONDS = 400;
 const RESTARTED_SHARE = 0.5;
 /** Delay after which the store performs a write that it did not answer. */
 const LATE_WRITE_MILLISECONDS = 1_500;
-/** Kinds in which servers only send signals in their answers. All promises hold meanwhile. */
+/** Kinds that only make servers send signals in their answers. All promises must hold meanwhile. */
 const SIGNAL_KINDS: readonly FaultKind[] = ['limit-server', 'leave-by-answers', 'reject-with-retry-after'];
 /** Kinds that kill and restart processes, but neither pause one nor delay requests in flight. */
 const PROCESS_KILL_KINDS: readonly FaultKind[] = ['kill-entry', 'kill-agent', 'kill-many'];
@@ -69,18 +69,18 @@
     const isPlanned = (PLANNED_KINDS as readonly FaultKind[]).includes(kind);
     const keepsPromises = isPlanned || SIGNAL_KINDS.includes(kind);
     const endFault = keepsPromises ? () => undefined : this._checks.onFault(faultScope(kind));
-    const milliseconds = MIN_FAULT_MILLISECONDS + this._random.integer(MAX_FAULT_MILLISECONDS);
+    const milliseconds = MIN_FAULT_MILLISECONDS + this._random.integer(FAULT_SPREAD_MILLISECONDS);
     this._log(`${kind} ${milliseconds}`);
     try {
       if (SIGNAL_KINDS.includes(kind)) await this._applySignal(kind, this._pick(this._fleet.boxes));
-      else await this._perform(kind, milliseconds);
+      else await this._applyFault(kind, milliseconds);
     } finally {
       endFault();
     }
-    if (kind === 'roll-back-store') await this._changeAfterRollback();
+    if (kind === 'roll-back-store') await this._writeRecordsAfterRollback();
   }
 
-  private async _perform(kind: FaultKind, milliseconds: number): Promise<void> {
+  private async _applyFault(kind: FaultKind, milliseconds: number): Promise<void> {
     const { entries, agents } = this._fleet;
     switch (kind) {
       case 'configure':
@@ -111,11 +111,12 @@
       case 'roll-back-store':
         return await rollBackStore(this._fleet, this._random);
       default:
-        return await this._applyToServersOrLinks(kind, milliseconds);
+        return await this._applyExternalFault(kind, milliseconds);
     }
   }
 
-  private async _applyToServersOrLinks(kind: FaultKind, milliseconds: number): Promise<void> {
+  /** Applies a fault of anything but entries and agents. */
+  private async _applyExternalFault(kind: FaultKind, milliseconds: number): Promise<void> {
     const { store, origin, boxes, storeProxies } = this._fleet;
     if (kind === 'forget-history') return store.forgetHistory();
     if (kind === 'replace-server') return await this._replaceServer(this._pick(this._boxesOf(MODEL_SERVICE)));
@@ -160,16 +161,16 @@
   }
 
   /** Writes new records after a rollback, which entries must obey like any others. */
-  private async _changeAfterRollback(): Promise<void> {
+  private async _writeRecordsAfterRollback(): Promise<void> {
     await removeStaleServers(this._fleet);
     this._fleet.configure();
     await this._replaceServer(this._pick(this._boxesOf(MODEL_SERVICE)));
   }
 
   private async _stopEntry(entry: FleetProcess): Promise<void> {
-    const onEnded = this._checks.onStopping(this._fleet.callerAddress(entry));
+    const endStop = this._checks.onStopping(this._fleet.callerAddress(entry));
     await this._restartProcesses([entry], 'SIGTERM');
-    onEnded();
+    endStop();
   }
 
   private async _restartProcesses(
@@ -179,14 +180,14 @@
     const ended = processes.filter((process) => process.running && !process.paused);
     for (const process of ended) process.signal(signal);
     await Promise.all(ended.map((process) => process.ended()));
-    await pause(this._random.integer(RESTART_MILLISECONDS));
+    await pause(this._random.integer(MAX_RESTART_DELAY_MILLISECONDS));
     for (const process of ended) process.start();
   }
 
   /** Cuts the power of all agents' boxes during the transfer of a version. The origin sees no closed connections. */
   private async _losePower(): Promise<void> {
     this._checks.onVersionAnnounced(this._fleet.announceWeights());
-    await pause(this._random.integer(VERSION_PAUSE_MILLISECONDS));
+    await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
     this._fleet.abandonOriginConnections();
     await this._restartProcesses(this._fleet.agents, 'SIGKILL');
   }
@@ -220,7 +221,7 @@
     const restarts = 1 + this._random.integer(MAX_RESTARTS);
     for (let restart = 0; restart < restarts && !this._leaving.has(box); restart++) {
       await this._fleet.restartRunner(box, this._random.integer(2) === 0);
-      await pause(this._random.integer(RESTART_GAP_MILLISECONDS));
+      await pause(this._random.integer(MAX_RESTART_GAP_MILLISECONDS));
     }
   }
 
@@ -228,11 +229,11 @@
   private async _restartDuringVersions(): Promise<void> {
     for (let version = 0; version < VERSIONS_DURING_RESTARTS; version++) {
       this._checks.onVersionAnnounced(this._fleet.announceWeights());
-      await pause(this._random.integer(VERSION_PAUSE_MILLISECONDS));
+      await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
       const restarted = this._boxesOf(MODEL_SERVICE).filter(() => this._random.fraction() < RESTARTED_SHARE);
       const staying = restarted.filter((box) => !this._leaving.has(box));
       await Promise.all(staying.map((box) => this._fleet.restartRunner(box, true)));
-      await pause(this._random.integer(VERSION_PAUSE_MILLISECONDS));
+      await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
     }
   }
 
--- a/soak/soakFleet.ts
+++ b/soak/soakFleet.ts
@@ -165,16 +165,16 @@
 
   /** Starts a server with a new id and no model on a box. It keeps the staged chunks of the one before. */
   async startRunner(box: SoakBox): Promise<void> {
-    await this._startOn(box, this._createRunner(box.service, 0), true);
+    await this._launch(box, this._createRunner(box.service, 0), true);
   }
 
   /** Restarts the server of a box under its id, without a model. `keepsStaged` preserves its staged chunks. */
   async restartRunner(box: SoakBox, keepsStaged: boolean): Promise<void> {
     box.runner.close();
-    await this._startOn(box, this._createRunner(box.service, 0, box.runner.id), keepsStaged);
+    await this._launch(box, this._createRunner(box.service, 0, box.runner.id), keepsStaged);
   }
 
-  private async _startOn(box: SoakBox, runner: PlatformRunnerStandin, keepsStaged: boolean): Promise<void> {
+  private async _launch(box: SoakBox, runner: PlatformRunnerStandin, keepsStaged: boolean): Promise<void> {
     const { staged } = box.runner;
     box.runner = runner;
     if (keepsStaged) for (const [piece, bytes] of staged) runner.staged.set(piece, bytes);
@@ -311,7 +311,7 @@
       node_name: name,
       ip,
       zone,
-      port_range: [PORTS.own, PORTS.own + 15],
+      port_range: [PORTS.rangeStart, PORTS.rangeStart + 15],
       limits: { link_mbps: megabits },
       bounds: BOUNDS,
     };
--- a/soak/soakPorts.ts
+++ b/soak/soakPorts.ts
@@ -5,6 +5,8 @@
   directory: 28_009,
   control: 28_010,
   runner: 28_001,
+  /** Entries reach the runner through a proxy on this port. */
   proxied: 28_011,
-  own: 28_700,
+  /** First port of `port_range` in the settings of each process. */
+  rangeStart: 28_700,
 } as const;
--- a/soak/soakRun.ts
+++ b/soak/soakRun.ts
@@ -56,6 +56,7 @@
 const MIN_SERVED_SHARE = 0.9;
 const CALLER_PAUSE_MILLISECONDS = 60;
 
+/** Runs a soak and stops its fleet. */
 export async function soak(options: SoakOptions): Promise<SoakReport> {
   const random = new SeededRandom(options.seed);
   const checks = new PromiseChecks({
