--- a/bench/rolloutFaults.ts
+++ b/bench/rolloutFaults.ts
@@ -4,6 +4,7 @@
 
 const CORRUPT_SHARE = 0.01;
 const FROZEN_MILLISECONDS = 5_000;
+/** Time after which the box list drops killed boxes. */
 const BOX_LIST_LAG_MILLISECONDS = 1_000;
 
 /**
--- a/bench/rolloutRun.ts
+++ b/bench/rolloutRun.ts
@@ -23,14 +23,17 @@
   faults?: (fleet: LocalFleet) => Promise<string[]>;
 }
 
-/** Measurements of a rollout. Times count from the operator's accepted request. */
+/** Measurements of a rollout. Times start when the operator's request has been accepted. */
 export interface RolloutMeasurements {
   boxes: number;
+  /** The lower bound of the time to all replicas. */
   boundSeconds: number;
+  /** Time until the first box, half, nine tenths and all of the boxes serve the version. */
   firstSeconds: number;
   halfSeconds: number;
   ninetySeconds: number;
   allSeconds: number;
+  /** Bytes sent by the origin, and between data centres, in copies of the model. */
   originCopies: number;
   crossDataCentreCopies: number;
   /** Ratio of the bytes downloaded from the origin to the bytes that differ from the previous version. */
@@ -144,19 +147,19 @@
   start: number,
   excluded: Promise<string[]>,
 ): Promise<number[]> {
-  const seen = new Map<string, number>();
+  const servingAfter = new Map<string, number>();
   let excludedBoxes: Set<string> | undefined;
   void excluded.then((names) => (excludedBoxes = new Set(names)));
   while (performance.now() - start < WAIT_MILLISECONDS) {
     const status = await fleet.rollout(CUSTOMER, 'advisor').catch(() => undefined);
     for (const box of status?.perBox ?? []) {
-      if (box.activeVersion === version && !seen.has(box.box))
-        seen.set(box.box, (performance.now() - start) / 1000);
+      if (box.activeVersion === version && !servingAfter.has(box.box))
+        servingAfter.set(box.box, (performance.now() - start) / 1000);
     }
     const awaited = boxes.filter((box) => !excludedBoxes?.has(box));
-    if (excludedBoxes && awaited.every((box) => seen.has(box)))
-      return awaited.map((box) => seen.get(box)!).sort((a, b) => a - b);
+    if (excludedBoxes && awaited.every((box) => servingAfter.has(box)))
+      return awaited.map((box) => servingAfter.get(box)!).sort((a, b) => a - b);
     await pause(50);
   }
-  throw new Error(`${version} is in service on only ${seen.size} of ${boxes.length} boxes`);
+  throw new Error(`${version} is in service on only ${servingAfter.size} of ${boxes.length} boxes`);
 }
--- a/bench/shareBench.ts
+++ b/bench/shareBench.ts
@@ -8,7 +8,7 @@
 const PERIOD_SECONDS = 16;
 const MODEL_BYTES = CHUNK_BYTES * CHUNKS;
 const WEIGHTS = { heavy: 2, light: 1 };
-/** The shares are read when the heavy rollout has downloaded this fraction of a copy. */
+/** The shares are read when the heavy rollout has downloaded this fraction of the model from the origin. */
 const READ_AT_COPIES = 0.6;
 
 /** Prints the ratio of downloaded bytes of the heavy to the light rollout midway, and the origin copies of both. */
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,6 +1,6 @@
 /**
  * `npm run demo [-- --faults]`: rolls out a version to a fleet of real processes on loopback while callers send
- * requests.
+ * requests. `--faults` also kills an agent and corrupts some of the transferred data.
  */
 import { boundSeconds } from './bound.js';
 import { Caller } from './caller.js';
@@ -98,7 +98,7 @@
   const callers = CUSTOMERS.flatMap(({ name: customer, apiKey, service }) =>
     [0, 1, 2].map((offset) => {
       const entryUrls = (): string[] =>
-        rotated(
+        rotate(
           fleet.entries().map((entry) => entry.httpUrl),
           offset,
         );
@@ -108,20 +108,21 @@
   return { callers, ended: Promise.all(callers.map((caller) => caller.run())) };
 }
 
-function rotated(urls: string[], offset: number): string[] {
+function rotate(urls: string[], offset: number): string[] {
   return [...urls.slice(offset), ...urls.slice(0, offset)];
 }
 
 /** Kills an agent during the rollout. The box list drops it a second later. */
 async function injectFaults(fleet: LocalFleet): Promise<void> {
   await pause(KILL_AFTER_MILLISECONDS);
-  const victim = `${DATA_CENTRES[0]}-model-2`;
-  console.log(`killing the agent of ${victim}`);
-  await fleet.box(victim).child.end('SIGKILL');
+  const killedBox = `${DATA_CENTRES[0]}-model-2`;
+  console.log(`killing the agent of ${killedBox}`);
+  await fleet.box(killedBox).child.end('SIGKILL');
   await pause(1_000);
-  await fleet.unlist(victim);
+  await fleet.unlist(killedBox);
 }
 
+/** Prints the progress of a rollout until all boxes serve the version. */
 async function watchRollout(fleet: LocalFleet, customer: string, version: string): Promise<void> {
   let shown = '';
   await fleet.until(
@@ -147,7 +148,8 @@
   return (performance.now() - start) / 1000;
 }
 
-async function engineDigests(fleet: LocalFleet, customer: string, version: string): Promise<string[]> {
+/** Returns the digests of the version's bytes as the engines of all live boxes loaded them. */
+async function readEngineDigests(fleet: LocalFleet, customer: string, version: string): Promise<string[]> {
   const running = fleet
     .modelBoxes()
     .map((name) => fleet.box(name))
@@ -162,6 +164,7 @@
   );
 }
 
+/** Counts the runs beyond the first of each idempotency key. */
 async function countRepeatedRuns(fleet: LocalFleet): Promise<number> {
   const runs = await Promise.all(
     fleet.plainBoxes().map((name) => fleet.read<Run[]>(`${fleet.box(name).backendUrl}/_runs`)),
@@ -204,8 +207,8 @@
     await pause(REQUESTS_AFTER_ROLLOUT_MILLISECONDS);
     callers.forEach((caller) => caller.stop());
     await ended;
-    const digests = await engineDigests(fleet, 'brijuni', 'v2');
-    return report({
+    const digests = await readEngineDigests(fleet, 'brijuni', 'v2');
+    return printSummary({
       seconds,
       originCopies,
       boxes: digests.length,
@@ -228,7 +231,7 @@
 }
 
 /** Prints the summary and returns the exit code. */
-function report({ seconds, originCopies, boxes, wrongDigests, repeated, callers }: DemoResult): number {
+function printSummary({ seconds, originCopies, boxes, wrongDigests, repeated, callers }: DemoResult): number {
   const sum = (read: (caller: Caller) => number): number =>
     callers.reduce((total, caller) => total + read(caller), 0);
   const lost = sum((caller) => caller.tally.lost);
