--- a/bench/requestBench.ts
+++ b/bench/requestBench.ts
@@ -11,7 +11,7 @@
 const ENGINE = { slots: SLOTS, firstTokenMilliseconds: 20, tokenMilliseconds: 3 };
 const BOXES_PER_DATA_CENTRE = 1;
 /** Requests per second that all boxes together can serve. */
-const CAPACITY =
+const CAPACITY_PER_SECOND =
   (DATA_CENTRES.length * BOXES_PER_DATA_CENTRE * SLOTS * 1000) /
   (ENGINE.firstTokenMilliseconds + TOKENS * ENGINE.tokenMilliseconds);
 const CONFIGURATION_CHANGES = 20;
@@ -100,8 +100,11 @@
 
 /** Measures a small customer at a tenth of the capacity, alone and beside another customer at the full capacity. */
 async function benchFairness(fleet: LocalFleet): Promise<void> {
-  const alone = await load(fleet, 'small', CAPACITY / 10);
-  const [beside] = await Promise.all([load(fleet, 'small', CAPACITY / 10), load(fleet, 'large', CAPACITY)]);
+  const alone = await load(fleet, 'small', CAPACITY_PER_SECOND / 10);
+  const [beside] = await Promise.all([
+    load(fleet, 'small', CAPACITY_PER_SECOND / 10),
+    load(fleet, 'large', CAPACITY_PER_SECOND),
+  ]);
   const value = beside.answered / beside.sent / (alone.answered / alone.sent);
   printLine({
     name: 'fairness.smallCustomerGoodputRatio',
@@ -121,23 +124,23 @@
 
 async function benchOverload(fleet: LocalFleet): Promise<void> {
   for (const factor of [2, 10]) {
-    const result = await load(fleet, 'large', CAPACITY * factor);
-    const value = result.answered / (LOAD_MILLISECONDS / 1000) / CAPACITY;
+    const result = await load(fleet, 'large', CAPACITY_PER_SECOND * factor);
+    const value = result.answered / (LOAD_MILLISECONDS / 1000) / CAPACITY_PER_SECOND;
     printLine({
       name: `overload.goodputOfCapacity.${factor}x`,
       value,
       unit: 'ratio',
       baseline: null,
-      conditions: `capacity ${CAPACITY.toFixed(0)} requests/s; ${CONDITIONS}`,
+      conditions: `capacity ${CAPACITY_PER_SECOND.toFixed(0)} requests/s; ${CONDITIONS}`,
     });
   }
 }
 
 /** Measures the time to the first byte during a transfer of weights, with the time before it as the baseline. */
 async function benchFirstToken(fleet: LocalFleet): Promise<void> {
-  const before = await load(fleet, 'small', CAPACITY / 4);
+  const before = await load(fleet, 'small', CAPACITY_PER_SECOND / 4);
   await publish(fleet, 'small', 'v2', 320);
-  const during = await load(fleet, 'small', CAPACITY / 4);
+  const during = await load(fleet, 'small', CAPACITY_PER_SECOND / 4);
   const status = await fleet.rollout('small', 'judge');
   await fleet.untilComplete('small', 'judge', 'v2', 60_000);
   printLine({
@@ -152,7 +155,7 @@
 /** Measures the time from an agent's SIGTERM until the last request that starts on its backend server. */
 async function benchLeaving(fleet: LocalFleet): Promise<void> {
   const box = fleet.box(fleet.modelBoxes()[0]);
-  const running = load(fleet, 'small', CAPACITY / 3);
+  const running = load(fleet, 'small', CAPACITY_PER_SECOND / 3);
   await pause(LOAD_MILLISECONDS / 3);
   const leftAt = Date.now();
   await box.child.end('SIGTERM');
--- a/soak/faultKinds.ts
+++ b/soak/faultKinds.ts
@@ -1,6 +1,6 @@
 /**
- * The kinds of faults and planned operations that a soak draws from. Add new kinds at the end, so that existing
- * seeds draw the same sequence as before.
+ * The kinds of faults and planned operations that a soak draws from. What a seed draws depends on the order of its
+ * kinds: add new kinds at the end, and leave them out where a test needs the sequence of before.
  */
 
 /** Planned operations, which must not fail any request. */
--- a/soak/fleetOptions.ts
+++ b/soak/fleetOptions.ts
@@ -41,7 +41,7 @@
   onExecution(execution: Execution): void;
   /** A request has reached a server, which may still reject it. */
   onArrival(arrival: Arrival): void;
-  /** A server has sent a limit, a leave or a Retry-After in the headers of an answer. */
+  /** A server has sent a limit, a drain notice or a Retry-After in the headers of an answer. */
   onSignals(spoken: SpokenSignals): void;
   /** A server has activated a version that lacks chunks or has corrupted ones. */
   onIncompleteVersion(runner: string, version: number): void;
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -12,7 +12,7 @@
   | 'whole' // no server activates an incomplete version
   | 'version' // no request starts on an older version after the time bound
   | 'configuration' // a configuration is in force within the time bound and is not reverted
-  | 'draining' // a leaving server gets no new requests
+  | 'draining' // a draining server gets no new requests
   | 'limit' // a server gets no more requests than the limit that it announced
   | 'retry-after' // an entry obeys the Retry-After of a server
   | 'crashing' // a request that crashes every server is no longer sent to servers
@@ -94,7 +94,7 @@
   private readonly _announcedVersions: VersionAnnouncement[] = [];
   /** Keys of an entry and a configuration's time, once the entry has answered by that configuration. */
   private readonly _configured = new Set<string>();
-  private readonly _leavingSince = new Map<string, number>();
+  private readonly _drainingSince = new Map<string, number>();
   /** Requests that crash servers, by body. */
   private readonly _crashingRequests = new Map<string, CrashingRequestRecord>();
 
@@ -167,9 +167,9 @@
     this._announcedVersions.push({ version, at: Date.now() });
   }
 
-  /** A server has written to the store that it leaves. */
-  onLeaving(runner: string): void {
-    this._leavingSince.set(runner, Date.now());
+  /** A server has announced its drain in the store. */
+  onDraining(runner: string): void {
+    this._drainingSince.set(runner, Date.now());
   }
 
   /** Reports requests that planned operations failed. `wasRead` tells whether an entry has read a request. */
@@ -192,7 +192,7 @@
       this._breach('recovery', `${served} of ${late.length} served after the last fault`);
   }
 
-  /** Checks that entries obeyed the limits, leaves and Retry-After of servers. */
+  /** Checks that entries obeyed the limits, drain notices and Retry-After of servers. */
   checkSignals(signals: SignalChecks): void {
     const blockingFaults = this._faults.filter(({ scope }) => scope === 'all');
     signals.check(
@@ -247,10 +247,10 @@
   }
 
   private _checkDraining({ runner, at, id }: Execution): void {
-    const since = this._leavingSince.get(runner);
+    const since = this._drainingSince.get(runner);
     if (since === undefined || at - since < this._bounds.drainMilliseconds + SLACK_MILLISECONDS) return;
     if (this._isExcused(since, at, this._bounds.drainMilliseconds)) return;
-    this._breach('draining', `${id} started at ${runner}, ${at - since} ms after it began to leave`);
+    this._breach('draining', `${id} started at ${runner}, ${at - since} ms after it began to drain`);
   }
 
   private _checkCrashing({ body, runner, at, id }: Execution): void {
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -1,4 +1,7 @@
-/** Checks that the entries together obey the signals in the answers of servers: limits, leaves and Retry-After. */
+/**
+ * Checks that the entries together obey the signals in the answers of servers: limits, drain notices and
+ * Retry-After.
+ */
 import type { Arrival, SpokenSignals } from '../standins/platformRunnerSignals.js';
 import type { BreachListener } from './promiseChecks.js';
 
@@ -38,7 +41,7 @@
 /** Records the requests that reach servers and the signals in their answers. */
 export class SignalChecks {
   private readonly _arrivals = new Map<string, Arrival[]>();
-  private readonly _leavingSince = new Map<string, number>();
+  private readonly _drainingSince = new Map<string, number>();
   private readonly _rejections: SpokenSignals[] = [];
   private readonly _limits: LimitPeriod[] = [];
 
@@ -52,7 +55,7 @@
   /** A server has sent signals in the headers of an answer. */
   onSignals(signals: SpokenSignals): void {
     const { runner, at, leaving, retryAfterMilliseconds } = signals;
-    if (leaving && !this._leavingSince.has(runner)) this._leavingSince.set(runner, at);
+    if (leaving && !this._drainingSince.has(runner)) this._drainingSince.set(runner, at);
     if (retryAfterMilliseconds > 0) this._rejections.push(signals);
     if (signals.limitPerSecond !== undefined) this._recordLimit(runner, signals.limitPerSecond, at);
   }
@@ -66,7 +69,7 @@
   /** Reports all breaches. To be called at the end of a soak. */
   check(context: SignalContext, breach: BreachListener): void {
     for (const limit of this._limits) this._checkLimit(limit, context, breach);
-    for (const [runner, at] of this._leavingSince) this._checkLeave(runner, at, context, breach);
+    for (const [runner, at] of this._drainingSince) this._checkDrain(runner, at, context, breach);
     for (const rejection of this._rejections) this._checkRetryAfter(rejection, context, breach);
   }
 
@@ -103,7 +106,7 @@
     }
   }
 
-  private _checkLeave(runner: string, since: number, context: SignalContext, breach: BreachListener): void {
+  private _checkDrain(runner: string, since: number, context: SignalContext, breach: BreachListener): void {
     const bound = since + context.drainMilliseconds + SLACK_MILLISECONDS;
     const late = (this._arrivals.get(runner) ?? []).filter(({ id, at }) => {
       const sentAt = context.findCall(id)?.sentAt ?? 0;
@@ -113,7 +116,7 @@
     const after = late[0].at - since;
     breach(
       'draining',
-      `${late.length} requests reached ${runner}, the first ${after} ms after it announced that it leaves`,
+      `${late.length} requests reached ${runner}, the first ${after} ms after it announced its drain`,
     );
   }
 
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -19,7 +19,7 @@
 const FAULT_SPREAD_MILLISECONDS = 3_500;
 const MIN_FAULT_MILLISECONDS = 300;
 const MAX_RESTART_DELAY_MILLISECONDS = 300;
-/** Time that a leaving server keeps running before it ends. */
+/** Time that a draining server keeps running before it ends. */
 const DRAIN_MILLISECONDS = 3_500;
 const KILLED_SHARE = 0.6;
 const CORRUPTED_SHARE = 0.05;
@@ -47,7 +47,7 @@
   private readonly _signals: SignalFaults;
   private readonly _random: Random;
   private readonly _log: (line: string) => void;
-  private readonly _leaving = new Set<SoakBox>();
+  private readonly _drainingBoxes = new Set<SoakBox>();
   private _crashingRounds = 0;
 
   constructor(
@@ -149,7 +149,7 @@
   private async _applySignal(kind: FaultKind, box: SoakBox): Promise<void> {
     if (kind === 'limit-server') await this._signals.limit(box);
     else if (kind === 'reject-with-retry-after') await this._signals.rejectWithRetryAfter(box);
-    else await this._leaveByAnswers(box);
+    else await this._drainByAnswers(box);
   }
 
   private async _breakStore(kind: 'harm-store' | 'lose-writes', milliseconds: number): Promise<void> {
@@ -219,7 +219,7 @@
   /** Restarts a server under its id, up to a few times in a row. Each restart keeps or loses its staged chunks. */
   private async _restartServer(box: SoakBox): Promise<void> {
     const restarts = 1 + this._random.integer(MAX_RESTARTS);
-    for (let restart = 0; restart < restarts && !this._leaving.has(box); restart++) {
+    for (let restart = 0; restart < restarts && !this._drainingBoxes.has(box); restart++) {
       await this._fleet.restartRunner(box, this._random.integer(2) === 0);
       await pause(this._random.integer(MAX_RESTART_GAP_MILLISECONDS));
     }
@@ -231,7 +231,7 @@
       this._checks.onVersionAnnounced(this._fleet.announceWeights());
       await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
       const restarted = this._boxesOf(MODEL_SERVICE).filter(() => this._random.fraction() < RESTARTED_SHARE);
-      const staying = restarted.filter((box) => !this._leaving.has(box));
+      const staying = restarted.filter((box) => !this._drainingBoxes.has(box));
       await Promise.all(staying.map((box) => this._fleet.restartRunner(box, true)));
       await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
     }
@@ -245,32 +245,32 @@
       store.put(this._pick(kinds), `foreign-${index}`, value);
     const box = this._pick(boxes);
     const { runner } = box;
-    if (this._leaving.has(box)) return;
+    if (this._drainingBoxes.has(box)) return;
     store.put('servers', runner.id, this._pick(FOREIGN_VALUES));
     await pause(milliseconds);
-    if (box.runner.id === runner.id && !this._leaving.has(box)) this._fleet.publish(box);
+    if (box.runner.id === runner.id && !this._drainingBoxes.has(box)) this._fleet.publish(box);
   }
 
   /** Replaces the server of a box by another one, after a graceful drain. */
   private async _replaceServer(box: SoakBox): Promise<void> {
     this._fleet.publish(box, 'draining');
-    this._checks.onLeaving(box.runner.id);
+    this._checks.onDraining(box.runner.id);
     await this._replaceAfterDrain(box);
   }
 
-  /** Makes a server leave and announce that only in its answers: its record stays unchanged until it has ended. */
-  private async _leaveByAnswers(box: SoakBox): Promise<void> {
-    if (this._leaving.has(box)) return;
+  /** Drains a server that announces this only in its answers: its record stays unchanged until it has ended. */
+  private async _drainByAnswers(box: SoakBox): Promise<void> {
+    if (this._drainingBoxes.has(box)) return;
     box.runner.faults = { ...box.runner.faults, leaving: true };
     await this._replaceAfterDrain(box);
   }
 
-  /** Ends a server some time after it announced that it leaves, and starts another one in its place. */
+  /** Ends a server some time after it announced its drain, and starts another one in its place. */
   private async _replaceAfterDrain(box: SoakBox): Promise<void> {
     const { runner } = box;
-    this._leaving.add(box);
+    this._drainingBoxes.add(box);
     await pause(DRAIN_MILLISECONDS);
-    this._leaving.delete(box);
+    this._drainingBoxes.delete(box);
     if (box.runner !== runner) return;
     this._fleet.crashRunner(box);
     await this._fleet.startRunner(box);
--- a/tests/signalChecks.spec.ts
+++ b/tests/signalChecks.spec.ts
@@ -1,4 +1,4 @@
-/** The soak's signal checks report each breach of a limit, a leave or a Retry-After, and nothing else. */
+/** The soak's signal checks report each breach of a limit, a drain notice or a Retry-After, and nothing else. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { SignalChecks } from '../soak/signalChecks.js';
@@ -43,7 +43,7 @@
 }
 
 /** Arrivals at a fixed interval, from three entries in turn. */
-function evenly(count: number, from: number, gap: number): (readonly [string, number])[] {
+function evenArrivals(count: number, from: number, gap: number): (readonly [string, number])[] {
   return Array.from(
     { length: count },
     (_unused, index) => [`entry-${index % 3}`, from + index * gap] as const,
@@ -52,17 +52,19 @@
 
 test('should report that entries together exceed a limit', () => {
   const sent = signals({ limitPerSecond: 1 });
-  expect(brokenPromises(sent, evenly(12, SENT_AT + 3_000, 300))).toEqual(['limit']);
-  expect(brokenPromises(sent, evenly(11, SENT_AT + 3_000, 300))).toEqual([]);
+  expect(brokenPromises(sent, evenArrivals(12, SENT_AT + 3_000, 300))).toEqual(['limit']);
+  expect(brokenPromises(sent, evenArrivals(11, SENT_AT + 3_000, 300))).toEqual([]);
 });
 
 test('should ignore requests that arrive before entries must know the limit, or that were delayed', () => {
   const sent = signals({ limitPerSecond: 1 });
-  expect(brokenPromises(sent, evenly(12, SENT_AT, 200))).toEqual([]);
-  expect(brokenPromises(sent, evenly(12, SENT_AT + 3_000, 300), { mayBeDelayed: () => true })).toEqual([]);
+  expect(brokenPromises(sent, evenArrivals(12, SENT_AT, 200))).toEqual([]);
+  expect(brokenPromises(sent, evenArrivals(12, SENT_AT + 3_000, 300), { mayBeDelayed: () => true })).toEqual(
+    [],
+  );
 });
 
-test('should report a request that was sent long after its server announced that it leaves', () => {
+test('should report a request that was sent long after its server announced its drain', () => {
   const sent = signals({ leaving: true });
   expect(brokenPromises(sent, [['entry-0', SENT_AT + 2_600]])).toEqual(['draining']);
   expect(brokenPromises(sent, [['entry-0', SENT_AT + 2_400]])).toEqual([]);
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -9,8 +9,8 @@
 import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-/** Kinds that were added later. The seed of the first test needs the original list to draw the same sequence. */
-const LATER_KINDS: readonly FaultKind[] = [
+/** Kinds that the first test leaves out: its seed draws another sequence from another list. */
+const EXCLUDED_KINDS: readonly FaultKind[] = [
   'restart-server',
   'foreign-records',
   'restart-amid-versions',
@@ -21,7 +21,7 @@
   'leave-by-answers',
   'reject-with-retry-after',
 ];
-const KINDS_OF_SEED = FAULT_KINDS.filter((kind) => !LATER_KINDS.includes(kind));
+const KINDS_OF_SEED = FAULT_KINDS.filter((kind) => !EXCLUDED_KINDS.includes(kind));
 
 function execution(changes: Partial<Execution> = {}): Execution {
   const base = { id: 'a', runner: 'i-1', service: 'turns', customer: 'studio-a', path: '/turns/x' };
@@ -94,10 +94,10 @@
   expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['asked', 'answer']);
 });
 
-test('should report an outdated version and a leaving server in use after the bound, unless there was a fault', () => {
+test('should report an outdated version and a draining server in use after the bound, unless there was a fault', () => {
   const promiseChecks = createChecks();
   promiseChecks.onVersionAnnounced(2);
-  promiseChecks.onLeaving('i-1');
+  promiseChecks.onDraining('i-1');
   const at = Date.now() + 9_000;
   promiseChecks.onExecution(execution({ path: '/chat/x', version: 1, at }));
   expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['version', 'draining']);
--- a/tests/soakRestarts.spec.ts
+++ b/tests/soakRestarts.spec.ts
@@ -4,8 +4,8 @@
 import { FAULT_KINDS } from '../soak/faultKinds.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-/** The kinds that existed when the seed of the last test was found, so that it draws the same sequence. */
-const EARLIER_KINDS = FAULT_KINDS.filter(
+/** Kinds of the last test: its seed draws another sequence from another list. */
+const KINDS_OF_SEED = FAULT_KINDS.filter(
   (kind) =>
     ![
       'restart-amid-versions',
@@ -45,7 +45,7 @@
     size: { entries: 3, modelBoxes: 6, plainServers: 3 },
     callers: 10,
     network: 71,
-    kinds: EARLIER_KINDS,
+    kinds: KINDS_OF_SEED,
   });
   expect(report.breaches).toEqual([]);
 });
--- a/tests/soakSignals.spec.ts
+++ b/tests/soakSignals.spec.ts
@@ -1,4 +1,4 @@
-/** Short soaks with fixed seeds, in which servers send limits, leaves and Retry-After in their answers. */
+/** Short soaks with fixed seeds, in which servers send limits, drain notices and Retry-After in their answers. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { shortSoak } from './fixtures/shortSoak.js';
@@ -17,7 +17,7 @@
   expect(report.served).toBeGreaterThan(50);
 });
 
-test('should send no requests to servers that announce a leave only in their answers, or reject with Retry-After', async () => {
+test('should send no requests to servers that announce a drain only in their answers, or reject with Retry-After', async () => {
   const report = await shortSoak({
     seed: 62,
     size: SIZE,
