--- a/bench/rolloutFaults.ts
+++ b/bench/rolloutFaults.ts
@@ -8,8 +8,8 @@
 const BOX_LIST_LAG_MILLISECONDS = 1_000;
 
 /**
- * Kills one agent in ten and the coordinator's entry, pauses another agent for five seconds, and corrupts one chunk
- * read in a hundred. Returns the boxes of the killed agents.
+ * Kills one agent in ten and the coordinator's entry, pauses the agent of the last box for five seconds, and
+ * corrupts one chunk read in a hundred. Returns the boxes of the killed agents.
  */
 export async function injectFaults(fleet: LocalFleet, afterMilliseconds: number): Promise<string[]> {
   await fleet.setFaults(fleet.originUrl, { corruptShare: CORRUPT_SHARE });
--- a/soak/soakRun.ts
+++ b/soak/soakRun.ts
@@ -1,4 +1,4 @@
-/** Runs one soak: a fleet under requests and random faults of a seed, and reports broken promises. */
+/** Runs a fleet under requests and random faults, and reports broken promises. */
 import { SeededRandom } from '../src/utils/random.js';
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
@@ -52,6 +52,7 @@
 const MEAN_FAULT_INTERVAL_MILLISECONDS = 900;
 /** Time after the last fault to reconnect, transfer versions and discover servers. */
 const SETTLE_MILLISECONDS = 6_000;
+/** Time after that in which requests must be served again. */
 const RECOVERED_MILLISECONDS = 2_000;
 const MIN_SERVED_SHARE = 0.9;
 const CALLER_PAUSE_MILLISECONDS = 60;
