--- a/bench/requestBench.ts
+++ b/bench/requestBench.ts
@@ -1,4 +1,4 @@
-/** Configuration in force, leaving boxes, fairness beside a burst, first tokens during a rollout. */
+/** Measures configuration changes, fairness and overload, time to first token during a rollout, and leaving boxes. */
 import { pause } from '../src/utils/timers.js';
 import { LocalFleet } from '../standins/localFleet.js';
 import type { Run } from '../standins/runLog.js';
@@ -10,22 +10,24 @@
 const TOKENS = 10;
 const ENGINE = { slots: SLOTS, firstTokenMilliseconds: 20, tokenMilliseconds: 3 };
 const BOXES_PER_DATA_CENTRE = 1;
-/** Requests a second that all boxes together can serve. */
-const CAPACITY =
+/** Requests per second that all boxes together can serve. */
+const CAPACITY_PER_SECOND =
   (DATA_CENTRES.length * BOXES_PER_DATA_CENTRE * SLOTS * 1000) /
   (ENGINE.firstTokenMilliseconds + TOKENS * ENGINE.tokenMilliseconds);
-const CHANGES = 20;
+const CONFIGURATION_CHANGES = 20;
 const LOAD_MILLISECONDS = 6_000;
 const CONDITIONS = '3 data centres, 3 entries, 3 model boxes of 4 slots, loopback, one run';
 
 interface LoadResult {
   sent: number;
   answered: number;
-  /** Milliseconds to the whole answer, sorted. */
+  /** Milliseconds until the complete answer, sorted. */
   latencies: number[];
+  /** Milliseconds until the first byte of the answer, sorted. */
   firstBytes: number[];
 }
 
+/** Runs all request benchmarks on one small fleet. */
 export async function benchRequests(): Promise<void> {
   const fleet = await LocalFleet.start({
     dataCentres: DATA_CENTRES,
@@ -70,10 +72,10 @@
   await fleet.publish(`/v1/configurations/${customer}/judge`, { template: 'chat', parameters });
 }
 
-/** From the operator's request until every entry answers with the new revision. */
+/** Measures the time from the operator's request until every entry answers with the new revision. */
 async function benchInForce(fleet: LocalFleet): Promise<void> {
   const seconds: number[] = [];
-  for (let change = 0; change < CHANGES; change++) {
+  for (let change = 0; change < CONFIGURATION_CHANGES; change++) {
     const path = '/v1/customers/changing';
     const start = performance.now();
     const answer = await fleet.operate('PUT', path, { keyDigests: [String(change % 10).repeat(64)] });
@@ -92,14 +94,17 @@
     value: worst,
     unit: 'seconds',
     baseline: null,
-    conditions: `worst of ${CHANGES} changes; ${CONDITIONS}`,
+    conditions: `worst of ${CONFIGURATION_CHANGES} changes; ${CONDITIONS}`,
   });
 }
 
-/** A small customer at a tenth of the capacity, alone and beside a burst of ten times that. */
+/** Measures a small customer at a tenth of the capacity, alone and beside another customer at the full capacity. */
 async function benchFairness(fleet: LocalFleet): Promise<void> {
-  const alone = await load(fleet, 'small', CAPACITY / 10);
-  const [beside] = await Promise.all([load(fleet, 'small', CAPACITY / 10), load(fleet, 'large', CAPACITY)]);
+  const alone = await load(fleet, 'small', CAPACITY_PER_SECOND / 10);
+  const [beside] = await Promise.all([
+    load(fleet, 'small', CAPACITY_PER_SECOND / 10),
+    load(fleet, 'large', CAPACITY_PER_SECOND),
+  ]);
   const value = beside.answered / beside.sent / (alone.answered / alone.sent);
   printLine({
     name: 'fairness.smallCustomerGoodputRatio',
@@ -119,23 +124,23 @@
 
 async function benchOverload(fleet: LocalFleet): Promise<void> {
   for (const factor of [2, 10]) {
-    const result = await load(fleet, 'large', CAPACITY * factor);
-    const value = result.answered / (LOAD_MILLISECONDS / 1000) / CAPACITY;
+    const result = await load(fleet, 'large', CAPACITY_PER_SECOND * factor);
+    const value = result.answered / (LOAD_MILLISECONDS / 1000) / CAPACITY_PER_SECOND;
     printLine({
       name: `overload.goodputOfCapacity.${factor}x`,
       value,
       unit: 'ratio',
       baseline: null,
-      conditions: `capacity ${CAPACITY.toFixed(0)} requests/s; ${CONDITIONS}`,
+      conditions: `capacity ${CAPACITY_PER_SECOND.toFixed(0)} requests/s; ${CONDITIONS}`,
     });
   }
 }
 
-/** Time to the first byte while weights move, beside that without. */
+/** Measures the time to the first byte during a transfer of weights, with the time before it as the baseline. */
 async function benchFirstToken(fleet: LocalFleet): Promise<void> {
-  const before = await load(fleet, 'small', CAPACITY / 4);
+  const before = await load(fleet, 'small', CAPACITY_PER_SECOND / 4);
   await publish(fleet, 'small', 'v2', 320);
-  const during = await load(fleet, 'small', CAPACITY / 4);
+  const during = await load(fleet, 'small', CAPACITY_PER_SECOND / 4);
   const status = await fleet.rollout('small', 'judge');
   await fleet.untilComplete('small', 'judge', 'v2', 60_000);
   printLine({
@@ -147,19 +152,19 @@
   });
 }
 
-/** From the agent's SIGTERM until the last new work on its backend server. */
+/** Measures the time from an agent's SIGTERM until the last request that starts on its backend server. */
 async function benchLeaving(fleet: LocalFleet): Promise<void> {
   const box = fleet.box(fleet.modelBoxes()[0]);
-  const running = load(fleet, 'small', CAPACITY / 3);
+  const running = load(fleet, 'small', CAPACITY_PER_SECOND / 3);
   await pause(LOAD_MILLISECONDS / 3);
-  const left = Date.now();
+  const leftAt = Date.now();
   await box.child.end('SIGTERM');
   const result = await running;
   const runs = await fleet.read<Run[]>(`${box.backendUrl}/_runs`);
   const last = Math.max(...runs.map((run) => run.at));
   printLine({
     name: 'leaving.lastNewWork.seconds',
-    value: Math.max(0, last - left) / 1000,
+    value: Math.max(0, last - leftAt) / 1000,
     unit: 'seconds',
     baseline: null,
     conditions: `SIGTERM under load; ${CONDITIONS}`,
@@ -210,10 +215,10 @@
     result.firstBytes.push(firstByte);
     result.latencies.push(performance.now() - start);
   } catch {
-    // counted as sent and not answered
+    // The request counts as sent and not answered.
   }
 }
 
-function quantile(sorted: readonly number[], part: number): number {
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? Number.NaN;
+function quantile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? Number.NaN;
 }
--- a/bench/rolloutBench.ts
+++ b/bench/rolloutBench.ts
@@ -1,7 +1,7 @@
-/** Time to N replicas and origin bytes, with the baselines in the same run. */
+/** Measures the time to all replicas and the bytes sent by the origin, with baselines in the same run. */
 import { printLine } from './benchLine.js';
-import { breakFleet } from './rolloutFaults.js';
-import type { RolloutFigures, RolloutRunOptions } from './rolloutRun.js';
+import { injectFaults } from './rolloutFaults.js';
+import type { RolloutMeasurements, RolloutRunOptions } from './rolloutRun.js';
 import { measureRollout } from './rolloutRun.js';
 
 const KILOBYTE = 1024;
@@ -19,7 +19,7 @@
 const FAULTS_AFTER_MILLISECONDS = 4_000;
 const CHANGED_SHARE = 0.3;
 
-/** Baselines on a small model, the chosen layout on both sizes, with faults, and with a version that shares chunks. */
+/** Measures a small model against the baselines, a large model, faults, and a version that shares chunks. */
 export async function benchRollout(): Promise<void> {
   const direct = await measureRollout({ ...SMALL, distribution: 'direct' });
   const chain = await measureRollout({ ...SMALL, distribution: 'chain' });
@@ -52,9 +52,9 @@
     ...LARGE,
     entriesPerDataCentre: 2,
     originBudgetCopies: 1.5,
-    faults: (fleet) => breakFleet(fleet, FAULTS_AFTER_MILLISECONDS),
+    faults: (fleet) => injectFaults(fleet, FAULTS_AFTER_MILLISECONDS),
   });
-  const what = `${conditions(LARGE)}; 3 agents killed, 1 frozen for 5 s, 1% of draws corrupt, coordinator killed`;
+  const what = `${conditions(LARGE)}; 3 agents killed, 1 frozen for 5 s, 1% of chunk reads corrupted, coordinator killed`;
   printRatio('rollout.timeToReplicas.ratioToBound.faults', faulty, undefined, what);
   printCopies('rollout.originCopies.faults', faulty, undefined, what);
 }
@@ -67,7 +67,7 @@
     value: shared.originOverChanged,
     unit: 'ratio',
     baseline: 1 / CHANGED_SHARE,
-    conditions: `${conditions(options)}; 70% of chunks shared with the version before; baseline draws all chunks`,
+    conditions: `${conditions(options)}; 70% of chunks shared with the previous version; baseline downloads all chunks`,
   });
 }
 
@@ -83,14 +83,14 @@
   return `${boxes} boxes, ${dataCentres.length} data centres, ${chunks}, T = ${periodSeconds} s, full duplex, one run, loopback`;
 }
 
-function ratio(figures: RolloutFigures): number {
+function ratio(figures: RolloutMeasurements): number {
   return figures.allSeconds / figures.boundSeconds;
 }
 
 function printRatio(
   name: string,
-  figures: RolloutFigures,
-  baseline: RolloutFigures | undefined,
+  figures: RolloutMeasurements,
+  baseline: RolloutMeasurements | undefined,
   what: string,
 ): void {
   const value = ratio(figures);
@@ -99,15 +99,15 @@
 
 function printCopies(
   name: string,
-  figures: RolloutFigures,
-  baseline: RolloutFigures | undefined,
+  figures: RolloutMeasurements,
+  baseline: RolloutMeasurements | undefined,
   what: string,
 ): void {
   const value = figures.originCopies;
   printLine({ name, value, unit: 'copies', baseline: baseline?.originCopies ?? null, conditions: what });
 }
 
-function printTimes(figures: RolloutFigures, what: string): void {
+function printTimes(figures: RolloutMeasurements, what: string): void {
   const times = {
     first: figures.firstSeconds,
     half: figures.halfSeconds,
--- a/bench/rolloutFaults.ts
+++ b/bench/rolloutFaults.ts
@@ -1,16 +1,17 @@
-/** Breaks a fleet in the middle of a rollout. */
+/** Injects faults into a fleet during a rollout. */
 import { pause } from '../src/utils/timers.js';
 import type { LocalFleet } from '../standins/localFleet.js';
 
 const CORRUPT_SHARE = 0.01;
 const FROZEN_MILLISECONDS = 5_000;
+/** Time after which the box list drops killed boxes. */
 const BOX_LIST_LAG_MILLISECONDS = 1_000;
 
 /**
- * One agent in ten killed, one frozen for five seconds, one draw in a hundred corrupt, and the coordinator's entry
- * killed. Returns the killed boxes.
+ * Kills one agent in ten and the coordinator's entry, pauses the agent of the last box for five seconds, and
+ * corrupts one chunk read in a hundred. Returns the boxes of the killed agents.
  */
-export async function breakFleet(fleet: LocalFleet, afterMilliseconds: number): Promise<string[]> {
+export async function injectFaults(fleet: LocalFleet, afterMilliseconds: number): Promise<string[]> {
   await fleet.setFaults(fleet.originUrl, { corruptShare: CORRUPT_SHARE });
   await pause(afterMilliseconds);
   const boxes = fleet.modelBoxes();
@@ -18,7 +19,7 @@
   await Promise.all(killed.map((box) => fleet.box(box).child.end('SIGKILL')));
   const frozen = fleet.box(boxes[boxes.length - 1]).child;
   frozen.signal('SIGSTOP');
-  const coordinator = await coordinatorOf(fleet, 'studio', 'advisor');
+  const coordinator = await findCoordinator(fleet, 'studio', 'advisor');
   await fleet.box(coordinator).child.end('SIGKILL');
   await pause(BOX_LIST_LAG_MILLISECONDS);
   await Promise.all([...killed, coordinator].map((box) => fleet.unlist(box)));
@@ -27,8 +28,8 @@
   return killed;
 }
 
-/** The entry that holds the lease of a configuration. */
-export async function coordinatorOf(
+/** Returns the box of the entry that holds the lease of a configuration. */
+export async function findCoordinator(
   fleet: LocalFleet,
   customer: string,
   configuration: string,
--- a/bench/rolloutRun.ts
+++ b/bench/rolloutRun.ts
@@ -1,11 +1,11 @@
-/** One measured rollout on a local fleet. */
+/** Runs and measures one rollout on a local fleet. */
 import { boundSeconds } from '../demo/bound.js';
 import type { Distribution } from '../src/protocol/index.js';
 import { pause } from '../src/utils/timers.js';
 import { LocalFleet } from '../standins/localFleet.js';
 import type { FleetOptions } from '../standins/fleetSettings.js';
 
-/** What is rolled out, on what. */
+/** The model version to roll out and the fleet to use. */
 export interface RolloutRunOptions {
   distribution: Distribution;
   dataCentres: readonly string[];
@@ -13,33 +13,36 @@
   entriesPerDataCentre: number;
   chunkBytes: number;
   chunkCount: number;
-  /** The time in which the origin sends four copies and each link two. */
+  /** The time in which the origin can send four copies and the link of each box two. Sets the link rates. */
   periodSeconds: number;
-  /** Share of chunks that differ from the version before, which is then in service; undefined for a first version. */
+  /** Share of chunks that differ from a previous version in service. Undefined rolls out a first version. */
   changedShare?: number;
   originBudgetCopies?: number;
   fleet?: Partial<FleetOptions>;
-  /** Breaks things once the rollout has been published. Returns the boxes that are not expected to end. */
+  /** Injects faults once the rollout has been published. Returns the boxes that are not expected to complete. */
   faults?: (fleet: LocalFleet) => Promise<string[]>;
 }
 
-/** What was measured. Times are from the operator's yes. */
-export interface RolloutFigures {
+/** Measurements of a rollout. Times start when the operator's request has been accepted. */
+export interface RolloutMeasurements {
   boxes: number;
+  /** The lower bound of the time to all replicas. */
   boundSeconds: number;
+  /** Time until the first box, half, nine tenths and all of the boxes serve the version. */
   firstSeconds: number;
   halfSeconds: number;
   ninetySeconds: number;
   allSeconds: number;
+  /** Bytes sent by the origin, and between data centres, in copies of the model. */
   originCopies: number;
   crossDataCentreCopies: number;
-  /** Bytes drawn from the origin over the bytes that differ from the version before. */
+  /** Ratio of the bytes downloaded from the origin to the bytes that differ from the previous version. */
   originOverChanged: number;
 }
 
 const CUSTOMER = 'studio';
 const WAIT_MILLISECONDS = 180_000;
-const RATES = { origin: 4, box: 2 };
+const COPIES_PER_PERIOD = { origin: 4, box: 2 };
 
 const TEMPLATE = {
   parameters: {
@@ -58,11 +61,11 @@
   },
 };
 
-/** Starts a fleet, rolls out and measures; the fleet is gone afterwards. */
-export async function measureRollout(options: RolloutRunOptions): Promise<RolloutFigures> {
+/** Starts a fleet, measures a rollout and stops the fleet. */
+export async function measureRollout(options: RolloutRunOptions): Promise<RolloutMeasurements> {
   const modelBytes = options.chunkBytes * options.chunkCount;
-  const originBytesPerSecond = (RATES.origin * modelBytes) / options.periodSeconds;
-  const boxBytesPerSecond = (RATES.box * modelBytes) / options.periodSeconds;
+  const originBytesPerSecond = (COPIES_PER_PERIOD.origin * modelBytes) / options.periodSeconds;
+  const boxBytesPerSecond = (COPIES_PER_PERIOD.box * modelBytes) / options.periodSeconds;
   const fleet = await LocalFleet.start({
     dataCentres: options.dataCentres,
     entriesPerDataCentre: options.entriesPerDataCentre,
@@ -100,7 +103,7 @@
 }
 
 interface RolloutTimes {
-  /** For each box that ended, in order. */
+  /** Time of each box that completed, in ascending order. */
   seconds: number[];
   originBytes: number;
   crossDataCentreBytes: number;
@@ -126,8 +129,8 @@
   const parameters = { version, boxes, distribution, budget: options.originBudgetCopies ?? boxes.length };
   await fleet.publish(`/v1/configurations/${CUSTOMER}/advisor`, { template: 'chat', parameters });
   const start = performance.now();
-  const broken = version === 'v2' && options.faults ? options.faults(fleet) : Promise.resolve([]);
-  const seconds = await watchBoxes(fleet, boxes, version, start, broken);
+  const excluded = version === 'v2' && options.faults ? options.faults(fleet) : Promise.resolve([]);
+  const seconds = await measureBoxTimes(fleet, boxes, version, start, excluded);
   const status = await fleet.rollout(CUSTOMER, 'advisor');
   return {
     seconds,
@@ -136,27 +139,27 @@
   };
 }
 
-/** Notes when each box first serves the version; ends when all have that are not broken. */
-async function watchBoxes(
+/** Records when each box first serves the version, until all boxes except `excluded` do. */
+async function measureBoxTimes(
   fleet: LocalFleet,
   boxes: readonly string[],
   version: string,
   start: number,
-  broken: Promise<string[]>,
+  excluded: Promise<string[]>,
 ): Promise<number[]> {
-  const seen = new Map<string, number>();
-  let missing: Set<string> | undefined;
-  void broken.then((names) => (missing = new Set(names)));
+  const servingAfter = new Map<string, number>();
+  let excludedBoxes: Set<string> | undefined;
+  void excluded.then((names) => (excludedBoxes = new Set(names)));
   while (performance.now() - start < WAIT_MILLISECONDS) {
     const status = await fleet.rollout(CUSTOMER, 'advisor').catch(() => undefined);
     for (const box of status?.perBox ?? []) {
-      if (box.activeVersion === version && !seen.has(box.box))
-        seen.set(box.box, (performance.now() - start) / 1000);
+      if (box.activeVersion === version && !servingAfter.has(box.box))
+        servingAfter.set(box.box, (performance.now() - start) / 1000);
     }
-    const awaited = boxes.filter((box) => !missing?.has(box));
-    if (missing && awaited.every((box) => seen.has(box)))
-      return awaited.map((box) => seen.get(box)!).sort((a, b) => a - b);
+    const awaited = boxes.filter((box) => !excludedBoxes?.has(box));
+    if (excludedBoxes && awaited.every((box) => servingAfter.has(box)))
+      return awaited.map((box) => servingAfter.get(box)!).sort((a, b) => a - b);
     await pause(50);
   }
-  throw new Error(`${version} is in service on ${seen.size} of ${boxes.length} boxes only`);
+  throw new Error(`${version} is in service on only ${servingAfter.size} of ${boxes.length} boxes`);
 }
--- a/bench/shareBench.ts
+++ b/bench/shareBench.ts
@@ -1,4 +1,4 @@
-/** Two customers' rollouts at once, one of twice the weight. */
+/** Measures two customers' rollouts at the same time, one with twice the weight of the other. */
 import { pause } from '../src/utils/timers.js';
 import { LocalFleet } from '../standins/localFleet.js';
 import { printLine } from './benchLine.js';
@@ -8,10 +8,10 @@
 const PERIOD_SECONDS = 16;
 const MODEL_BYTES = CHUNK_BYTES * CHUNKS;
 const WEIGHTS = { heavy: 2, light: 1 };
-/** Part of a copy that the first rollout has drawn when the shares are read. */
-const READ_AT = 0.6;
+/** The shares are read when the heavy rollout has downloaded this fraction of the model from the origin. */
+const READ_AT_COPIES = 0.6;
 
-/** Prints how many bytes the heavy rollout has drawn for each of the light one, in the middle, and both origin copies. */
+/** Prints the ratio of downloaded bytes of the heavy to the light rollout midway, and the origin copies of both. */
 export async function benchShare(): Promise<void> {
   const fleet = await LocalFleet.start({
     dataCentres: ['zagreb', 'split', 'osijek'],
@@ -21,8 +21,8 @@
     boxBytesPerSecond: (2 * MODEL_BYTES) / PERIOD_SECONDS,
   });
   try {
-    await publishBoth(fleet);
-    const share = await readShare(fleet);
+    await publishRollouts(fleet);
+    const share = await measureShare(fleet);
     const conditions =
       '24 boxes, 3 data centres, weights 2 and 1, equal models started together, loopback, one run';
     printLine({ name: 'rollout.originShareByWeight', value: share, unit: 'ratio', baseline: 2, conditions });
@@ -42,7 +42,7 @@
   }
 }
 
-async function publishBoth(fleet: LocalFleet): Promise<void> {
+async function publishRollouts(fleet: LocalFleet): Promise<void> {
   const parameters = { boxes: { type: 'boxes' }, weight: { type: 'number', minimum: 0.1, maximum: 10 } };
   const rollout = {
     model: 'advisor',
@@ -70,12 +70,12 @@
   );
 }
 
-async function readShare(fleet: LocalFleet): Promise<number> {
+async function measureShare(fleet: LocalFleet): Promise<number> {
   for (;;) {
     const [heavy, light] = await Promise.all(
       Object.keys(WEIGHTS).map((customer) => fleet.rollout(customer, 'advisor')),
     );
-    if (heavy.bytes.origin > READ_AT * MODEL_BYTES) return heavy.bytes.origin / light.bytes.origin;
+    if (heavy.bytes.origin > READ_AT_COPIES * MODEL_BYTES) return heavy.bytes.origin / light.bytes.origin;
     await pause(50);
   }
 }
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,4 +1,7 @@
-/** `npm run demo`: a rollout to a fleet of real processes on loopback, under requests. `--faults` breaks things. */
+/**
+ * `npm run demo [-- --faults]`: rolls out a version to a fleet of real processes on loopback while callers send
+ * requests. `--faults` also kills an agent and corrupts some of the transferred data.
+ */
 import { boundSeconds } from './bound.js';
 import { Caller } from './caller.js';
 import { progressLine } from '../src/cli/rolloutCommand.js';
@@ -12,13 +15,13 @@
 const CHUNK_BYTES = 128 * 1024;
 const CHUNKS = 160;
 const MODEL_BYTES = CHUNK_BYTES * CHUNKS;
-/** The time in which the origin could send four copies and each box's link two. */
+/** The time in which the origin can send four copies and each box's link two. */
 const PERIOD_SECONDS = 24;
 const ORIGIN_BYTES_PER_SECOND = (4 * MODEL_BYTES) / PERIOD_SECONDS;
 const BOX_BYTES_PER_SECOND = (2 * MODEL_BYTES) / PERIOD_SECONDS;
 const PROGRESS_MILLISECONDS = 250;
 const KILL_AFTER_MILLISECONDS = 3_000;
-const AFTERWARDS_MILLISECONDS = 1_000;
+const REQUESTS_AFTER_ROLLOUT_MILLISECONDS = 1_000;
 
 const CUSTOMERS = [
   { name: 'brijuni', apiKey: 'key-of-brijuni', service: 'turns' },
@@ -46,7 +49,7 @@
 
 const withFaults = process.argv.includes('--faults');
 
-/** Publishes a version of each customer's model and its configuration. */
+/** Publishes a version of each customer's model and a configuration that selects it. */
 async function publish(
   fleet: LocalFleet,
   version: string,
@@ -79,10 +82,10 @@
   await publish(fleet, 'v1', 8);
   for (const { name } of CUSTOMERS) await fleet.untilComplete(name, 'advisor', 'v1');
   await fleet.untilComplete('brijuni', 'turns', '1');
-  await fleet.until('a ledger', async () => (await keysFor(fleet)) > 0);
+  await fleet.until('idempotency keys', async () => (await countIdempotencyKeys(fleet)) > 0);
 }
 
-async function keysFor(fleet: LocalFleet): Promise<number> {
+async function countIdempotencyKeys(fleet: LocalFleet): Promise<number> {
   const answer = await fetch(`${fleet.entries()[0].httpUrl}/v1/idempotency-keys`, {
     method: 'POST',
     headers: { authorization: `Bearer ${CUSTOMERS[0].apiKey}` },
@@ -95,7 +98,7 @@
   const callers = CUSTOMERS.flatMap(({ name: customer, apiKey, service }) =>
     [0, 1, 2].map((offset) => {
       const entryUrls = (): string[] =>
-        rotated(
+        rotate(
           fleet.entries().map((entry) => entry.httpUrl),
           offset,
         );
@@ -105,20 +108,21 @@
   return { callers, ended: Promise.all(callers.map((caller) => caller.run())) };
 }
 
-function rotated(urls: string[], offset: number): string[] {
+function rotate(urls: string[], offset: number): string[] {
   return [...urls.slice(offset), ...urls.slice(0, offset)];
 }
 
-/** Kills an agent in the middle of the rollout; the box list notices a second later. */
-async function breakThings(fleet: LocalFleet): Promise<void> {
+/** Kills an agent during the rollout. The box list drops it a second later. */
+async function injectFaults(fleet: LocalFleet): Promise<void> {
   await pause(KILL_AFTER_MILLISECONDS);
-  const victim = `${DATA_CENTRES[0]}-model-2`;
-  console.log(`killing the agent of ${victim}`);
-  await fleet.box(victim).child.end('SIGKILL');
+  const killedBox = `${DATA_CENTRES[0]}-model-2`;
+  console.log(`killing the agent of ${killedBox}`);
+  await fleet.box(killedBox).child.end('SIGKILL');
   await pause(1_000);
-  await fleet.unlist(victim);
+  await fleet.unlist(killedBox);
 }
 
+/** Prints the progress of a rollout until all boxes serve the version. */
 async function watchRollout(fleet: LocalFleet, customer: string, version: string): Promise<void> {
   let shown = '';
   await fleet.until(
@@ -137,14 +141,15 @@
   );
 }
 
-/** Times the moment at which every live box serves the version, more finely than the progress lines. */
-async function timeToReplicas(fleet: LocalFleet, customer: string, version: string): Promise<number> {
+/** Measures the seconds until every live box serves the version, polling more often than the progress lines. */
+async function measureTimeToReplicas(fleet: LocalFleet, customer: string, version: string): Promise<number> {
   const start = performance.now();
   await fleet.untilComplete(customer, 'advisor', version, 90_000);
   return (performance.now() - start) / 1000;
 }
 
-async function engineDigests(fleet: LocalFleet, customer: string, version: string): Promise<string[]> {
+/** Returns the digests of the version's bytes as the engines of all live boxes loaded them. */
+async function readEngineDigests(fleet: LocalFleet, customer: string, version: string): Promise<string[]> {
   const running = fleet
     .modelBoxes()
     .map((name) => fleet.box(name))
@@ -159,7 +164,8 @@
   );
 }
 
-async function repeatedRuns(fleet: LocalFleet): Promise<number> {
+/** Counts the runs beyond the first of each idempotency key. */
+async function countRepeatedRuns(fleet: LocalFleet): Promise<number> {
   const runs = await Promise.all(
     fleet.plainBoxes().map((name) => fleet.read<Run[]>(`${fleet.box(name).backendUrl}/_runs`)),
   );
@@ -187,25 +193,27 @@
     if (withFaults) await fleet.setFaults(fleet.originUrl, { corruptShare: 0.01 });
     const { callers, ended } = startCallers(fleet);
     const originBefore = await fleet.originBytes();
-    console.log(`rolling out v2, ${megabytes} MB, under requests${withFaults ? ', with faults' : ''}`);
+    console.log(
+      `rolling out v2, ${megabytes} MB, while callers send requests${withFaults ? ', with faults' : ''}`,
+    );
     const [published] = await publish(fleet, 'v2', CHUNKS, [CUSTOMERS[0]]);
-    const faults = withFaults ? breakThings(fleet) : Promise.resolve();
+    const faults = withFaults ? injectFaults(fleet) : Promise.resolve();
     const [seconds] = await Promise.all([
-      timeToReplicas(fleet, 'brijuni', 'v2'),
+      measureTimeToReplicas(fleet, 'brijuni', 'v2'),
       watchRollout(fleet, 'brijuni', 'v2'),
     ]);
     await faults;
     const originCopies = ((await fleet.originBytes()) - originBefore) / MODEL_BYTES;
-    await pause(AFTERWARDS_MILLISECONDS);
+    await pause(REQUESTS_AFTER_ROLLOUT_MILLISECONDS);
     callers.forEach((caller) => caller.stop());
     await ended;
-    const digests = await engineDigests(fleet, 'brijuni', 'v2');
-    return report({
+    const digests = await readEngineDigests(fleet, 'brijuni', 'v2');
+    return printSummary({
       seconds,
       originCopies,
       boxes: digests.length,
       wrongDigests: digests.filter((digest) => digest !== published.blobDigest).length,
-      repeated: await repeatedRuns(fleet),
+      repeated: await countRepeatedRuns(fleet),
       callers,
     });
   } finally {
@@ -223,7 +231,7 @@
 }
 
 /** Prints the summary and returns the exit code. */
-function report({ seconds, originCopies, boxes, wrongDigests, repeated, callers }: DemoResult): number {
+function printSummary({ seconds, originCopies, boxes, wrongDigests, repeated, callers }: DemoResult): number {
   const sum = (read: (caller: Caller) => number): number =>
     callers.reduce((total, caller) => total + read(caller), 0);
   const lost = sum((caller) => caller.tally.lost);
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -1,205 +1,214 @@
-/** Checks what callers and backend servers have seen against the promises of docs/PROMISES.md. */
+/** Checks the records of callers and backend servers against the promises of docs/PROMISES.md. */
 import type { Execution } from '../standins/platformRunnerOptions.js';
 import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
 import type { Call } from './callerLog.js';
 import type { SignalChecks } from './signalChecks.js';
 
 export type PromiseName =
-  | 'answer' // every caller gets the whole answer to its own request
-  | 'once' // what may run once runs once
-  | 'not-run' // a refusal is true
-  | 'asked' // nothing runs that nobody asked for, or for another customer
-  | 'whole' // no server takes an unwhole version
-  | 'version' // no request begins on an older version after the bound
-  | 'configuration' // a configuration is in force in time, and stays
-  | 'draining' // a leaving server gets nothing new
-  | 'limit' // a server gets no more requests than it has said it takes
-  | 'retry-after' // an entry keeps to the Retry-After of a server
-  | 'crashing' // a request that ends each server which runs it is kept from them
-  | 'planned' // planned work cuts nothing
-  | 'ends' // no process ends by itself
-  | 'recovery'; // requests are served again once faults are over
-
-/** A promise that was broken. */
+  | 'answer' // every caller gets the complete answer to its own request
+  | 'once' // a request that must not be repeated runs at most once
+  | 'not-run' // a refused request has not run
+  | 'asked' // only requests that a caller sent run
+  | 'whole' // no server activates an incomplete version
+  | 'version' // no request starts on an older version after the time bound
+  | 'configuration' // a configuration is in force within the time bound and is not reverted
+  | 'draining' // a draining server gets no new requests
+  | 'limit' // a server gets no more requests than the limit that it announced
+  | 'retry-after' // an entry obeys the Retry-After of a server
+  | 'crashing' // a request that crashes every server is no longer sent to servers
+  | 'planned' // planned operations fail no request
+  | 'ends' // no process exits unexpectedly
+  | 'recovery'; // requests are served again after the last fault
+
+/** A broken promise, with a description for the report. */
 export interface Breach {
   promise: PromiseName;
   what: string;
 }
 
-/** Hears of broken promises. */
+/** Called for each broken promise. */
 export type BreachListener = (promise: PromiseName, what: string) => void;
 
-/** A time in which something was harmed, in wall clock milliseconds. */
-interface Harm {
+/** The period of a fault, in wall clock milliseconds. */
+interface FaultWindow {
   from: number;
   until: number;
 }
 
 /**
- * What a harm strikes. Entries stay in touch with all else while servers end under a request; processes that end hold no request up;
- * the `copy` from which the store comes back lacks what was told lately, and nothing else.
+ * What a fault affects, which decides the checks that are suspended during it. `servers`: requests crash backend
+ * servers, while entries keep their connections to the store and to each other. `processes`: entries or agents
+ * exit, which delays no request in flight. `copy`: the store is restored from a copy that lacks the latest writes.
+ * `all`: anything.
  */
-export type Harmed = 'all' | 'servers' | 'processes' | 'copy';
+export type FaultScope = 'all' | 'servers' | 'processes' | 'copy';
 
-/** A planned stop of an entry. */
-interface Stop extends Harm {
-  /** Where callers reach it, host:port. */
+/** The period of a planned stop of an entry. */
+interface EntryStop extends FaultWindow {
+  /** The address for callers, host:port. */
   entry: string;
 }
 
-/** What the bound of a version or a leaving server runs from. */
-interface Announcement {
+/** When a version of the weights was announced, in wall clock milliseconds. */
+interface VersionAnnouncement {
   version: number;
   at: number;
 }
 
-/** What has come of a request that ends each server which runs it. */
-interface CrashingRequest {
-  /** When a server ended, in wall clock milliseconds. */
+/** History of a request that crashes every server which runs it. */
+interface CrashingRequestRecord {
+  /** Times of the crashes, in wall clock milliseconds. */
   crashes: number[];
   runs: number;
+  /** Runs after all entries should have known about the request. */
   lateRuns: number;
 }
 
-/** Beyond the bounds themselves: timers and processors of a loaded machine. */
+/** Added to each time bound, since timers are late on a loaded machine. */
 const SLACK_MILLISECONDS = 500;
-/** After a harm, processes are held to bounds in time again. */
-const CONTACT_MILLISECONDS = 3_000;
-/** Ends of servers after which a request that ends them is known for it, and runs that it may have once all know. */
-const TELLING_CRASHES = 3;
-const MOST_LATE_RUNS = 3;
-const MOST_BREACHES = 50;
+/** Time bounds apply again this long after a fault. */
+const RECOVERY_MILLISECONDS = 3_000;
+/** Number of crashes after which entries must stop forwarding the request. */
+const CRASHES_UNTIL_KNOWN = 3;
+/** Runs that are allowed once all entries should know about the request. */
+const MAX_LATE_RUNS = 3;
+const MAX_BREACHES = 50;
 const NOT_FOUND = 404;
 
-/** Bounds in milliseconds. */
+/** Time bounds of the promises. */
 export interface CheckBounds {
   versionMilliseconds: number;
   drainMilliseconds: number;
   configurationMilliseconds: number;
 }
 
+/** Records the events of a soak and collects the broken promises. */
 export class PromiseChecks {
   readonly breaches: Breach[] = [];
   private readonly _bounds: CheckBounds;
   private readonly _calls = new Map<string, Call>();
   private readonly _executions = new Map<string, Execution[]>();
-  private readonly _asked = new Set<string>();
-  private readonly _harms: (Harm & { harmed: Harmed })[] = [];
-  private readonly _stops: Stop[] = [];
-  private readonly _named: Announcement[] = [];
-  /** Configurations that an entry was seen to have, by entry and the time at which they came. */
-  private readonly _inForce = new Set<string>();
-  private readonly _leaving = new Map<string, number>();
-  /** Requests that end servers, by their bodies. */
-  private readonly _crashing = new Map<string, CrashingRequest>();
+  private readonly _sentIds = new Set<string>();
+  private readonly _faults: (FaultWindow & { scope: FaultScope })[] = [];
+  private readonly _stops: EntryStop[] = [];
+  private readonly _announcedVersions: VersionAnnouncement[] = [];
+  /** Keys of an entry and a configuration's time, once the entry has answered by that configuration. */
+  private readonly _configured = new Set<string>();
+  private readonly _drainingSince = new Map<string, number>();
+  /** Requests that crash servers, by body. */
+  private readonly _crashingRequests = new Map<string, CrashingRequestRecord>();
 
   constructor(bounds: CheckBounds) {
     this._bounds = bounds;
   }
 
-  /** Calls that have ended. */
+  /** Requests that have ended for their callers. */
   get calls(): readonly Call[] {
     return [...this._calls.values()];
   }
 
   /** A caller is about to send a request. */
-  onAsked(id: string): void {
-    this._asked.add(id);
+  onSending(id: string): void {
+    this._sentIds.add(id);
   }
 
+  /** A request has ended for its caller. */
   onCall(call: Call): void {
     this._calls.set(call.id, call);
-    if (call.wrong !== undefined)
-      this._breach('answer', `${call.kind} ${call.id} at ${call.entry}: ${call.wrong}`);
+    if (call.answerError !== undefined)
+      this._breach('answer', `${call.kind} ${call.id} at ${call.entry}: ${call.answerError}`);
     this._checkOnce(call.id);
     if (call.configuredAt !== undefined) this._checkConfiguration(call, call.configuredAt);
   }
 
+  /** A server has begun to work on a request. */
   onExecution(execution: Execution): void {
-    const known = this._executions.get(execution.id) ?? [];
-    this._executions.set(execution.id, [...known, execution]);
-    if (!this._asked.has(execution.id)) this._breach('asked', `nobody sent ${execution.id}`);
+    const earlier = this._executions.get(execution.id) ?? [];
+    this._executions.set(execution.id, [...earlier, execution]);
+    if (!this._sentIds.has(execution.id)) this._breach('asked', `nobody sent ${execution.id}`);
     this._checkOnce(execution.id);
     this._checkVersion(execution);
-    this._checkLeaving(execution);
+    this._checkDraining(execution);
     if (execution.body.startsWith(ENDING_BODY)) this._checkCrashing(execution);
   }
 
-  /** A server has ended under the request with this body. */
+  /** The request with this body has crashed a server. */
   onCrash(body: string): void {
-    this._crashingOf(body).crashes.push(Date.now());
+    this._crashingRequest(body).crashes.push(Date.now());
   }
 
-  /** How many servers have ended under requests, and how often such requests have run. */
+  /** Totals over all requests that crash servers. */
   get crashing(): { requests: number; crashes: number; runs: number } {
-    const all = [...this._crashing.values()];
+    const all = [...this._crashingRequests.values()];
     const crashes = all.reduce((sum, request) => sum + request.crashes.length, 0);
     return { requests: all.length, crashes, runs: all.reduce((sum, request) => sum + request.runs, 0) };
   }
 
-  onUnwhole(runner: string, version: number): void {
-    this._breach('whole', `${runner} took version ${version} unwhole`);
+  onIncompleteVersion(runner: string, version: number): void {
+    this._breach('whole', `${runner} activated an incomplete version ${version}`);
   }
 
-  /** Something is harmed from now on; the returned function ends it. */
-  onHarm(harmed: Harmed = 'all'): () => void {
-    const harm = { harmed, from: Date.now(), until: Number.POSITIVE_INFINITY };
-    this._harms.push(harm);
-    return () => (harm.until = Date.now());
+  /** A fault begins; the returned function ends it. */
+  onFault(scope: FaultScope = 'all'): () => void {
+    const fault = { scope, from: Date.now(), until: Number.POSITIVE_INFINITY };
+    this._faults.push(fault);
+    return () => (fault.until = Date.now());
   }
 
-  /** An entry has been asked to stop; the returned function notes its end. */
+  /** An entry has been asked to stop; the returned function must be called when it has exited. */
   onStopping(entry: string): () => void {
     const stop = { entry, from: Date.now(), until: Number.POSITIVE_INFINITY };
     this._stops.push(stop);
     return () => (stop.until = Date.now());
   }
 
-  onNamed(version: number): void {
-    this._named.push({ version, at: Date.now() });
+  /** A newer version of the weights has been written to the store. */
+  onVersionAnnounced(version: number): void {
+    this._announcedVersions.push({ version, at: Date.now() });
   }
 
-  onLeaving(runner: string): void {
-    this._leaving.set(runner, Date.now());
+  /** A server has announced its drain in the store. */
+  onDraining(runner: string): void {
+    this._drainingSince.set(runner, Date.now());
   }
 
-  /** Requests that planned work ended without an answer. `wasRead` tells whether an entry knows of a request. */
+  /** Reports requests that planned operations failed. `wasRead` tells whether an entry has read a request. */
   checkPlanned(wasRead: (id: string) => boolean): void {
     for (const call of this._calls.values()) {
-      if (call.kind === 'newest' || (call.end !== 'cut' && call.end !== 'failed')) continue;
-      if (this._isHarmed(call.sentAt, call.endedAt)) continue;
-      if (this._crossedStop(call) && !wasRead(call.id)) continue;
-      this._breach('planned', `${call.kind} ${call.id} at ${call.entry}: ${call.end} ${call.status}`);
+      if (call.kind === 'newest' || (call.outcome !== 'cut' && call.outcome !== 'failed')) continue;
+      if (this._overlapsFault(call.sentAt, call.endedAt)) continue;
+      if (this._wasResetByStop(call) && !wasRead(call.id)) continue;
+      this._breach('planned', `${call.kind} ${call.id} at ${call.entry}: ${call.outcome} ${call.status}`);
     }
   }
 
-  /** Requests sent from `at` on, when nothing is harmed any more, are served. */
-  checkRecovery(at: number, leastShare: number): void {
+  /** Checks that at least `minShare` of the requests sent from `at` on, after the last fault, were served. */
+  checkRecovery(at: number, minShare: number): void {
     const late = [...this._calls.values()].filter(
-      (call) => call.sentAt >= at && call.end !== 'left' && call.kind !== 'newest',
+      (call) => call.sentAt >= at && call.outcome !== 'left' && call.kind !== 'newest',
     );
-    const served = late.filter((call) => call.end === 'whole').length;
-    if (late.length === 0 || served / late.length < leastShare)
-      this._breach('recovery', `${served} of ${late.length} served after all faults`);
+    const served = late.filter((call) => call.outcome === 'whole').length;
+    if (late.length === 0 || served / late.length < minShare)
+      this._breach('recovery', `${served} of ${late.length} served after the last fault`);
   }
 
-  /** What entries were told by servers, and whether they heeded it. */
+  /** Checks that entries obeyed the limits, drain notices and Retry-After of servers. */
   checkSignals(signals: SignalChecks): void {
-    const links = this._harms.filter(({ harmed }) => harmed === 'all');
+    const blockingFaults = this._faults.filter(({ scope }) => scope === 'all');
     signals.check(
       {
-        callOf: (id) => this._calls.get(id),
-        isHarmed: (from, until) => this._isHarmed(from, until),
-        isHeldUp: (from, until) => this._isHarmed(from, until, links),
+        findCall: (id) => this._calls.get(id),
+        overlapsFault: (from, until) => this._overlapsFault(from, until),
+        mayBeDelayed: (from, until) => this._overlapsFault(from, until, blockingFaults),
         drainMilliseconds: this._bounds.drainMilliseconds,
       },
       (promise, what) => this._breach(promise, what),
     );
   }
 
-  /** A process that ended by itself. */
-  onOwnEnd(name: string): void {
-    this._breach('ends', name);
+  /** A process exited unexpectedly. */
+  onUnexpectedExit(description: string): void {
+    this._breach('ends', description);
   }
 
   private _checkOnce(id: string): void {
@@ -209,64 +218,68 @@
     if (!isOnce) return;
     const where = executions.map(({ runner }) => runner).join(', ');
     if (executions.length > 1) this._breach('once', `${id} ran ${executions.length} times: ${where}`);
-    if (call?.end === 'refused' && executions.length > 0)
+    if (call?.outcome === 'refused' && executions.length > 0)
       this._breach('not-run', `${id} was refused with ${call.status} and ran at ${where}`);
   }
 
   private _checkVersion({ version, at, runner, id }: Execution): void {
     if (version === 0) return;
-    const newer = this._named.find((named) => named.version > version);
+    const newer = this._announcedVersions.find((announced) => announced.version > version);
     if (!newer || at - newer.at < this._bounds.versionMilliseconds + SLACK_MILLISECONDS) return;
-    if (this._isHarmed(newer.at, at)) return;
+    if (this._overlapsFault(newer.at, at)) return;
     this._breach(
       'version',
-      `${id} began on ${version} at ${runner}, ${at - newer.at} ms after ${newer.version}`,
+      `${id} started on version ${version} at ${runner}, ${at - newer.at} ms after ${newer.version} was announced`,
     );
   }
 
   private _checkConfiguration(call: Call, configuredAt: number): void {
     const { entry, status, sentAt, endedAt, id } = call;
     const key = `${entry} ${configuredAt}`;
-    if (status === 200) this._inForce.add(key);
+    if (status === 200) this._configured.add(key);
     if (status !== NOT_FOUND) return;
     const age = sentAt - configuredAt;
     const isLate = age > this._bounds.configurationMilliseconds + SLACK_MILLISECONDS;
-    if (this._inForce.has(key)) this._breach('configuration', `${id}: ${entry} went back`);
+    if (this._configured.has(key))
+      this._breach('configuration', `${id}: ${entry} reverted the configuration`);
     else if (isLate && !this._isExcused(configuredAt, endedAt, this._bounds.configurationMilliseconds))
       this._breach('configuration', `${id}: not in force at ${entry} after ${age} ms`);
   }
 
-  private _checkLeaving({ runner, at, id }: Execution): void {
-    const since = this._leaving.get(runner);
+  private _checkDraining({ runner, at, id }: Execution): void {
+    const since = this._drainingSince.get(runner);
     if (since === undefined || at - since < this._bounds.drainMilliseconds + SLACK_MILLISECONDS) return;
     if (this._isExcused(since, at, this._bounds.drainMilliseconds)) return;
-    this._breach('draining', `${id} began at ${runner}, ${at - since} ms after it was leaving`);
+    this._breach('draining', `${id} started at ${runner}, ${at - since} ms after it began to drain`);
   }
 
   private _checkCrashing({ body, runner, at, id }: Execution): void {
-    const request = this._crashingOf(body);
+    const request = this._crashingRequest(body);
     request.runs++;
-    const known = request.crashes[TELLING_CRASHES - 1];
-    if (known === undefined || at - known < CONTACT_MILLISECONDS + SLACK_MILLISECONDS) return;
-    const all = this._harms.filter(({ harmed }) => harmed !== 'servers' && harmed !== 'copy');
-    if (this._isHarmed(known, at, all)) return;
+    const knownSince = request.crashes[CRASHES_UNTIL_KNOWN - 1];
+    if (knownSince === undefined || at - knownSince < RECOVERY_MILLISECONDS + SLACK_MILLISECONDS) return;
+    const faults = this._faults.filter(({ scope }) => scope !== 'servers' && scope !== 'copy');
+    if (this._overlapsFault(knownSince, at, faults)) return;
     request.lateRuns++;
-    if (request.lateRuns > MOST_LATE_RUNS)
-      this._breach('crashing', `${id} ran at ${runner}, ${at - known} ms after the third end by its like`);
+    if (request.lateRuns > MAX_LATE_RUNS)
+      this._breach(
+        'crashing',
+        `${id} ran at ${runner}, ${at - knownSince} ms after the third crash by the same request`,
+      );
   }
 
-  private _crashingOf(body: string): CrashingRequest {
-    const request = this._crashing.get(body) ?? { crashes: [], runs: 0, lateRuns: 0 };
-    this._crashing.set(body, request);
+  private _crashingRequest(body: string): CrashingRequestRecord {
+    const request = this._crashingRequests.get(body) ?? { crashes: [], runs: 0, lateRuns: 0 };
+    this._crashingRequests.set(body, request);
     return request;
   }
 
   /**
-   * Whether the system may have reset a connection that still waited to be accepted as its entry stopped listening: the
-   * caller sees an open connection, the entry never does.
+   * Whether the kernel may have reset a connection that was waiting in the accept queue when its entry stopped
+   * listening. The caller sees an open connection, but the entry has never seen it.
    */
-  private _crossedStop({ id, entry, end, status, onNewConnection, endedAt }: Call): boolean {
-    const isReset = end === 'cut' && status === 0 && onNewConnection;
+  private _wasResetByStop({ id, entry, outcome, status, onNewConnection, endedAt }: Call): boolean {
+    const isReset = outcome === 'cut' && status === 0 && onNewConnection;
     const ran = this._executions.has(id);
     const stopped = this._stops.some(
       (stop) => stop.entry === entry && stop.from <= endedAt && endedAt <= stop.until,
@@ -275,24 +288,29 @@
   }
 
   /**
-   * Whether a word of `since` need not be kept at `at`. What all had heard within `bound` before the store went holds on while it is
-   * away and once it has come back from a copy that lacks it.
+   * Whether faults excuse an entry that does not yet, at `at`, act on a record written at `since`. A record that
+   * all entries read (within `bound`) before the store was rolled back must still be obeyed afterwards, even if the
+   * copy lacks it.
    */
   private _isExcused(since: number, at: number, bound: number): boolean {
-    const others = this._harms.filter(({ harmed }) => harmed !== 'copy');
-    const copies = this._harms.filter(({ harmed }) => harmed === 'copy');
+    const others = this._faults.filter(({ scope }) => scope !== 'copy');
+    const copies = this._faults.filter(({ scope }) => scope === 'copy');
     const isLost = copies.some(
       ({ from, until }) =>
-        since + bound + SLACK_MILLISECONDS >= from && since <= until + CONTACT_MILLISECONDS,
+        since + bound + SLACK_MILLISECONDS >= from && since <= until + RECOVERY_MILLISECONDS,
     );
-    return isLost || this._isHarmed(since, at, others);
+    return isLost || this._overlapsFault(since, at, others);
   }
 
-  private _isHarmed(from: number, until: number, harms: readonly Harm[] = this._harms): boolean {
-    return harms.some((harm) => harm.from <= until && harm.until + CONTACT_MILLISECONDS >= from);
+  private _overlapsFault(
+    from: number,
+    until: number,
+    faults: readonly FaultWindow[] = this._faults,
+  ): boolean {
+    return faults.some((fault) => fault.from <= until && fault.until + RECOVERY_MILLISECONDS >= from);
   }
 
   private _breach(promise: PromiseName, what: string): void {
-    if (this.breaches.length < MOST_BREACHES) this.breaches.push({ promise, what });
+    if (this.breaches.length < MAX_BREACHES) this.breaches.push({ promise, what });
   }
 }
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -1,4 +1,4 @@
-/** Faults and planned work that a soak draws from; each is applied from outside the processes. */
+/** Applies the faults and planned operations of a soak, from outside of the processes. */
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import { SICKNESSES } from '../standins/platformRunnerFaults.js';
@@ -7,47 +7,48 @@
 import { PLANNED_KINDS } from './faultKinds.js';
 import type { FleetProcess } from './fleetProcess.js';
 import type { ProxyMode } from './loopbackProxy.js';
-import type { Harmed, PromiseChecks } from './promiseChecks.js';
+import type { FaultScope, PromiseChecks } from './promiseChecks.js';
 import type { SignalChecks } from './signalChecks.js';
 import { SignalFaults } from './signalFaults.js';
-import { lapseEntries, rollBackStore } from './storeRollback.js';
-import { sendCrashing } from './soakCaller.js';
+import { removeStaleServers, rollBackStore } from './storeRollback.js';
+import { sendCrashingRequest } from './soakCaller.js';
 import type { SoakBox, SoakFleet } from './soakFleet.js';
 import { FOREIGN_VALUES, MODEL_SERVICE, PLAIN_SERVICE } from './soakConfiguration.js';
 
-const PROXY_MODES: readonly ProxyMode[] = ['delay', 'reset', 'deaf', 'mute', 'silent'];
-const LONGEST_MILLISECONDS = 3_500;
-const SHORTEST_MILLISECONDS = 300;
-const RESTART_MILLISECONDS = 300;
-/** A leaving server works on for so long before it ends. */
-const LEAVE_MILLISECONDS = 3_500;
+const PROXY_MODES: readonly ProxyMode[] = ['delay', 'reset', 'stall-requests', 'stall-answers', 'stall'];
+const FAULT_SPREAD_MILLISECONDS = 3_500;
+const MIN_FAULT_MILLISECONDS = 300;
+const MAX_RESTART_DELAY_MILLISECONDS = 300;
+/** Time that a draining server keeps running before it ends. */
+const DRAIN_MILLISECONDS = 3_500;
 const KILLED_SHARE = 0.6;
-const ROT_SHARE = 0.05;
-const ROT_MILLISECONDS = 400;
-/** A server that starts again does so up to so many times in a row. */
-const MOST_RESTARTS = 3;
-const RESTART_GAP_MILLISECONDS = 700;
-/** Versions close together, each with some of the servers starting again while its chunks come. */
-const VERSIONS_AMID_RESTARTS = 4;
-const AMID_MILLISECONDS = 400;
+const CORRUPTED_SHARE = 0.05;
+const CORRUPTION_INTERVAL_MILLISECONDS = 400;
+/** Maximum number of restarts of a server in a row. */
+const MAX_RESTARTS = 3;
+const MAX_RESTART_GAP_MILLISECONDS = 700;
+/** Number of versions announced shortly after each other while servers restart. */
+const VERSIONS_DURING_RESTARTS = 4;
+const MAX_VERSION_PAUSE_MILLISECONDS = 400;
 const RESTARTED_SHARE = 0.5;
-/** Writes that got no answer are done so much later. */
+/** Delay after which the store performs a write that it did not answer. */
 const LATE_WRITE_MILLISECONDS = 1_500;
-/** Faults that are no harm to processes or links: what entries promise holds all the while. */
-const HARMLESS_KINDS: readonly FaultKind[] = ['limit-server', 'leave-by-answers', 'reject-with-retry-after'];
-/** Processes end by these and start again; none stands still, and no request lies on its way. */
-const ENDING_KINDS: readonly FaultKind[] = ['kill-entry', 'kill-agent', 'kill-many'];
-const CRASHING_SENDS = 80;
-const CRASHING_GAP_MILLISECONDS = 120;
-/** Applies one fault after the other; several may overlap. */
+/** Kinds that only make servers send signals in their answers. All promises must hold meanwhile. */
+const SIGNAL_KINDS: readonly FaultKind[] = ['limit-server', 'leave-by-answers', 'reject-with-retry-after'];
+/** Kinds that kill and restart processes, but neither pause one nor delay requests in flight. */
+const PROCESS_KILL_KINDS: readonly FaultKind[] = ['kill-entry', 'kill-agent', 'kill-many'];
+const CRASHING_REQUESTS = 80;
+const CRASHING_INTERVAL_MILLISECONDS = 120;
+
+/** Applies faults, of which several may be active at the same time. */
 export class SoakFaults {
   private readonly _fleet: SoakFleet;
   private readonly _checks: PromiseChecks;
   private readonly _signals: SignalFaults;
   private readonly _random: Random;
   private readonly _log: (line: string) => void;
-  private readonly _leaving = new Set<SoakBox>();
-  private _crashing = 0;
+  private readonly _drainingBoxes = new Set<SoakBox>();
+  private _crashingRounds = 0;
 
   constructor(
     fleet: SoakFleet,
@@ -63,41 +64,41 @@
     this._log = log;
   }
 
-  /** Applies a fault and resolves when it has been lifted. */
+  /** Applies a fault and resolves when it is over. */
   async apply(kind: FaultKind): Promise<void> {
     const isPlanned = (PLANNED_KINDS as readonly FaultKind[]).includes(kind);
-    const isHarmless = isPlanned || HARMLESS_KINDS.includes(kind);
-    const lift = isHarmless ? () => undefined : this._checks.onHarm(harmedBy(kind));
-    const milliseconds = SHORTEST_MILLISECONDS + this._random.integer(LONGEST_MILLISECONDS);
+    const keepsPromises = isPlanned || SIGNAL_KINDS.includes(kind);
+    const endFault = keepsPromises ? () => undefined : this._checks.onFault(faultScope(kind));
+    const milliseconds = MIN_FAULT_MILLISECONDS + this._random.integer(FAULT_SPREAD_MILLISECONDS);
     this._log(`${kind} ${milliseconds}`);
     try {
-      if (HARMLESS_KINDS.includes(kind)) await this._ask(kind, this._pick(this._fleet.boxes));
-      else await this._perform(kind, milliseconds);
+      if (SIGNAL_KINDS.includes(kind)) await this._applySignal(kind, this._pick(this._fleet.boxes));
+      else await this._applyFault(kind, milliseconds);
     } finally {
-      lift();
+      endFault();
     }
-    if (kind === 'roll-back-store') await this._changeAfterRollback();
+    if (kind === 'roll-back-store') await this._writeRecordsAfterRollback();
   }
 
-  private async _perform(kind: FaultKind, milliseconds: number): Promise<void> {
+  private async _applyFault(kind: FaultKind, milliseconds: number): Promise<void> {
     const { entries, agents } = this._fleet;
     switch (kind) {
       case 'configure':
         return void this._fleet.configure();
       case 'name-weights':
-        return this._checks.onNamed(this._fleet.nameWeights());
+        return this._checks.onVersionAnnounced(this._fleet.announceWeights());
       case 'reload':
         return this._pick([...entries, ...agents]).signal('SIGHUP');
       case 'stop-entry':
         return await this._stopEntry(this._pick(entries));
       case 'stop-agent':
-        return await this._end([this._pick(agents)], 'SIGTERM');
+        return await this._restartProcesses([this._pick(agents)], 'SIGTERM');
       case 'kill-entry':
-        return await this._end([this._pick(entries)], 'SIGKILL');
+        return await this._restartProcesses([this._pick(entries)], 'SIGKILL');
       case 'kill-agent':
-        return await this._end([this._pick(agents)], 'SIGKILL');
+        return await this._restartProcesses([this._pick(agents)], 'SIGKILL');
       case 'kill-many':
-        return await this._end(
+        return await this._restartProcesses(
           [...entries, ...agents].filter(() => this._random.fraction() < KILLED_SHARE),
           'SIGKILL',
         );
@@ -110,46 +111,48 @@
       case 'roll-back-store':
         return await rollBackStore(this._fleet, this._random);
       default:
-        return await this._harm(kind, milliseconds);
+        return await this._applyExternalFault(kind, milliseconds);
     }
   }
 
-  private async _harm(kind: FaultKind, milliseconds: number): Promise<void> {
+  /** Applies a fault of anything but entries and agents. */
+  private async _applyExternalFault(kind: FaultKind, milliseconds: number): Promise<void> {
     const { store, origin, boxes, storeProxies } = this._fleet;
     if (kind === 'forget-history') return store.forgetHistory();
-    if (kind === 'replace-server') return await this._replace(this._pick(this._boxesOf(MODEL_SERVICE)));
-    if (kind === 'crash-server') return await this._crash(this._pick(boxes), milliseconds);
-    if (kind === 'restart-server') return await this._restart(this._pick(boxes));
-    if (kind === 'restart-amid-versions') return await this._restartAmidVersions();
-    if (kind === 'foreign-records') return await this._writeForeign(milliseconds);
-    if (kind === 'crashing-request') return await this._sendCrashing();
-    if (kind === 'rot-chunks') return await this._rot(this._pick(this._boxesOf(MODEL_SERVICE)), milliseconds);
+    if (kind === 'replace-server') return await this._replaceServer(this._pick(this._boxesOf(MODEL_SERVICE)));
+    if (kind === 'crash-server') return await this._crashServer(this._pick(boxes), milliseconds);
+    if (kind === 'restart-server') return await this._restartServer(this._pick(boxes));
+    if (kind === 'restart-amid-versions') return await this._restartDuringVersions();
+    if (kind === 'foreign-records') return await this._writeForeignRecords(milliseconds);
+    if (kind === 'crashing-request') return await this._sendCrashingRequests();
+    if (kind === 'rot-chunks')
+      return await this._corruptStagedChunks(this._pick(this._boxesOf(MODEL_SERVICE)), milliseconds);
     if (kind === 'harm-store' || kind === 'lose-writes') {
-      await this._harmStore(kind, milliseconds);
+      await this._breakStore(kind, milliseconds);
     } else if (kind === 'harm-origin') {
       origin.faults = this._originFaults();
-      // without a version that moves, nobody would notice
-      this._checks.onNamed(this._fleet.nameWeights());
+      // The origin is read only while a new version is transferred.
+      this._checks.onVersionAnnounced(this._fleet.announceWeights());
       await pause(milliseconds);
       origin.faults = {};
-    } else if (kind === 'sick-server') await this._sicken(this._pick(boxes), milliseconds);
+    } else if (kind === 'sick-server') await this._degrade(this._pick(boxes), milliseconds);
     else {
       const links = kind === 'harm-store-link' ? [...storeProxies.values()] : boxes.map(({ proxy }) => proxy);
       const link = this._pick(links);
-      link.set(this._pick(PROXY_MODES));
+      link.setMode(this._pick(PROXY_MODES));
       await pause(milliseconds);
-      link.set('pass');
+      link.setMode('pass');
     }
   }
 
-  /** A server asks for something in its answers. */
-  private async _ask(kind: FaultKind, box: SoakBox): Promise<void> {
+  /** Makes a server send a signal in its answers. */
+  private async _applySignal(kind: FaultKind, box: SoakBox): Promise<void> {
     if (kind === 'limit-server') await this._signals.limit(box);
     else if (kind === 'reject-with-retry-after') await this._signals.rejectWithRetryAfter(box);
-    else await this._leaveByAnswers(box);
+    else await this._drainByAnswers(box);
   }
 
-  private async _harmStore(kind: 'harm-store' | 'lose-writes', milliseconds: number): Promise<void> {
+  private async _breakStore(kind: 'harm-store' | 'lose-writes', milliseconds: number): Promise<void> {
     const { store } = this._fleet;
     if (kind === 'lose-writes') store.faults = { lateWritesMilliseconds: LATE_WRITE_MILLISECONDS };
     else store.faults = this._random.integer(2) === 0 ? { status: 503 } : { silent: true };
@@ -157,33 +160,36 @@
     store.faults = {};
   }
 
-  /** What is said once all are in touch again is kept like anything else. */
-  private async _changeAfterRollback(): Promise<void> {
-    await lapseEntries(this._fleet);
+  /** Writes new records after a rollback, which entries must obey like any others. */
+  private async _writeRecordsAfterRollback(): Promise<void> {
+    await removeStaleServers(this._fleet);
     this._fleet.configure();
-    await this._replace(this._pick(this._boxesOf(MODEL_SERVICE)));
+    await this._replaceServer(this._pick(this._boxesOf(MODEL_SERVICE)));
   }
 
   private async _stopEntry(entry: FleetProcess): Promise<void> {
-    const onEnded = this._checks.onStopping(this._fleet.callerAddress(entry));
-    await this._end([entry], 'SIGTERM');
-    onEnded();
+    const endStop = this._checks.onStopping(this._fleet.callerAddress(entry));
+    await this._restartProcesses([entry], 'SIGTERM');
+    endStop();
   }
 
-  private async _end(processes: readonly FleetProcess[], signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
+  private async _restartProcesses(
+    processes: readonly FleetProcess[],
+    signal: 'SIGTERM' | 'SIGKILL',
+  ): Promise<void> {
     const ended = processes.filter((process) => process.running && !process.paused);
     for (const process of ended) process.signal(signal);
     await Promise.all(ended.map((process) => process.ended()));
-    await pause(this._random.integer(RESTART_MILLISECONDS));
+    await pause(this._random.integer(MAX_RESTART_DELAY_MILLISECONDS));
     for (const process of ended) process.start();
   }
 
-  /** The boxes of all agents, while a version comes: the origin hears nothing of it. */
+  /** Cuts the power of all agents' boxes during the transfer of a version. The origin sees no closed connections. */
   private async _losePower(): Promise<void> {
-    this._checks.onNamed(this._fleet.nameWeights());
-    await pause(this._random.integer(AMID_MILLISECONDS));
-    this._fleet.abandonOrigin();
-    await this._end(this._fleet.agents, 'SIGKILL');
+    this._checks.onVersionAnnounced(this._fleet.announceWeights());
+    await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
+    this._fleet.abandonOriginConnections();
+    await this._restartProcesses(this._fleet.agents, 'SIGKILL');
   }
 
   private async _freeze(process: FleetProcess, milliseconds: number): Promise<void> {
@@ -193,103 +199,103 @@
     process.signal('SIGCONT');
   }
 
-  /** What the server asks for in its answers meanwhile goes on. */
-  private async _sicken(box: SoakBox, milliseconds: number): Promise<void> {
+  /** Gives a server a fault for a while, and keeps the signals that it sends in its answers. */
+  private async _degrade(box: SoakBox, milliseconds: number): Promise<void> {
     const { runner } = box;
-    const sick = this._pick(SICKNESSES);
-    runner.faults = { ...runner.faults, ...sick };
+    const faults = this._pick(SICKNESSES);
+    runner.faults = { ...runner.faults, ...faults };
     await pause(milliseconds);
-    const well = Object.fromEntries(Object.keys(sick).map((fault) => [fault, undefined]));
-    runner.faults = { ...runner.faults, ...well };
+    const cleared = Object.fromEntries(Object.keys(faults).map((fault) => [fault, undefined]));
+    runner.faults = { ...runner.faults, ...cleared };
   }
 
-  private async _crash(box: SoakBox, milliseconds: number): Promise<void> {
+  private async _crashServer(box: SoakBox, milliseconds: number): Promise<void> {
     const { runner } = box;
     this._fleet.crashRunner(box);
     await pause(milliseconds);
     if (box.runner === runner) await this._fleet.startRunner(box);
   }
 
-  /** The server starts again under its id, up to a few times in a row; what lay staged is lost with the power. */
-  private async _restart(box: SoakBox): Promise<void> {
-    const restarts = 1 + this._random.integer(MOST_RESTARTS);
-    for (let restart = 0; restart < restarts && !this._leaving.has(box); restart++) {
+  /** Restarts a server under its id, up to a few times in a row. Each restart keeps or loses its staged chunks. */
+  private async _restartServer(box: SoakBox): Promise<void> {
+    const restarts = 1 + this._random.integer(MAX_RESTARTS);
+    for (let restart = 0; restart < restarts && !this._drainingBoxes.has(box); restart++) {
       await this._fleet.restartRunner(box, this._random.integer(2) === 0);
-      await pause(this._random.integer(RESTART_GAP_MILLISECONDS));
+      await pause(this._random.integer(MAX_RESTART_GAP_MILLISECONDS));
     }
   }
 
-  /** Names versions one after the other, and lets servers start again, with what lay staged, while chunks of each come. */
-  private async _restartAmidVersions(): Promise<void> {
-    for (let version = 0; version < VERSIONS_AMID_RESTARTS; version++) {
-      this._checks.onNamed(this._fleet.nameWeights());
-      await pause(this._random.integer(AMID_MILLISECONDS));
+  /** Announces several versions and restarts some servers, which keep their staged chunks, during each transfer. */
+  private async _restartDuringVersions(): Promise<void> {
+    for (let version = 0; version < VERSIONS_DURING_RESTARTS; version++) {
+      this._checks.onVersionAnnounced(this._fleet.announceWeights());
+      await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
       const restarted = this._boxesOf(MODEL_SERVICE).filter(() => this._random.fraction() < RESTARTED_SHARE);
-      const staying = restarted.filter((box) => !this._leaving.has(box));
+      const staying = restarted.filter((box) => !this._drainingBoxes.has(box));
       await Promise.all(staying.map((box) => this._fleet.restartRunner(box, true)));
-      await pause(this._random.integer(AMID_MILLISECONDS));
+      await pause(this._random.integer(MAX_VERSION_PAUSE_MILLISECONDS));
     }
   }
 
-  /** Writes what nobody can understand: beside the good entries, and for a while over one of them. */
-  private async _writeForeign(milliseconds: number): Promise<void> {
+  /** Writes invalid records under new names, and for a while in place of the record of one server. */
+  private async _writeForeignRecords(milliseconds: number): Promise<void> {
     const { store, boxes } = this._fleet;
     const kinds = ['servers', 'versions', 'config'];
     for (const [index, value] of FOREIGN_VALUES.entries())
       store.put(this._pick(kinds), `foreign-${index}`, value);
     const box = this._pick(boxes);
     const { runner } = box;
-    if (this._leaving.has(box)) return;
+    if (this._drainingBoxes.has(box)) return;
     store.put('servers', runner.id, this._pick(FOREIGN_VALUES));
     await pause(milliseconds);
-    if (box.runner.id === runner.id && !this._leaving.has(box)) this._fleet.publish(box);
+    if (box.runner.id === runner.id && !this._drainingBoxes.has(box)) this._fleet.publish(box);
   }
 
-  /** Another server takes over a box once the one there has ended in order. */
-  private async _replace(box: SoakBox): Promise<void> {
+  /** Replaces the server of a box by another one, after a graceful drain. */
+  private async _replaceServer(box: SoakBox): Promise<void> {
     this._fleet.publish(box, 'draining');
-    this._checks.onLeaving(box.runner.id);
-    await this._endLeaving(box);
+    this._checks.onDraining(box.runner.id);
+    await this._replaceAfterDrain(box);
   }
 
-  /** The server leaves, and only its answers say so: its record stays as it was until it has ended. */
-  private async _leaveByAnswers(box: SoakBox): Promise<void> {
-    if (this._leaving.has(box)) return;
+  /** Drains a server that announces this only in its answers: its record stays unchanged until it has ended. */
+  private async _drainByAnswers(box: SoakBox): Promise<void> {
+    if (this._drainingBoxes.has(box)) return;
     box.runner.faults = { ...box.runner.faults, leaving: true };
-    await this._endLeaving(box);
+    await this._replaceAfterDrain(box);
   }
 
-  /** Ends a server some time after it has said that it leaves, and starts another one in its place. */
-  private async _endLeaving(box: SoakBox): Promise<void> {
+  /** Ends a server some time after it announced its drain, and starts another one in its place. */
+  private async _replaceAfterDrain(box: SoakBox): Promise<void> {
     const { runner } = box;
-    this._leaving.add(box);
-    await pause(LEAVE_MILLISECONDS);
-    this._leaving.delete(box);
+    this._drainingBoxes.add(box);
+    await pause(DRAIN_MILLISECONDS);
+    this._drainingBoxes.delete(box);
     if (box.runner !== runner) return;
     this._fleet.crashRunner(box);
     await this._fleet.startRunner(box);
   }
 
-  /** Callers come again and again with a request that ends each server which runs it, to any entry. */
-  private async _sendCrashing(): Promise<void> {
-    const round = this._crashing++;
+  /** Sends a request that crashes every server which runs it, again and again, to randomly chosen entries. */
+  private async _sendCrashingRequests(): Promise<void> {
+    const round = this._crashingRounds++;
     const body = `${ENDING_BODY} ${round}"}`;
-    for (let sent = 0; sent < CRASHING_SENDS; sent++) {
+    for (let sent = 0; sent < CRASHING_REQUESTS; sent++) {
       const id = `crashing-${round}-${sent}`;
-      this._checks.onAsked(id);
-      sendCrashing(this._fleet.callerAddress(this._pick(this._fleet.entries)), id, body);
-      await pause(CRASHING_GAP_MILLISECONDS);
+      this._checks.onSending(id);
+      sendCrashingRequest(this._fleet.callerAddress(this._pick(this._fleet.entries)), id, body);
+      await pause(CRASHING_INTERVAL_MILLISECONDS);
     }
   }
 
-  /** Spoils what lies staged again and again while a version moves, but not so late that nobody could notice. */
-  private async _rot(box: SoakBox, milliseconds: number): Promise<void> {
-    this._checks.onNamed(this._fleet.nameWeights());
-    for (let rotten = 0; rotten < milliseconds; rotten += ROT_MILLISECONDS) {
+  /** Corrupts staged chunks during the transfer of a version, while the agent can still detect that. */
+  private async _corruptStagedChunks(box: SoakBox, milliseconds: number): Promise<void> {
+    this._checks.onVersionAnnounced(this._fleet.announceWeights());
+    for (let elapsed = 0; elapsed < milliseconds; elapsed += CORRUPTION_INTERVAL_MILLISECONDS) {
       for (const piece of box.runner.staged.keys()) {
-        if (this._random.fraction() < ROT_SHARE) box.runner.spoil(piece);
+        if (this._random.fraction() < CORRUPTED_SHARE) box.runner.spoil(piece);
       }
-      await pause(ROT_MILLISECONDS);
+      await pause(CORRUPTION_INTERVAL_MILLISECONDS);
     }
   }
 
@@ -306,8 +312,8 @@
   }
 }
 
-function harmedBy(kind: FaultKind): Harmed {
+function faultScope(kind: FaultKind): FaultScope {
   if (kind === 'crashing-request') return 'servers';
   if (kind === 'roll-back-store') return 'copy';
-  return ENDING_KINDS.includes(kind) ? 'processes' : 'all';
+  return PROCESS_KILL_KINDS.includes(kind) ? 'processes' : 'all';
 }
--- a/soak/soakRun.ts
+++ b/soak/soakRun.ts
@@ -1,4 +1,4 @@
-/** One soak: a fleet, callers, faults drawn from a seed, and what was broken. */
+/** Runs a fleet under requests and random faults, and reports broken promises. */
 import { SeededRandom } from '../src/utils/random.js';
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
@@ -13,49 +13,51 @@
 import type { FleetSize } from './fleetOptions.js';
 import { BOUNDS, SoakFleet, ZONES } from './soakFleet.js';
 
-/** What a soak is made from. */
+/** Options of a soak. */
 export interface SoakOptions {
   seed: number;
-  /** Time in which faults are applied. */
+  /** Duration of the phase in which faults are applied. */
   seconds: number;
   size: FleetSize;
   callers: number;
-  /** Only work that no request may notice. */
+  /** Only planned operations, which must not fail any request. */
   plannedOnly: boolean;
-  /** The second part of its loopback addresses. */
+  /** The second octet of its loopback addresses. */
   network: number;
-  /** Faults to draw from; all that fit when left out. */
+  /** Kinds of faults to draw from. Defaults to all kinds, or to all planned ones if `plannedOnly`. */
   kinds?: readonly FaultKind[];
   log: (line: string) => void;
 }
 
-/** What came of a soak. */
+/** Result of a soak, printed as JSON. */
 export interface SoakReport {
   seed: number;
   breaches: readonly Breach[];
   calls: number;
   served: number;
-  /** Calls by their end. */
+  /** Number of calls by kind, outcome and status. */
   ends: Record<string, number>;
   originBytes: number;
-  /** Requests that end servers, the servers that ended under them, and how often they have run. */
+  /** Number of requests that crash servers, the crashes, and the runs of such requests. */
   crashing: { requests: number; crashes: number; runs: number };
-  /** Where settings and logs of the processes lie. */
+  /** Directory of the processes' settings and logs. */
   directory: string;
 }
 
-/** Time in which a configuration has to be in force. */
+/** Time within which every entry has to apply a new configuration. */
 const CONFIGURATION_MILLISECONDS = 2_000;
 const START_MILLISECONDS = 2_500;
-/** Faults under way at the same time, at the most. */
-const MOST_AT_ONCE = 3;
-const MEAN_GAP_MILLISECONDS = 900;
-/** After the last fault: links are opened anew, versions brought, servers found. */
+/** Maximum number of faults that are active at the same time. */
+const MAX_CONCURRENT_FAULTS = 3;
+const MEAN_FAULT_INTERVAL_MILLISECONDS = 900;
+/** Time after the last fault to reconnect, transfer versions and discover servers. */
 const SETTLE_MILLISECONDS = 6_000;
+/** Time after that in which requests must be served again. */
 const RECOVERED_MILLISECONDS = 2_000;
-const LEAST_SERVED_SHARE = 0.9;
+const MIN_SERVED_SHARE = 0.9;
 const CALLER_PAUSE_MILLISECONDS = 60;
 
+/** Runs a soak and stops its fleet. */
 export async function soak(options: SoakOptions): Promise<SoakReport> {
   const random = new SeededRandom(options.seed);
   const checks = new PromiseChecks({
@@ -72,23 +74,23 @@
     listener: {
       onExecution: (execution) => checks.onExecution(execution),
       onCrash: (body) => checks.onCrash(body),
-      onUnwhole: (runner, version) => checks.onUnwhole(runner, version),
+      onIncompleteVersion: (runner, version) => checks.onIncompleteVersion(runner, version),
       onArrival: (arrival) => signals.onArrival(arrival),
-      onSpoken: (spoken) => signals.onSpoken(spoken),
+      onSignals: (spoken) => signals.onSignals(spoken),
     },
   });
   try {
     await fleet.start();
-    checks.onNamed(fleet.weightsVersion);
+    checks.onVersionAnnounced(fleet.weightsVersion);
     await pause(START_MILLISECONDS);
     const faults = new SoakFaults(fleet, checks, signals, random, options.log);
-    return await withCallers({ options, fleet, checks, signals, faults, random });
+    return await runWithCallers({ options, fleet, checks, signals, faults, random });
   } finally {
     await fleet.stop();
   }
 }
 
-/** A soak under way. */
+/** The parts of a running soak. */
 interface RunningSoak {
   options: SoakOptions;
   fleet: SoakFleet;
@@ -98,7 +100,7 @@
   random: Random;
 }
 
-async function withCallers(running: RunningSoak): Promise<SoakReport> {
+async function runWithCallers(running: RunningSoak): Promise<SoakReport> {
   const { options, fleet, checks, signals, faults, random } = running;
   const callers = createCallers(options, fleet, checks);
   const ended = Promise.all(callers.map((caller) => caller.run()));
@@ -112,11 +114,11 @@
     for (const caller of callers) caller.stop();
     await ended;
   }
-  checks.checkRecovery(settledAt, LEAST_SERVED_SHARE);
+  checks.checkRecovery(settledAt, MIN_SERVED_SHARE);
   checks.checkSignals(signals);
-  if (options.plannedOnly) checks.checkPlanned((id) => fleet.wasRead(id));
-  for (const { name, unexpectedEnds } of [...fleet.entries, ...fleet.agents])
-    if (unexpectedEnds > 0) checks.onOwnEnd(`${name} ended ${unexpectedEnds} times by itself`);
+  if (options.plannedOnly) checks.checkPlanned((id) => fleet.hasLogged(id));
+  for (const { name, unexpectedExits } of [...fleet.entries, ...fleet.agents])
+    if (unexpectedExits > 0) checks.onUnexpectedExit(`${name} ended ${unexpectedExits} times unexpectedly`);
   return report(options, fleet, checks);
 }
 
@@ -131,7 +133,7 @@
         random: new SeededRandom(options.seed * 1_000 + index),
         newId: () => {
           const id = `call-${options.seed}-${ids++}`;
-          checks.onAsked(id);
+          checks.onSending(id);
           return id;
         },
         onCall: (call: Call) => checks.onCall(call),
@@ -141,37 +143,37 @@
   );
 }
 
-/** Draws faults until the time is over; resolves when all have been lifted. */
+/** Applies random faults for the duration of the soak, and resolves when all of them are over. */
 async function applyFaults(options: SoakOptions, faults: SoakFaults, random: Random): Promise<void> {
   const kinds = options.kinds ?? (options.plannedOnly ? PLANNED_KINDS : FAULT_KINDS);
   const until = Date.now() + options.seconds * 1_000;
-  const underWay = new Set<Promise<void>>();
+  const active = new Set<Promise<void>>();
   const failures: unknown[] = [];
   while (Date.now() < until) {
-    if (underWay.size < MOST_AT_ONCE) {
+    if (active.size < MAX_CONCURRENT_FAULTS) {
       const fault = faults
         .apply(kinds[random.integer(kinds.length)])
         .catch((error: unknown) => void failures.push(error))
-        .finally(() => underWay.delete(fault));
-      underWay.add(fault);
+        .finally(() => active.delete(fault));
+      active.add(fault);
     }
-    await pause(random.integer(2 * MEAN_GAP_MILLISECONDS));
+    await pause(random.integer(2 * MEAN_FAULT_INTERVAL_MILLISECONDS));
   }
-  await Promise.all(underWay);
+  await Promise.all(active);
   if (failures.length > 0) throw failures[0];
 }
 
 function report(options: SoakOptions, fleet: SoakFleet, checks: PromiseChecks): SoakReport {
   const ends: Record<string, number> = {};
-  for (const { kind, end, status } of checks.calls) {
-    const key = `${kind} ${end} ${status}`;
+  for (const { kind, outcome, status } of checks.calls) {
+    const key = `${kind} ${outcome} ${status}`;
     ends[key] = (ends[key] ?? 0) + 1;
   }
   return {
     seed: options.seed,
     breaches: checks.breaches,
     calls: checks.calls.length,
-    served: checks.calls.filter((call) => call.end === 'whole').length,
+    served: checks.calls.filter((call) => call.outcome === 'whole').length,
     ends,
     originBytes: fleet.origin.bytesSent,
     crashing: checks.crashing,
