--- a/src/backpressure/serverSignals.ts
+++ b/src/backpressure/serverSignals.ts
@@ -5,7 +5,7 @@
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import { placementHash } from '../utils/hash.js';
-import { Gathered } from '../utils/gathered.js';
+import { CoalescedCall } from '../utils/coalescedCall.js';
 import type { LimitShare } from './limitShare.js';
 import { ServerBackpressure } from './serverBackpressure.js';
 
@@ -46,7 +46,7 @@
   private readonly _byServer = new LRUCache<string, KnownServer>({ max: MOST_SERVERS });
   /** Servers whose notice is to be told. */
   private readonly _changed = new Set<string>();
-  private readonly _telling = new Gathered(
+  private readonly _telling = new CoalescedCall(
     () => GATHER_MILLISECONDS,
     () => this._tell(),
   );
@@ -125,7 +125,7 @@
 
   private _onChange(server: string): void {
     this._changed.add(server);
-    this._telling.call();
+    this._telling.schedule();
   }
 
   private _tell(): void {
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -15,7 +15,7 @@
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
-import { atMost } from '../utils/timers.js';
+import { waitAtMost } from '../utils/timers.js';
 import { SuccessCredits } from './successCredits.js';
 import type { ServerProcess } from './serverExitChecker.js';
 import { ServerExitChecker } from './serverExitChecker.js';
@@ -143,7 +143,7 @@
     const ends = this._writer.get(fingerprint)?.ends.length ?? 0;
     this._recordExitCount(fingerprint, ends);
     log.decision('suspicion.end', { fingerprint, ...exit, ends });
-    await atMost(written, WRITE_WAIT_MILLISECONDS);
+    await waitAtMost(written, WRITE_WAIT_MILLISECONDS);
   }
 
   /** Claims the trial of a suspected request; `runDecision` tells afterwards whether the request got it. */
@@ -160,7 +160,7 @@
       fingerprint,
       (suspicion) => suspicion && withTrial(suspicion, trial, expired),
     );
-    await atMost(claimed, WRITE_WAIT_MILLISECONDS);
+    await waitAtMost(claimed, WRITE_WAIT_MILLISECONDS);
   }
 
   /** Ends a trial whose request may claim another one. */
@@ -195,7 +195,7 @@
     let wake: () => void = () => undefined;
     const woken = new Promise<void>((resolve) => (wake = resolve));
     waiting.add(wake);
-    await atMost(woken, Math.min(milliseconds, RECHECK_INTERVAL_MILLISECONDS));
+    await waitAtMost(woken, Math.min(milliseconds, RECHECK_INTERVAL_MILLISECONDS));
     waiting.delete(wake);
     if (waiting.size === 0) this._waiting.delete(fingerprint);
   }
--- a/src/serving/boxLinks.ts
+++ b/src/serving/boxLinks.ts
@@ -15,7 +15,7 @@
 import { Backoff } from '../utils/backoff.js';
 import { splitAddress } from '../utils/hostPort.js';
 import type { Random } from '../utils/random.js';
-import { Gathered } from '../utils/gathered.js';
+import { CoalescedCall } from '../utils/coalescedCall.js';
 import { errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 
@@ -61,7 +61,7 @@
 export class BoxLinks {
   private readonly _options: BoxLinksOptions;
   private readonly _links = new Map<string, Link>();
-  private readonly _announcement = new Gathered(
+  private readonly _announcement = new CoalescedCall(
     () => GATHER_MILLISECONDS,
     () => {
       for (const link of this._links.values()) this._tell(link);
@@ -116,12 +116,12 @@
 
   /** Tells the agents what has changed, together with other changes of these milliseconds. */
   announce(): void {
-    this._announcement.call();
+    this._announcement.schedule();
   }
 
   /** Tells the agents what has changed. */
   announceNow(): void {
-    this._announcement.now();
+    this._announcement.flush();
   }
 
   close(): void {
--- a/src/staging/connectedEntries.ts
+++ b/src/staging/connectedEntries.ts
@@ -4,7 +4,7 @@
 import type { Message } from '../protocol/message.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
-import { Gathered } from '../utils/gathered.js';
+import { CoalescedCall } from '../utils/coalescedCall.js';
 import { compareText } from '../utils/rendezvous.js';
 import { ServerNotices } from './serverNotices.js';
 import type { StatusAudience } from './statusSender.js';
@@ -35,7 +35,7 @@
   private readonly _log: EventLog;
   private readonly _serverNotices: ServerNotices;
   private readonly _entries = new Map<ControlConnection, ConnectedEntry>();
-  private readonly _changed = new Gathered(
+  private readonly _changed = new CoalescedCall(
     () => gatherMilliseconds(this._listeners().length),
     () => this._tell(),
   );
@@ -72,7 +72,7 @@
     });
     if (hearsEntries && !known?.hearsEntries) this._sendNotices(connection);
     this._askEnough();
-    this._changed.call();
+    this._changed.schedule();
     return hearsStatus && !known?.hearsStatus;
   }
 
@@ -83,7 +83,7 @@
     if (box !== undefined && !this._isConnected(box))
       this._log.state('entry.disconnected', { entry: box, reason });
     this._askEnough();
-    this._changed.call();
+    this._changed.schedule();
   }
 
   /** Sends a message to all entries that send requests to the backend server of this box. */
--- a/src/utils/gathered.ts
+++ b/src/utils/coalescedCall.ts
@@ -1,6 +1,6 @@
 /** Several calls within a short time become one. */
 
-export class Gathered {
+export class CoalescedCall {
   private readonly _run: () => void;
   private readonly _milliseconds: () => number;
   private _timer: NodeJS.Timeout | undefined;
@@ -11,12 +11,12 @@
     this._run = run;
   }
 
-  call(): void {
-    this._timer ??= setTimeout(() => this.now(), this._milliseconds());
+  schedule(): void {
+    this._timer ??= setTimeout(() => this.flush(), this._milliseconds());
   }
 
   /** Runs at once, also for calls that wait. */
-  now(): void {
+  flush(): void {
     this.cancel();
     this._run();
   }
--- a/src/utils/rateLimiter.ts
+++ b/src/utils/rateLimiter.ts
@@ -19,7 +19,7 @@
   }
 
   /** Books `bytes` and returns how many milliseconds the caller has to wait before moving them. */
-  book(bytes: number): number {
+  reserve(bytes: number): number {
     if (this._bytesPerMillisecond === 0) return 0;
     const now = this._clock.now();
     this._freeAt = Math.max(this._freeAt, now - BURST_MILLISECONDS) + bytes / this._bytesPerMillisecond;
@@ -28,7 +28,7 @@
 
   /** Waits until `bytes` may be moved. */
   async acquire(bytes: number, signal?: AbortSignal): Promise<void> {
-    const wait = this.book(bytes);
+    const wait = this.reserve(bytes);
     if (wait >= 1) await pause(wait, signal);
   }
 }
--- a/src/utils/timers.ts
+++ b/src/utils/timers.ts
@@ -11,7 +11,7 @@
 }
 
 /** Resolves when `work` does, and after `milliseconds` at the latest. */
-export async function atMost(work: Promise<void>, milliseconds: number): Promise<void> {
+export async function waitAtMost(work: Promise<void>, milliseconds: number): Promise<void> {
   const ended = new AbortController();
   try {
     await Promise.race([work, pause(milliseconds, ended.signal)]);
