--- a/src/configuration/apiFollower.ts
+++ b/src/configuration/apiFollower.ts
@@ -48,7 +48,7 @@
   }
 
   /** Milliseconds since the API last answered. */
-  get silence(): number {
+  get millisecondsSinceAnswer(): number {
     return this._clock.now() - this._lastAnswerAt;
   }
 
--- a/src/configuration/changeHandler.ts
+++ b/src/configuration/changeHandler.ts
@@ -4,7 +4,7 @@
 import type { ReplicatedRecord } from '../protocol/records.js';
 import type { FieldProblem } from './resolveSpecification.js';
 import type { Replica } from './replica.js';
-import type { SafeOutcome, SafeWriter } from './safeWriter.js';
+import type { ConditionalWriteOutcome, ConditionalWriter } from './conditionalWriter.js';
 
 /** A change as an operator asks for it. */
 export interface ChangeRequest {
@@ -42,10 +42,10 @@
 /** Writes changes and waits until they are safe. */
 export class ChangeHandler {
   private readonly _replica: Replica;
-  private readonly _writer: SafeWriter;
+  private readonly _writer: ConditionalWriter;
   private readonly _confirmer: Confirmer;
 
-  constructor(replica: Replica, writer: SafeWriter, confirmer: Confirmer) {
+  constructor(replica: Replica, writer: ConditionalWriter, confirmer: Confirmer) {
     this._replica = replica;
     this._writer = writer;
     this._confirmer = confirmer;
@@ -62,7 +62,7 @@
     return outcome.kind === 'written' ? await this._confirmed(outcome.record) : err(refusalOf(outcome));
   }
 
-  private async _write(request: ChangeRequest, expected: number): Promise<SafeOutcome> {
+  private async _write(request: ChangeRequest, expected: number): Promise<ConditionalWriteOutcome> {
     if (request.value === undefined) return await this._writer.delete(request.key, expected);
     return await this._writer.put(request.key, { ...request.value, changeId: request.changeId }, expected);
   }
@@ -81,7 +81,7 @@
   }
 }
 
-function refusalOf(outcome: Exclude<SafeOutcome, { kind: 'written' }>): ChangeRefusal {
+function refusalOf(outcome: Exclude<ConditionalWriteOutcome, { kind: 'written' }>): ChangeRefusal {
   if (outcome.kind === 'conflict')
     return { kind: 'conflict', currentRevision: outcome.current?.revision ?? 0 };
   if (outcome.kind === 'refused') return { kind: 'unavailable', reason: outcome.reason };
--- a/src/configuration/safeWriter.ts
+++ b/src/configuration/conditionalWriter.ts
@@ -5,14 +5,14 @@
 import type { Replica } from './replica.js';
 
 /** What came of a write. `unresolved`: the API could not be asked whether it took effect. */
-export type SafeOutcome =
+export type ConditionalWriteOutcome =
   | { kind: 'written'; record: ReplicatedRecord }
   | { kind: 'conflict'; current: ReplicatedRecord | undefined }
   | { kind: 'refused'; reason: string }
   | { kind: 'unresolved'; reason: string };
 
 /** A value that names the change that made it, so that a lost answer can be resolved by reading it back. */
-export interface ChangeMarked {
+export interface WithChangeId {
   changeId: string;
 }
 
@@ -29,7 +29,7 @@
 const READ_BACK_PAUSE_MILLISECONDS = 150;
 
 /** Writes objects and brings what it learns into the replica. */
-export class SafeWriter {
+export class ConditionalWriter {
   private readonly _api: ObjectApi;
   private readonly _replica: Replica;
 
@@ -39,7 +39,7 @@
   }
 
   /** Writes `value` over revision `expectedRevision`; 0 means that the object must not exist. */
-  async put(key: string, value: ChangeMarked, expectedRevision: number): Promise<SafeOutcome> {
+  async put(key: string, value: WithChangeId, expectedRevision: number): Promise<ConditionalWriteOutcome> {
     return await this._settle({
       key,
       expectedRevision,
@@ -50,7 +50,7 @@
   }
 
   /** Deletes the object at revision `expectedRevision`. */
-  async delete(key: string, expectedRevision: number): Promise<SafeOutcome> {
+  async delete(key: string, expectedRevision: number): Promise<ConditionalWriteOutcome> {
     return await this._settle({
       key,
       expectedRevision,
@@ -61,7 +61,7 @@
   }
 
   /** Sends a write; when its outcome is unknown, reads back and sends it again until it is known. */
-  private async _settle(write: PendingWrite): Promise<SafeOutcome> {
+  private async _settle(write: PendingWrite): Promise<ConditionalWriteOutcome> {
     let outcome = await write.send();
     if (outcome.kind === 'refused') return { kind: 'refused', reason: outcome.reason };
     for (let attempt = 0; attempt < READ_BACK_TRIES; attempt++) {
@@ -80,7 +80,7 @@
     return { kind: 'unresolved', reason: 'no answer to the write, and none to reading it back' };
   }
 
-  private _written(record: ReplicatedRecord): SafeOutcome {
+  private _written(record: ReplicatedRecord): ConditionalWriteOutcome {
     this._replica.apply(record, 'self');
     return { kind: 'written', record };
   }
@@ -104,5 +104,5 @@
 }
 
 function changeIdOf(value: unknown): string | undefined {
-  return (value as ChangeMarked | undefined)?.changeId;
+  return (value as WithChangeId | undefined)?.changeId;
 }
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -75,7 +75,7 @@
   }
 
   /** The records of the buckets in which `digest` differs from ours. */
-  recordsBeside(digest: readonly number[]): ReplicatedRecord[] {
+  recordsDifferingFrom(digest: readonly number[]): ReplicatedRecord[] {
     const differing = new Set<number>();
     this._buckets.forEach((hash, bucket) => {
       if (digest[bucket] !== hash) differing.add(bucket);
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -5,7 +5,7 @@
 import { ParsedRecords } from '../configuration/parsedRecords.js';
 import { configurationKey } from '../configuration/recordKeys.js';
 import { Replica } from '../configuration/replica.js';
-import { SafeWriter } from '../configuration/safeWriter.js';
+import { ConditionalWriter } from '../configuration/conditionalWriter.js';
 import { AgentLinks } from '../membership/agentLinks.js';
 import { BoxListFollower } from '../membership/boxListFollower.js';
 import { isWatcher, replicationPeers } from '../membership/replicationPeers.js';
@@ -89,7 +89,7 @@
     this._random = new SeededRandom(settings.seed + placementHash(settings.box));
     this._logger = new Logger('entry', { box: settings.box, dataCentre: settings.dataCentre });
     const api = new HttpObjectApi(settings.objectApiUrl);
-    const writer = new SafeWriter(api, this._replica);
+    const writer = new ConditionalWriter(api, this._replica);
     const services = { clock: this._clock, random: this._random, logger: this._logger };
     this._boxes = new BoxListFollower(
       new HttpBoxList(settings.boxListUrl),
@@ -111,7 +111,7 @@
       replica: this._replica,
       rollouts: this._rollouts,
       ledgers: this._ledgers,
-      writer: new SafeWriter(new PacedObjectApi(api), this._replica),
+      writer: new ConditionalWriter(new PacedObjectApi(api), this._replica),
       leaseWriter: writer,
       specifications: this._specifications,
       boxes: this._boxes,
@@ -173,7 +173,7 @@
     this._logger.state('entry.stopped');
   }
 
-  private _createHttp(writer: SafeWriter): EntryHttpServer {
+  private _createHttp(writer: ConditionalWriter): EntryHttpServer {
     const { _replica: replica, _specifications: specifications, _routes: routes, _settings: settings } = this;
     const common = { clock: this._clock, random: this._random, metrics: this._metrics };
     const router = new RequestRouter({
@@ -283,7 +283,7 @@
   /** Cut off from the object API and from the entries of every other data centre for too long. */
   private _isIsolated(): boolean {
     const { isolatedMilliseconds, dataCentre } = this._settings;
-    if (this._follower.silence < isolatedMilliseconds) return false;
+    if (this._follower.millisecondsSinceAnswer < isolatedMilliseconds) return false;
     const hasOtherDataCentres = this._boxes
       .withRole('entry')
       .some((entry) => entry.dataCentre !== dataCentre);
--- a/src/lease/leaseKeeper.ts
+++ b/src/lease/leaseKeeper.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from 'node:crypto';
 import { createActor } from 'xstate';
 import type { Replica } from '../configuration/replica.js';
-import type { SafeOutcome, SafeWriter } from '../configuration/safeWriter.js';
+import type { ConditionalWriteOutcome, ConditionalWriter } from '../configuration/conditionalWriter.js';
 import type { Logger } from '../telemetry/logger.js';
 import type { Clock } from '../utils/clock.js';
 import { leaseMachine } from './leaseMachine.js';
@@ -17,7 +17,7 @@
   holder: string;
   lifetimeMilliseconds: number;
   replica: Replica;
-  writer: SafeWriter;
+  writer: ConditionalWriter;
   clock: Clock;
   logger: Logger;
 }
@@ -106,11 +106,14 @@
     this._settle(outcome, sentAt, undefined);
   }
 
-  private async _put(record: Omit<LeaseRecord, 'changeId'>, revision: number): Promise<SafeOutcome> {
+  private async _put(
+    record: Omit<LeaseRecord, 'changeId'>,
+    revision: number,
+  ): Promise<ConditionalWriteOutcome> {
     return await this._options.writer.put(this._options.key, { ...record, changeId: randomUUID() }, revision);
   }
 
-  private _settle(outcome: SafeOutcome, sentAt: number, event: 'ACQUIRED' | undefined): void {
+  private _settle(outcome: ConditionalWriteOutcome, sentAt: number, event: 'ACQUIRED' | undefined): void {
     if (outcome.kind !== 'written') {
       this._end('LOST');
       return;
--- a/src/membership/replicator.ts
+++ b/src/membership/replicator.ts
@@ -162,7 +162,7 @@
       for (const record of message.records) replica.apply(record as ReplicatedRecord, from);
       if (message.call !== undefined) peer.connection.reply(message.call, { accepted: true });
     } else if (message.type === 'digest') {
-      this._sendRecords(peer, replica.recordsBeside(message.buckets));
+      this._sendRecords(peer, replica.recordsDifferingFrom(message.buckets));
     } else if (message.type === 'revision-query') {
       const revision = replica.record(message.key)?.revision ?? 0;
       peer.connection.reply(message.call, { accepted: true, revision });
--- a/src/rollout/coordinatorPool.ts
+++ b/src/rollout/coordinatorPool.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
 import { LeaseKeeper } from '../lease/leaseKeeper.js';
-import type { SafeWriter } from '../configuration/safeWriter.js';
+import type { ConditionalWriter } from '../configuration/conditionalWriter.js';
 import type { Box } from '../external/boxList.js';
 import { errorText } from '../utils/stepError.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
@@ -18,7 +18,7 @@
   box: string;
   leaseMilliseconds: number;
   /** Writes leases without waiting for other writes. */
-  leaseWriter: SafeWriter;
+  leaseWriter: ConditionalWriter;
   /** Entries that may coordinate: live and not leaving. */
   entries: () => Box[];
   isLeaving: () => boolean;
--- a/src/rollout/ledgerAssigner.ts
+++ b/src/rollout/ledgerAssigner.ts
@@ -4,7 +4,7 @@
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
 import type { ParsedRecords } from '../configuration/parsedRecords.js';
 import type { Replica } from '../configuration/replica.js';
-import type { SafeWriter } from '../configuration/safeWriter.js';
+import type { ConditionalWriter } from '../configuration/conditionalWriter.js';
 import type { AgentLinks } from '../membership/agentLinks.js';
 import type { BoxListFollower } from '../membership/boxListFollower.js';
 import type { LedgerSlot, ReplyMessage } from '../protocol/rolloutMessages.js';
@@ -19,7 +19,7 @@
 export interface LedgerAssignerServices {
   replica: Replica;
   ledgers: ParsedRecords<LedgerRecord>;
-  writer: SafeWriter;
+  writer: ConditionalWriter;
   boxes: BoxListFollower;
   links: AgentLinks;
   logger: Logger;
--- a/src/rollout/rolloutCoordinator.ts
+++ b/src/rollout/rolloutCoordinator.ts
@@ -4,7 +4,7 @@
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
 import type { ParsedRecords } from '../configuration/parsedRecords.js';
 import type { Replica } from '../configuration/replica.js';
-import type { SafeWriter } from '../configuration/safeWriter.js';
+import type { ConditionalWriter } from '../configuration/conditionalWriter.js';
 import type { Specification } from '../configuration/template.js';
 import type { AgentLink } from '../membership/agentLink.js';
 import type { AgentLinks } from '../membership/agentLinks.js';
@@ -29,7 +29,7 @@
   replica: Replica;
   rollouts: ParsedRecords<RolloutRecord>;
   ledgers: ParsedRecords<LedgerRecord>;
-  writer: SafeWriter;
+  writer: ConditionalWriter;
   specifications: Specifications;
   boxes: BoxListFollower;
   links: AgentLinks;
--- a/tests/safeWriter.spec.ts
+++ b/tests/conditionalWriter.spec.ts
@@ -2,14 +2,14 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { Replica } from '../src/configuration/replica.js';
-import { SafeWriter } from '../src/configuration/safeWriter.js';
-import type { SafeOutcome } from '../src/configuration/safeWriter.js';
+import { ConditionalWriter } from '../src/configuration/conditionalWriter.js';
+import type { ConditionalWriteOutcome } from '../src/configuration/conditionalWriter.js';
 import { MemoryObjectApi } from './fixtures/memoryObjectApi.js';
 import type { WriteFault } from './fixtures/memoryObjectApi.js';
 
 const KEY = 'configuration/studio/advisor';
 
-const WRITE_FAULTS: { fault: WriteFault; outcome: SafeOutcome['kind']; stored: boolean }[] = [
+const WRITE_FAULTS: { fault: WriteFault; outcome: ConditionalWriteOutcome['kind']; stored: boolean }[] = [
   { fault: 'none', outcome: 'written', stored: true },
   { fault: 'refuse', outcome: 'refused', stored: false },
   { fault: 'lose-answer', outcome: 'written', stored: true },
@@ -20,7 +20,7 @@
 for (const { fault, outcome, stored } of WRITE_FAULTS) {
   test(`should know the outcome of a write: ${fault}`, async () => {
     const api = new MemoryObjectApi();
-    const writer = new SafeWriter(api, new Replica());
+    const writer = new ConditionalWriter(api, new Replica());
     api.writeFaults = [fault];
     const result = await writer.put(KEY, { changeId: 'a' }, 0);
     expect(result.kind).toEqual(outcome);
@@ -34,7 +34,7 @@
   const outcome = await api.put(KEY, { changeId: 'lost' }, 0);
   expect(outcome.kind).toEqual('unknown');
   await api.put(KEY, { changeId: 'other' }, 0);
-  const result = await new SafeWriter(api, new Replica()).put(KEY, { changeId: 'mine' }, 0);
+  const result = await new ConditionalWriter(api, new Replica()).put(KEY, { changeId: 'mine' }, 0);
   expect(result.kind).toEqual('conflict');
 });
 
@@ -42,13 +42,13 @@
   const api = new MemoryObjectApi();
   api.writeFaults = ['lose-answer'];
   api.readable = false;
-  const result = await new SafeWriter(api, new Replica()).put(KEY, { changeId: 'a' }, 0);
+  const result = await new ConditionalWriter(api, new Replica()).put(KEY, { changeId: 'a' }, 0);
   expect(result.kind).toEqual('unresolved');
 });
 
 test('should take a change that was made before under the same change id as made', async () => {
   const api = new MemoryObjectApi();
-  const writer = new SafeWriter(api, new Replica());
+  const writer = new ConditionalWriter(api, new Replica());
   await writer.put(KEY, { changeId: 'a' }, 0);
   const again = await writer.put(KEY, { changeId: 'a' }, 0);
   expect(again.kind).toEqual('written');
@@ -57,7 +57,7 @@
 test('should resolve a deletion whose answer was lost', async () => {
   const api = new MemoryObjectApi();
   const replica = new Replica();
-  const writer = new SafeWriter(api, replica);
+  const writer = new ConditionalWriter(api, replica);
   const written = await writer.put(KEY, { changeId: 'a' }, 0);
   api.writeFaults = ['lose-answer'];
   const revision = written.kind === 'written' ? written.record.revision : -1;
--- a/tests/lease.spec.ts
+++ b/tests/lease.spec.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { Replica } from '../src/configuration/replica.js';
-import { SafeWriter } from '../src/configuration/safeWriter.js';
+import { ConditionalWriter } from '../src/configuration/conditionalWriter.js';
 import { LeaseKeeper } from '../src/lease/leaseKeeper.js';
 import { Logger } from '../src/telemetry/logger.js';
 import { ManualClock } from '../src/utils/clock.js';
@@ -28,7 +28,7 @@
   const clock = new ManualClock();
   const entry = (holder: string): Entry => {
     const replica = new Replica();
-    const writer = new SafeWriter(api, replica);
+    const writer = new ConditionalWriter(api, replica);
     const logger = new Logger('test');
     return {
       replica,
--- a/tests/replica.spec.ts
+++ b/tests/replica.spec.ts
@@ -57,7 +57,7 @@
     one.apply(record(index, false, `kind/${index}`), 'api');
     if (index % 7 !== 0) two.apply(record(index, false, `kind/${index}`), 'api');
   }
-  for (const missed of one.recordsBeside(two.digest())) two.apply(missed, 'one');
+  for (const missed of one.recordsDifferingFrom(two.digest())) two.apply(missed, 'one');
   expect(two.digest()).toEqual(one.digest());
-  expect(one.recordsBeside(two.digest())).toEqual([]);
+  expect(one.recordsDifferingFrom(two.digest())).toEqual([]);
 });
