--- a/src/rollout/drawPlan.ts
+++ b/src/rollout/chunkCoverage.ts
@@ -8,7 +8,7 @@
 }
 
 /** Tracks holders and open grants by box. */
-export class DrawPlan {
+export class ChunkCoverage {
   private readonly _chunkCount: number;
   private readonly _held = new Map<string, Bitset>();
   private readonly _open = new Map<string, Set<number>>();
@@ -18,32 +18,32 @@
   }
 
   /** Takes what a box holds and which of its draws are open. */
-  update(box: string, holdings: Holdings): void {
+  setHoldings(box: string, holdings: Holdings): void {
     this._held.set(box, Bitset.fromBytes(this._chunkCount, holdings.held));
     this._open.set(box, new Set(holdings.openDraws));
   }
 
   /** Notes a grant. */
-  granted(box: string, chunks: readonly number[]): void {
+  addDraws(box: string, chunks: readonly number[]): void {
     const open = this._open.get(box) ?? new Set<number>();
     for (const chunk of chunks) open.add(chunk);
     this._open.set(box, open);
   }
 
   /** Notes that a box ended draws without a chunk. */
-  failed(box: string, chunks: readonly number[]): void {
+  removeDraws(box: string, chunks: readonly number[]): void {
     for (const chunk of chunks) this._open.get(box)?.delete(chunk);
   }
 
   /** Forgets a box that is lost or draws no longer. Returns whether it had open draws or chunks of its own. */
-  forget(box: string): boolean {
+  removeBox(box: string): boolean {
     const mattered = (this._open.get(box)?.size ?? 0) > 0 || (this._held.get(box)?.count ?? 0) > 0;
     this._open.delete(box);
     this._held.delete(box);
     return mattered;
   }
 
-  knows(box: string): boolean {
+  hasBox(box: string): boolean {
     return this._held.has(box);
   }
 
--- a/src/rollout/coordinatorPool.ts
+++ b/src/rollout/coordinatorPool.ts
@@ -8,7 +8,7 @@
 import { rendezvousOrder } from '../utils/rendezvous.js';
 import type { CoordinatorServices } from './rolloutCoordinator.js';
 import { RolloutCoordinator } from './rolloutCoordinator.js';
-import { needsWork } from './workCheck.js';
+import { needsCoordinator } from './needsCoordinator.js';
 import type { WantedConfiguration } from './specifications.js';
 
 /** What a pool works with. */
@@ -94,7 +94,7 @@
 
   /** Nothing is kept of a configuration that needs no work. */
   private _stepOne(wanted: WantedConfiguration): void {
-    const work = needsWork(wanted, this._options);
+    const work = needsCoordinator(wanted, this._options);
     const key = shortName(wanted.name);
     const managed = this._managed.get(key) ?? (work ? this._manage(wanted.name) : undefined);
     if (!managed) return;
--- a/src/rollout/drawGranter.ts
+++ b/src/rollout/drawGranter.ts
@@ -7,7 +7,7 @@
 import { errorText } from '../utils/stepError.js';
 import type { ManifestIndex } from '../weights/manifestIndex.js';
 import { topologyPolicy } from '../weights/topologies.js';
-import { DrawPlan } from './drawPlan.js';
+import { ChunkCoverage } from './chunkCoverage.js';
 import { OriginBudget } from './originBudget.js';
 import type { RolloutBox } from './rolloutView.js';
 
@@ -25,7 +25,7 @@
 }
 
 /** Grants that are booked and wait to be written and sent. */
-export interface DueGrants {
+export interface PendingGrants {
   /** Chunks by box. */
   chunks: Map<string, number[]>;
   /** The table for the rollout object. */
@@ -43,7 +43,7 @@
 export class DrawGranter {
   readonly rollout: string;
   private readonly _options: DrawGranterOptions;
-  private readonly _plan: DrawPlan;
+  private readonly _plan: ChunkCoverage;
   private _budget: OriginBudget;
   private readonly _firstSeenAt: number;
   private readonly _incarnations = new Map<string, string>();
@@ -56,25 +56,29 @@
   constructor(options: DrawGranterOptions) {
     this.rollout = options.rollout;
     this._options = options;
-    this._plan = new DrawPlan(options.index.chunkCount);
+    this._plan = new ChunkCoverage(options.index.chunkCount);
     this._written = options.granted;
     this._budget = this._createBudget(options.granted);
     this._firstSeenAt = options.clock.now();
   }
 
   /** Takes an agent's answer to a plan or a question. */
-  learn(box: string, reply: ReplyMessage): void {
+  applyReply(box: string, reply: ReplyMessage): void {
     if (!reply.held || !reply.incarnation) return;
     const openDraws = reply.openDraws ?? [];
     this._incarnations.set(box, reply.incarnation);
-    this._plan.update(box, { held: reply.held, openDraws });
+    this._plan.setHoldings(box, { held: reply.held, openDraws });
     const drawer = `${box}/${reply.incarnation}`;
-    this._budget.settle({ drawer, originBytes: reply.originBytes ?? 0, openBytes: this._bytes(openDraws) });
+    this._budget.recordUsage({
+      agent: drawer,
+      originBytes: reply.originBytes ?? 0,
+      openBytes: this._bytes(openDraws),
+    });
   }
 
   /** Returns what has to be granted now, booked against the budget. */
-  async due(boxes: readonly RolloutBox[]): Promise<DueGrants | 'over-budget' | undefined> {
-    const live = boxes.filter((box) => box.live && this._plan.knows(box.box));
+  async nextGrants(boxes: readonly RolloutBox[]): Promise<PendingGrants | 'over-budget' | undefined> {
+    const live = boxes.filter((box) => box.live && this._plan.hasBox(box.box));
     if (!this._begun && !this._answersAreIn(boxes, live)) return undefined;
     this._dropLost(boxes);
     this._takeFailures(live);
@@ -89,7 +93,7 @@
   }
 
   /** Sends grants that have been written down. */
-  async send(due: DueGrants, boxes: readonly RolloutBox[]): Promise<void> {
+  async send(due: PendingGrants, boxes: readonly RolloutBox[]): Promise<void> {
     this._begun = true;
     this._written = due.granted;
     const sends = [...due.chunks].map(([box, chunks]) => this._sendOne(box, chunks, boxes));
@@ -97,7 +101,7 @@
   }
 
   /** Called when the booking could not be written: nothing was sent. The next round books again. */
-  forgetBooking(): void {
+  discardReservation(): void {
     this._budget = this._createBudget(this._written);
     this._needsHoldings = true;
   }
@@ -109,7 +113,7 @@
 
   private _answersAreIn(boxes: readonly RolloutBox[], live: readonly RolloutBox[]): boolean {
     const awaited = boxes.filter((box) => box.expected);
-    if (live.length > 0 && awaited.every((box) => this._plan.knows(box.box))) return true;
+    if (live.length > 0 && awaited.every((box) => this._plan.hasBox(box.box))) return true;
     return live.length > 0 && this._options.clock.now() - this._firstSeenAt > FIRST_ANSWERS_MILLISECONDS;
   }
 
@@ -118,7 +122,7 @@
     const usable = new Set(boxes.filter((box) => this._isUsable(box)).map((box) => box.box));
     for (const box of this._plan.boxes()) {
       if (usable.has(box)) continue;
-      if (this._plan.forget(box)) this._needsHoldings = true;
+      if (this._plan.removeBox(box)) this._needsHoldings = true;
       this._options.logger.decision('drawer.dropped', { rollout: this.rollout, peer: box });
     }
   }
@@ -141,7 +145,7 @@
   }
 
   private _takeFailures(live: readonly RolloutBox[]): void {
-    for (const box of live) this._plan.failed(box.box, this._failuresOf(box));
+    for (const box of live) this._plan.removeDraws(box.box, this._failuresOf(box));
   }
 
   /** Failed draws of a box; a report from before its last grant says nothing about that grant. */
@@ -159,7 +163,7 @@
     await Promise.all(
       live.map(async ({ box, link }) => {
         try {
-          this.learn(box, await link!.order(order));
+          this.applyReply(box, await link!.order(order));
         } catch (error) {
           this._options.logger.state('holdings.failed', { peer: box, reason: errorText(error) });
         }
@@ -175,7 +179,7 @@
   }
 
   /** The baseline in which each box draws all that it lacks. */
-  private _dueDirect(live: readonly RolloutBox[]): DueGrants | 'over-budget' | undefined {
+  private _dueDirect(live: readonly RolloutBox[]): PendingGrants | 'over-budget' | undefined {
     const all = Array.from({ length: this._options.index.chunkCount }, (_none, index) => index);
     const chunks = new Map<string, number[]>();
     for (const box of live) {
@@ -185,10 +189,10 @@
     return chunks.size === 0 ? undefined : this._book(chunks);
   }
 
-  private _book(chunks: Map<string, number[]>): DueGrants | 'over-budget' {
+  private _book(chunks: Map<string, number[]>): PendingGrants | 'over-budget' {
     const bytes = new Map<string, number>();
     for (const [box, list] of chunks) bytes.set(`${box}/${this._incarnations.get(box)}`, this._bytes(list));
-    const granted = this._budget.book(bytes);
+    const granted = this._budget.reserve(bytes);
     return granted ? { chunks, granted } : 'over-budget';
   }
 
@@ -202,7 +206,7 @@
       peer: box,
       chunks: chunks.length,
     });
-    this._plan.granted(box, chunks);
+    this._plan.addDraws(box, chunks);
     this._grantedAt.set(box, this._options.clock.now());
     try {
       const reply = await link.order({
@@ -213,7 +217,7 @@
         rollout: this.rollout,
         chunks,
       });
-      if (!reply.accepted) this._plan.failed(box, chunks);
+      if (!reply.accepted) this._plan.removeDraws(box, chunks);
     } catch (error) {
       this._options.logger.state('grant.failed', { peer: box, reason: errorText(error) });
     }
--- a/src/rollout/ledgerAssigner.ts
+++ b/src/rollout/ledgerAssigner.ts
@@ -121,7 +121,7 @@
   }
 
   private async _tell(slots: readonly SlotOwner[], boxes: readonly RolloutBox[]): Promise<void> {
-    const untold = boxes.filter((box) => box.live && !knowsSlots(box, slots));
+    const untold = boxes.filter((box) => box.live && !hasCurrentSlots(box, slots));
     await Promise.all(
       untold.map(async ({ box, link }) => {
         const own = slotsOf(slots, { box, incarnation: link!.report!.incarnation });
@@ -145,7 +145,7 @@
 }
 
 /** Whether the agent has been told exactly the slots that the table gives it. */
-export function knowsSlots(box: RolloutBox, slots: readonly SlotOwner[]): boolean {
+export function hasCurrentSlots(box: RolloutBox, slots: readonly SlotOwner[]): boolean {
   const incarnation = box.link?.report?.incarnation;
   if (!incarnation || !box.report) return true;
   return box.report.ledgerHash === ledgerHash(slotsOf(slots, { box: box.box, incarnation }));
--- a/src/rollout/workCheck.ts
+++ b/src/rollout/needsCoordinator.ts
@@ -4,14 +4,14 @@
 import type { AgentLinks } from '../membership/agentLinks.js';
 import type { BoxListFollower } from '../membership/boxListFollower.js';
 import type { LedgerRecord, SlotOwner } from '../requests/ledgerSlots.js';
-import { isOwnerGone, knowsSlots, ledgerCandidates, mustHandOver } from './ledgerAssigner.js';
+import { isOwnerGone, hasCurrentSlots, ledgerCandidates, mustHandOver } from './ledgerAssigner.js';
 import type { RolloutRecord } from './rolloutRecord.js';
 import type { RolloutBox } from './rolloutView.js';
 import { rolloutBoxes, serviceReport, linksToWithdraw } from './rolloutView.js';
 import type { WantedConfiguration } from './specifications.js';
 
 /** What the check looks at. */
-export interface WorkCheckView {
+export interface NeedsCoordinatorInput {
   rollouts: ParsedRecords<RolloutRecord>;
   ledgers: ParsedRecords<LedgerRecord>;
   boxes: BoxListFollower;
@@ -19,7 +19,7 @@
 }
 
 /** Compares what is wanted with the rollout object, the agents' reports and the ledger table. */
-export function needsWork(wanted: WantedConfiguration, view: WorkCheckView): boolean {
+export function needsCoordinator(wanted: WantedConfiguration, view: NeedsCoordinatorInput): boolean {
   const record = view.rollouts.get(configurationKey('rollout', wanted.name));
   if (wanted.withdrawn) return record !== undefined || isServedAnywhere(wanted, view.links);
   const { specification } = wanted;
@@ -42,7 +42,7 @@
 function ledgerNeedsWork(
   wanted: WantedConfiguration,
   boxes: readonly RolloutBox[],
-  view: WorkCheckView,
+  view: NeedsCoordinatorInput,
 ): boolean {
   const candidates = ledgerCandidates(boxes);
   if (candidates.length === 0) return false;
@@ -51,5 +51,5 @@
   const isOver = (owner: SlotOwner): boolean =>
     isOwnerGone(owner, view.boxes, view.links) || mustHandOver(owner, boxes, view.links);
   if (table.slots.some(isOver)) return true;
-  return boxes.some((box) => box.live && !knowsSlots(box, table.slots));
+  return boxes.some((box) => box.live && !hasCurrentSlots(box, table.slots));
 }
--- a/src/rollout/originBudget.ts
+++ b/src/rollout/originBudget.ts
@@ -1,9 +1,9 @@
 /** The hard limit on what a rollout may draw from the origin, over all boxes and coordinators. Pure. */
 
 /** What an agent incarnation has really drawn and may still draw. */
-export interface DrawnBytes {
+export interface OriginUsage {
   /** `box/incarnation`. */
-  drawer: string;
+  agent: string;
   originBytes: number;
   openBytes: number;
 }
@@ -29,14 +29,14 @@
   }
 
   /** Takes a drawer's own account, which is never more than it was granted. */
-  settle(drawn: DrawnBytes): void {
-    const granted = this._granted.get(drawn.drawer);
+  recordUsage(drawn: OriginUsage): void {
+    const granted = this._granted.get(drawn.agent);
     if (granted === undefined) return;
-    this._spent.set(drawn.drawer, Math.min(granted, drawn.originBytes + drawn.openBytes));
+    this._spent.set(drawn.agent, Math.min(granted, drawn.originBytes + drawn.openBytes));
   }
 
   /** Books grants if they fit; returns the table to write, or undefined when the limit would be passed. */
-  book(grants: ReadonlyMap<string, number>): Record<string, number> | undefined {
+  reserve(grants: ReadonlyMap<string, number>): Record<string, number> | undefined {
     const wanted = [...grants.values()].reduce((sum, bytes) => sum + bytes, 0);
     if (this.spentBytes + wanted > this._limitBytes) return undefined;
     for (const [drawer, bytes] of grants) {
--- a/src/rollout/planSender.ts
+++ b/src/rollout/planSender.ts
@@ -86,7 +86,7 @@
         return;
       }
       this._sent.set(box.box, `${key}/${incarnationOf(box)}`);
-      granter.learn(box.box, reply);
+      granter.applyReply(box.box, reply);
     } catch (error) {
       this._logger.state('plan.failed', { peer: box.box, reason: errorText(error) });
     }
--- a/src/rollout/rolloutCoordinator.ts
+++ b/src/rollout/rolloutCoordinator.ts
@@ -183,12 +183,12 @@
     boxes: readonly RolloutBox[],
     record: RolloutRecord,
   ): Promise<void> {
-    const due = await granter.due(boxes);
+    const due = await granter.nextGrants(boxes);
     if (due === undefined) return;
     if (due === 'over-budget') return await this._holdBack(record, 'the origin budget is used up');
     const written = await this._write({ ...this._record()!, granted: due.granted, heldBack: '' });
     if (written) await granter.send(due, boxes);
-    else granter.forgetBooking();
+    else granter.discardReservation();
   }
 
   private async _holdBack(record: RolloutRecord, reason: string): Promise<void> {
--- a/tests/originBudget.spec.ts
+++ b/tests/originBudget.spec.ts
@@ -6,26 +6,26 @@
 
 test('should refuse a grant that would pass the limit and book nothing of it', () => {
   const budget = new OriginBudget(100, {});
-  expect(budget.book(new Map([['a/1', 60]]))).toEqual({ 'a/1': 60 });
-  expect(budget.book(new Map([['b/1', 41]]))).toEqual(undefined);
+  expect(budget.reserve(new Map([['a/1', 60]]))).toEqual({ 'a/1': 60 });
+  expect(budget.reserve(new Map([['b/1', 41]]))).toEqual(undefined);
   expect(budget.spentBytes).toEqual(60);
 });
 
 test('should count all that was granted to a drawer that does not answer', () => {
   const successor = new OriginBudget(100, { 'a/1': 60 });
-  expect(successor.book(new Map([['b/1', 60]]))).toEqual(undefined);
+  expect(successor.reserve(new Map([['b/1', 60]]))).toEqual(undefined);
 });
 
 test('should count what a drawer really drew once it answers', () => {
   const successor = new OriginBudget(100, { 'a/1': 60 });
-  successor.settle({ drawer: 'a/1', originBytes: 10, openBytes: 20 });
+  successor.recordUsage({ agent: 'a/1', originBytes: 10, openBytes: 20 });
   expect(successor.spentBytes).toEqual(30);
-  expect(successor.book(new Map([['b/1', 60]]))).toEqual({ 'a/1': 60, 'b/1': 60 });
+  expect(successor.reserve(new Map([['b/1', 60]]))).toEqual({ 'a/1': 60, 'b/1': 60 });
 });
 
 test('should not take the account of a new incarnation for that of the lost one', () => {
   const successor = new OriginBudget(100, { 'a/1': 60 });
-  successor.settle({ drawer: 'a/2', originBytes: 0, openBytes: 0 });
+  successor.recordUsage({ agent: 'a/2', originBytes: 0, openBytes: 0 });
   expect(successor.spentBytes).toEqual(60);
 });
 
@@ -45,9 +45,10 @@
       for (const { drawer, bytes, takeover, answers } of steps) {
         if (takeover) {
           budget = new OriginBudget(LIMIT, table);
-          if (answers) budget.settle({ drawer, originBytes: drawn.get(drawer) ?? 0, openBytes: 0 });
+          if (answers)
+            budget.recordUsage({ agent: drawer, originBytes: drawn.get(drawer) ?? 0, openBytes: 0 });
         }
-        const booked = budget.book(new Map([[drawer, bytes]]));
+        const booked = budget.reserve(new Map([[drawer, bytes]]));
         if (!booked) continue;
         table = booked;
         drawn.set(drawer, (drawn.get(drawer) ?? 0) + bytes);
