--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -3,7 +3,7 @@
 import type { Readable } from 'node:stream';
 
 /** One log line of the request. */
-export interface StoryLine {
+export interface RequestLogLine {
   /** Milliseconds since the epoch, by the clock of the box that wrote it. */
   time: number;
   step: string;
@@ -13,8 +13,8 @@
 }
 
 /** Reads log lines, which may stand behind other text, and returns those of one request in the order of time. */
-export async function readStory(input: Readable, request: string): Promise<StoryLine[]> {
-  const story: StoryLine[] = [];
+export async function readRequestLog(input: Readable, request: string): Promise<RequestLogLine[]> {
+  const story: RequestLogLine[] = [];
   for await (const line of createInterface({ input })) {
     const parsed = parseLine(line, request);
     if (parsed) story.push(parsed);
@@ -23,7 +23,7 @@
 }
 
 /** One line of text per log line, with the time since the first. */
-export function storyText(story: readonly StoryLine[]): string[] {
+export function formatRequestLog(story: readonly RequestLogLine[]): string[] {
   return story.map(({ time, step, box, fields }) => {
     const offset = `+${time - story[0].time} ms`.padStart(10);
     const details = Object.entries(fields).map(([name, value]) => `${name}=${JSON.stringify(value)}`);
@@ -31,7 +31,7 @@
   });
 }
 
-function parseLine(line: string, request: string): StoryLine | undefined {
+function parseLine(line: string, request: string): RequestLogLine | undefined {
   const start = line.indexOf('{"time"');
   if (start < 0 || !line.includes(request)) return undefined;
   try {
--- a/src/cli/lossTable.ts
+++ b/src/cli/lossTable.ts
@@ -62,7 +62,7 @@
 }
 
 /** The rows as text, with a head line. */
-export function lossText(rows: readonly LossRow[]): string[] {
+export function formatLosses(rows: readonly LossRow[]): string[] {
   const head = ['', ...ENDS, 'moved'];
   const cells = rows.map(({ group, ends, moved }) => [group, ...ENDS.map((end) => ends[end]), moved]);
   const widths = head.map((_name, column) =>
--- a/src/cli/runCommand.ts
+++ b/src/cli/runCommand.ts
@@ -13,9 +13,9 @@
 import type { Flags } from './daemonCommand.js';
 import { checkSettings, runAgent, runEntry } from './daemonCommand.js';
 import { EXIT } from './exitCodes.js';
-import { readStory, storyText } from './explainCommand.js';
+import { readRequestLog, formatRequestLog } from './explainCommand.js';
 import { HELP, settingsHelp } from './helpText.js';
-import { lossText, readLosses } from './lossTable.js';
+import { formatLosses, readLosses } from './lossTable.js';
 import type { ObjectKind } from './objectCommand.js';
 import { readJsonFile, runObjectCommand, textFlag } from './objectCommand.js';
 import { OperatorClient } from './operatorClient.js';
@@ -62,16 +62,16 @@
 
 async function explain(request: string | undefined): Promise<void> {
   if (!request) throw new CliError(EXIT.wrongInput, ['which request? larklatch explain REQUEST-ID < log']);
-  const story = await readStory(process.stdin, request);
+  const story = await readRequestLog(process.stdin, request);
   if (story.length === 0)
     throw new CliError(EXIT.failed, [`no line of request ${request} on standard input`]);
-  for (const line of storyText(story)) console.log(line);
+  for (const line of formatRequestLog(story)) console.log(line);
 }
 
 async function printLosses(flags: Flags): Promise<void> {
   const longestPause = Number(textFlag(flags, 'pauseMilliseconds') ?? LONGEST_PAUSE_MILLISECONDS);
   if (!(longestPause > 0)) throw new CliError(EXIT.wrongInput, ['--pause-milliseconds: a number above 0']);
-  for (const line of lossText(await readLosses(process.stdin, longestPause))) console.log(line);
+  for (const line of formatLosses(await readLosses(process.stdin, longestPause))) console.log(line);
 }
 
 function operatorClient(flags: Flags): OperatorClient {
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -35,7 +35,7 @@
     this._waitsFor = undefined;
     const now = this._clock.now();
     const { statusAge } = server;
-    if (statusAge !== undefined) this._metrics.loadUsed(server.record.service, statusAge);
+    if (statusAge !== undefined) this._metrics.recordLoadAge(server.record.service, statusAge);
     this._log.decision('request.sent', {
       request: this._id,
       server: server.record.id,
@@ -48,7 +48,7 @@
   }
 
   rejected(server: TrackedServer, status: number): void {
-    this._metrics.rejected(server.record.service);
+    this._metrics.countRejection(server.record.service);
     this._log.decision('request.rejected', { request: this._id, server: server.record.id, status });
   }
 
@@ -92,12 +92,12 @@
   }
 
   retried(): void {
-    this._metrics.retried(this._request.service);
+    this._metrics.countRetry(this._request.service);
   }
 
   ended(outcome: RequestOutcome, attempts: number, fields: EndFields, stream: StreamRelay | undefined): void {
     const milliseconds = Math.round(this._clock.now() - this._startedAt);
-    this._metrics.requestEnded(this._request.service, outcome, milliseconds);
+    this._metrics.recordRequest(this._request.service, outcome, milliseconds);
     const { name: route, objectiveMilliseconds } = this._request.route;
     const firstAt = stream?.firstAt ?? 0;
     this._log.decision(`request.${outcome}`, {
--- a/src/telemetry/servingMetrics.ts
+++ b/src/telemetry/servingMetrics.ts
@@ -17,21 +17,21 @@
   private readonly _histograms = new Map<string, NamedHistogram>();
   private readonly _gauges = new Map<string, () => number>();
 
-  rejected(service: string): void {
+  countRejection(service: string): void {
     this.count(`server_rejections_total{service="${service}"}`);
   }
 
-  retried(service: string): void {
+  countRetry(service: string): void {
     this.count(`retries_total{service="${service}"}`);
   }
 
-  requestEnded(service: string, outcome: string, milliseconds: number): void {
+  recordRequest(service: string, outcome: string, milliseconds: number): void {
     this.count(`requests_total{service="${service}",outcome="${outcome}"}`);
     this._record('request_milliseconds', service, milliseconds);
   }
 
   /** Age of the load report by which a server was chosen. */
-  loadUsed(service: string, ageMilliseconds: number): void {
+  recordLoadAge(service: string, ageMilliseconds: number): void {
     this._record('load_age_milliseconds', service, ageMilliseconds);
   }
 
--- a/tests/explain.spec.ts
+++ b/tests/explain.spec.ts
@@ -2,7 +2,7 @@
 import { Readable } from 'node:stream';
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
-import { readStory, storyText } from '../src/cli/explainCommand.js';
+import { readRequestLog, formatRequestLog } from '../src/cli/explainCommand.js';
 import { answers } from '../standins/scriptedBackend.js';
 import { GatewayFixture } from './fixtures/gatewayFixture.js';
 import { routeFixture } from './fixtures/servingFixture.js';
@@ -17,8 +17,8 @@
 
 async function stepsOf(request: string): Promise<string[]> {
   const log = fixture.lines.map((line) => `12.5 gateway-1 ${line}`).join('');
-  const story = await readStory(Readable.from([log]), request);
-  expect(storyText(story).length).toEqual(story.length);
+  const story = await readRequestLog(Readable.from([log]), request);
+  expect(formatRequestLog(story).length).toEqual(story.length);
   return story.map((line) => line.step);
 }
 
--- a/tests/lossTable.spec.ts
+++ b/tests/lossTable.spec.ts
@@ -2,7 +2,7 @@
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
 import { expect } from 'earl';
-import { lossText, readLosses } from '../src/cli/lossTable.js';
+import { formatLosses, readLosses } from '../src/cli/lossTable.js';
 
 const START = 1_000_000;
 
@@ -37,5 +37,5 @@
     },
   });
   expect([rows[1].ends['late-midway'], rows[1].ends.refused]).toEqual([1, 1]);
-  expect(lossText(rows).length).toEqual(5);
+  expect(formatLosses(rows).length).toEqual(5);
 });
--- a/tests/servingMetrics.spec.ts
+++ b/tests/servingMetrics.spec.ts
@@ -10,9 +10,9 @@
 
 test('should show times of requests and ages of load apart, by service', () => {
   const metrics = new ServingMetrics();
-  metrics.requestEnded('a', 'answered', 100);
-  metrics.loadUsed('a', 250);
-  metrics.loadUsed('b', 30);
+  metrics.recordRequest('a', 'answered', 100);
+  metrics.recordLoadAge('a', 250);
+  metrics.recordLoadAge('b', 30);
   const text = metrics.exposition();
   expect(text).toInclude('larklatch_requests_total{service="a",outcome="answered"} 1');
   expect(text).toInclude('larklatch_request_milliseconds{service="a",quantile="0.5"} 100');
