--- a/src/engine/backendServer.ts
+++ b/src/engine/backendServer.ts
@@ -1,6 +1,9 @@
-/** The backend server on an agent's box: a model engine or a plain service. */
+/** Interface to the backend server on an agent's box: a model engine or a plain service. */
 
-/** A fenced order to the backend server. `weightsUrl` is where it reads the version's bytes. */
+/**
+ * An order to load a version. The backend server reads the weights from `weightsUrl`, and can refuse an order with
+ * an outdated `epoch`.
+ */
 export interface LoadOrder {
   customer: string;
   model: string;
@@ -10,7 +13,7 @@
   weightsUrl: string;
 }
 
-/** What an activation or unload names. */
+/** An order to activate or unload a version. */
 export interface VersionOrder {
   customer: string;
   model: string;
@@ -18,14 +21,14 @@
   epoch: number;
 }
 
-/** Orders that an agent gives to its backend server. Each throws a StepError when refused or unanswered. */
+/** Operations of a backend server. Orders throw a StepError when the server refuses them or does not answer. */
 export interface BackendServer {
-  /** Loads a version beside the one in service; resolves once it is ready to be activated. */
+  /** Loads a version while another one is serving; resolves once it can be activated. */
   load(order: LoadOrder): Promise<void>;
-  /** Makes a loaded version the one that new work runs on. */
+  /** Makes a loaded version the one that serves new requests. */
   activate(order: VersionOrder): Promise<void>;
-  /** Drops a version that no work runs on. */
+  /** Unloads a version that no request uses. */
   unload(order: VersionOrder): Promise<void>;
-  /** Whether the backend server answers. */
+  /** Whether the backend server passes its health check. */
   healthy(): Promise<boolean>;
 }
--- a/src/engine/httpEngine.ts
+++ b/src/engine/httpEngine.ts
@@ -1,4 +1,4 @@
-/** A model engine that takes orders over HTTP/JSON. */
+/** Client of a model engine that is controlled over HTTP with JSON. */
 import { sendJson } from '../external/httpClient.js';
 import { StepError } from '../utils/stepError.js';
 import type { BackendServer, LoadOrder, VersionOrder } from './backendServer.js';
@@ -7,7 +7,7 @@
 const LOAD_TIMEOUT_MILLISECONDS = 300_000;
 const HEALTH_TIMEOUT_MILLISECONDS = 1_000;
 
-/** Orders the engine at `baseUrl`. */
+/** Sends orders to the engine at `baseUrl`. */
 export class HttpEngine implements BackendServer {
   private readonly _baseUrl: string;
 
@@ -41,7 +41,7 @@
   }
 }
 
-/** Asks `/healthz` of the backend server at `baseUrl`. */
+/** Whether `/healthz` of the backend server at `baseUrl` answers with status 200. */
 export async function isHealthy(baseUrl: string): Promise<boolean> {
   try {
     const url = `${baseUrl}/healthz`;
--- a/src/engine/plainService.ts
+++ b/src/engine/plainService.ts
@@ -1,8 +1,8 @@
-/** A plain service: it has no weights and takes no orders, so every order succeeds. */
+/** A backend server without weights: load, activate and unload do nothing. */
 import type { BackendServer } from './backendServer.js';
 import { isHealthy } from './httpEngine.js';
 
-/** The plain service at `baseUrl`. */
+/** Client of the plain service at `baseUrl`, which is only health-checked. */
 export class PlainService implements BackendServer {
   private readonly _baseUrl: string;
 
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** The library: the two daemons, their settings, and the names that callers and operators see. */
+/** Public API of the library: the two daemons, their settings, and the headers and values that callers see. */
 export { AgentDaemon } from './agent/agentDaemon.js';
 export type { AgentParts, ListeningPorts } from './agent/agentDaemon.js';
 export { EntryDaemon } from './entry/entryDaemon.js';
--- a/src/lease/leaseKeeper.ts
+++ b/src/lease/leaseKeeper.ts
@@ -1,4 +1,4 @@
-/** Holds, or waits for, the lease of one configuration. */
+/** Acquires, renews and releases the lease of one configuration for this entry. */
 import { randomUUID } from 'node:crypto';
 import { createActor } from 'xstate';
 import type { Replica } from '../configuration/replica.js';
@@ -10,7 +10,7 @@
 import { leaseRecordSchema } from './leaseRecord.js';
 import type { LeaseRecord } from './leaseRecord.js';
 
-/** What a lease keeper works with. */
+/** Options of a {@link LeaseKeeper}. */
 export interface LeaseKeeperOptions {
   key: string;
   /** Box and incarnation of this entry. */
@@ -22,18 +22,19 @@
   logger: Logger;
 }
 
-/** Part of the lifetime after which a held lease is renewed. */
-const RENEW_PART = 1 / 3;
+/** Fraction of the lifetime after which a held lease is renewed. */
+const RENEWAL_FRACTION = 1 / 3;
 
 /**
- * Expiry is judged by each process on its own monotonic clock: a lease is free when its object has not changed for a
- * lifetime, and held only until a lifetime after its last renewal was *sent*. Beyond that every order carries the
- * epoch, and agents refuse a lower one, so a holder that wakes late is harmless whatever its clock says.
+ * Each process measures expiry on its own monotonic clock. Other entries regard the lease as free when its object
+ * has not changed for one lifetime; the holder regards it as held for one lifetime after it *sent* the last renewal.
+ * In addition, every order carries the epoch, and agents refuse an order with a lower epoch than they have seen. So a
+ * holder that was paused past its lease can do no harm, whatever its clock says.
  */
 export class LeaseKeeper {
   private readonly _options: LeaseKeeperOptions;
   private readonly _machine = createActor(leaseMachine).start();
-  private _seen: { text: string; at: number } | undefined;
+  private _lastSeen: { text: string; at: number } | undefined;
   private _held: { record: LeaseRecord; revision: number; sentAt: number } | undefined;
   private _writing = false;
 
@@ -41,7 +42,7 @@
     this._options = options;
   }
 
-  /** The epoch under which orders may be given now; undefined when the lease is not held. */
+  /** The epoch for orders that are sent now; undefined when this entry does not hold the lease. */
   get epoch(): number | undefined {
     if (!this._held || this._machine.getSnapshot().value !== 'holding') return undefined;
     if (this._options.clock.now() >= this._held.sentAt + this._options.lifetimeMilliseconds) {
@@ -51,7 +52,10 @@
     return this._held.record.epoch;
   }
 
-  /** Does what is due now: acquires when free and `rank` allows, renews, or nothing. */
+  /**
+   * Renews a held lease when a renewal is due, or acquires a free one. `rank` is the position of this entry among the
+   * candidates; entries with a higher number wait longer before they acquire.
+   */
   async tick(rank: number): Promise<void> {
     if (this._writing) return;
     this._writing = true;
@@ -63,7 +67,7 @@
     }
   }
 
-  /** Gives the lease back, so that another entry need not wait for it to expire. */
+  /** Releases the lease, so that another entry can acquire it before it expires. */
   async release(): Promise<void> {
     const held = this._held;
     if (!held || this.epoch === undefined) return;
@@ -71,39 +75,39 @@
     await this._put({ ...held.record, released: true }, held.revision);
   }
 
-  /** A later rank waits longer, so that entries do not all write at once. */
+  /** Whether this entry may acquire the lease. The delay grows with `rank`, so that entries do not all write at once. */
   private _isFree(rank: number): boolean {
     const { replica, key, clock, lifetimeMilliseconds } = this._options;
-    const record = this._current();
+    const record = this._currentRecord();
     const text = `${replica.record(key)?.revision ?? 0}`;
-    if (this._seen?.text !== text) this._seen = { text, at: clock.now() };
-    const waited = clock.now() - this._seen.at;
-    const turn = (rank * lifetimeMilliseconds) / 4;
-    if (!record || record.released) return waited >= turn;
-    return waited >= lifetimeMilliseconds + turn;
+    if (this._lastSeen?.text !== text) this._lastSeen = { text, at: clock.now() };
+    const unchangedFor = clock.now() - this._lastSeen.at;
+    const rankDelay = (rank * lifetimeMilliseconds) / 4;
+    if (!record || record.released) return unchangedFor >= rankDelay;
+    return unchangedFor >= lifetimeMilliseconds + rankDelay;
   }
 
-  private _current(): LeaseRecord | undefined {
+  private _currentRecord(): LeaseRecord | undefined {
     const parsed = leaseRecordSchema.safeParse(this._options.replica.value(this._options.key));
     return parsed.success ? parsed.data : undefined;
   }
 
   private async _acquire(): Promise<void> {
     this._machine.send({ type: 'ACQUIRE' });
-    const epoch = (this._current()?.epoch ?? 0) + 1;
+    const epoch = (this._currentRecord()?.epoch ?? 0) + 1;
     const sentAt = this._options.clock.now();
     const record = { holder: this._options.holder, epoch, renewal: 0, released: false };
     const outcome = await this._put(record, this._options.replica.liveRevision(this._options.key));
-    this._settle(outcome, sentAt, 'ACQUIRED');
+    this._applyOutcome(outcome, sentAt, 'ACQUIRED');
   }
 
   private async _renewWhenDue(): Promise<void> {
     const held = this._held!;
     const sentAt = this._options.clock.now();
-    if (sentAt < held.sentAt + this._options.lifetimeMilliseconds * RENEW_PART) return;
+    if (sentAt < held.sentAt + this._options.lifetimeMilliseconds * RENEWAL_FRACTION) return;
     const outcome = await this._put({ ...held.record, renewal: held.record.renewal + 1 }, held.revision);
     if (outcome.kind === 'refused' || outcome.kind === 'unresolved') return;
-    this._settle(outcome, sentAt, undefined);
+    this._applyOutcome(outcome, sentAt, undefined);
   }
 
   private async _put(
@@ -113,7 +117,11 @@
     return await this._options.writer.put(this._options.key, { ...record, changeId: randomUUID() }, revision);
   }
 
-  private _settle(outcome: ConditionalWriteOutcome, sentAt: number, event: 'ACQUIRED' | undefined): void {
+  private _applyOutcome(
+    outcome: ConditionalWriteOutcome,
+    sentAt: number,
+    event: 'ACQUIRED' | undefined,
+  ): void {
     if (outcome.kind !== 'written') {
       this._end('LOST');
       return;
--- a/src/lease/leaseMachine.ts
+++ b/src/lease/leaseMachine.ts
@@ -1,11 +1,11 @@
-/** The states of one entry towards one lease. */
+/** The state machine of one entry for one lease. */
 import { createMachine } from 'xstate';
 
-/** What moves the lease on. */
+/** Events that change the state. */
 export type LeaseEvent =
   { type: 'ACQUIRE' } | { type: 'ACQUIRED' } | { type: 'LOST' } | { type: 'LAPSED' } | { type: 'RELEASED' };
 
-/** Orders may be given only in `holding`; a lapsed holder has to acquire anew and so gets a higher epoch. */
+/** Orders may be sent only in `holding`. A holder whose lease lapsed must acquire it again, under a higher epoch. */
 export const leaseMachine = createMachine({
   id: 'lease',
   types: {} as { events: LeaseEvent },
--- a/src/lease/leaseRecord.ts
+++ b/src/lease/leaseRecord.ts
@@ -1,8 +1,8 @@
-/** The lease object of a configuration. */
+/** The object in the object API that stores the lease of a configuration. */
 import { z } from 'zod';
 import { countSchema } from '../protocol/index.js';
 
-/** `epoch` grows by one at every change of holder, `renewal` at every renewal. */
+/** `epoch` increases by one with every acquisition, `renewal` with every renewal. */
 export const leaseRecordSchema = z.object({
   holder: z.string(),
   epoch: countSchema,
--- a/src/utils/assert.ts
+++ b/src/utils/assert.ts
@@ -1,11 +1,11 @@
-/** Helpers for states that cannot occur unless the code is wrong. */
+/** Assertions about states that only a bug can produce. */
 
-/** Throws when `condition` is false. `what` names the broken expectation. */
+/** Throws when `condition` is false. `what` describes the condition and appears in the error message. */
 export function assert(condition: unknown, what: string): asserts condition {
   if (!condition) throw new Error(`impossible state: ${what}`);
 }
 
-/** Marks the end of an exhaustive switch over a string union. */
+/** Fails to compile, and throws, when a switch over a string union misses a case. */
 export function assertNever(value: never): never {
   throw new Error(`impossible value: ${JSON.stringify(value)}`);
 }
--- a/src/utils/backoff.ts
+++ b/src/utils/backoff.ts
@@ -1,13 +1,13 @@
-/** Exponential back-off with full jitter. */
+/** Exponential backoff with jitter. */
 import type { Random } from './random.js';
 
-/** Bounds of a back-off, in milliseconds. */
+/** First and longest wait of a backoff, in milliseconds. */
 export interface BackoffOptions {
   firstMilliseconds: number;
   longestMilliseconds: number;
 }
 
-/** Counts failures and says how long to wait before the next try. */
+/** Counts failures and computes the wait before the next try. */
 export class Backoff {
   private readonly _options: BackoffOptions;
   private readonly _random: Random;
@@ -18,17 +18,17 @@
     this._random = random;
   }
 
-  /** Counts a failure and returns the wait before the next try, in milliseconds. */
+  /** Counts a failure and returns the wait before the next try, in milliseconds: half to all of the current maximum. */
   nextWait(): number {
-    const ceiling = Math.min(
+    const maximum = Math.min(
       this._options.longestMilliseconds,
       this._options.firstMilliseconds * 2 ** this._failures,
     );
     this._failures++;
-    return ceiling / 2 + (this._random.fraction() * ceiling) / 2;
+    return maximum / 2 + (this._random.fraction() * maximum) / 2;
   }
 
-  /** Forgets earlier failures. */
+  /** Resets the failure count after a success. */
   reset(): void {
     this._failures = 0;
   }
--- a/src/utils/backpressure.ts
+++ b/src/utils/backpressure.ts
@@ -1,7 +1,7 @@
-/** Waiting for a slow receiver. */
+/** Backpressure of HTTP responses. */
 import type http from 'node:http';
 
-/** Resolves when `response` takes more bytes or has been closed. */
+/** Resolves when `response` accepts more bytes or has been closed. */
 export async function untilDrained(response: http.ServerResponse): Promise<void> {
   if (response.destroyed || !response.writableNeedDrain) return;
   await new Promise<void>((resolve) => {
--- a/src/utils/bitset.ts
+++ b/src/utils/bitset.ts
@@ -11,7 +11,7 @@
     this._bytes = new Uint8Array(Math.ceil(size / 8));
   }
 
-  /** Rebuilds a set from {@link Bitset.toBytes}; bits past `size` are dropped. */
+  /** Creates a set from the result of {@link Bitset.toBytes}; bits past `size` are ignored. */
   static fromBytes(size: number, bytes: Uint8Array): Bitset {
     const set = new Bitset(size);
     for (let index = 0; index < size; index++) {
@@ -20,12 +20,12 @@
     return set;
   }
 
-  /** How many indexes the set holds. */
+  /** Number of indexes in the set. */
   get count(): number {
     return this._count;
   }
 
-  /** Whether every index below `size` is held. */
+  /** Whether the set contains every index below `size`. */
   get full(): boolean {
     return this._count === this.size;
   }
@@ -34,7 +34,7 @@
     return (this._bytes[index >> 3] & (1 << (index & 7))) !== 0;
   }
 
-  /** Adds `index`; returns false when it was held already. */
+  /** Adds `index`; returns false when it is out of range or already in the set. */
   add(index: number): boolean {
     if (index < 0 || index >= this.size || this.has(index)) return false;
     this._bytes[index >> 3] |= 1 << (index & 7);
@@ -47,12 +47,12 @@
     return Uint8Array.from(this._bytes);
   }
 
-  /** Returns the indexes that the set holds, in order. */
+  /** Returns the indexes in the set, in ascending order. */
   members(): number[] {
     return this._indexes().filter((index) => this.has(index));
   }
 
-  /** Returns the indexes that the set lacks, in order. */
+  /** Returns the indexes that are not in the set, in ascending order. */
   missing(): number[] {
     return this._indexes().filter((index) => !this.has(index));
   }
--- a/src/utils/clock.ts
+++ b/src/utils/clock.ts
@@ -1,8 +1,8 @@
-/** Time as the system sees it; decisions take a Clock so that tests can set the time. */
+/** Monotonic clocks. Code that depends on time takes a Clock, so that tests can control it. */
 
-/** A source of monotonic milliseconds. */
+/** A monotonic clock. */
 export interface Clock {
-  /** Milliseconds since an arbitrary start; never goes back. */
+  /** Milliseconds since an arbitrary start; never decreases. */
   now(): number;
 }
 
@@ -13,7 +13,7 @@
   }
 }
 
-/** A clock that moves only when told to. */
+/** A clock for tests that changes only when `advance` is called. */
 export class ManualClock implements Clock {
   private _now = 0;
 
--- a/src/utils/coalescedCall.ts
+++ b/src/utils/coalescedCall.ts
@@ -1,11 +1,11 @@
-/** Several calls within a short time become one. */
+/** Merges several calls within a short time into one. */
 
 export class CoalescedCall {
   private readonly _run: () => void;
   private readonly _milliseconds: () => number;
   private _timer: NodeJS.Timeout | undefined;
 
-  /** `run` is called once, `milliseconds()` after the first of the calls that it stands for. */
+  /** `run` is called `milliseconds()` after the first call of `schedule`; further calls until then are merged into it. */
   constructor(milliseconds: () => number, run: () => void) {
     this._milliseconds = milliseconds;
     this._run = run;
@@ -15,7 +15,7 @@
     this._timer ??= setTimeout(() => this.flush(), this._milliseconds());
   }
 
-  /** Runs at once, also for calls that wait. */
+  /** Calls `run` now, in place of any scheduled call. */
   flush(): void {
     this.cancel();
     this._run();
--- a/src/utils/dataCentreOrder.ts
+++ b/src/utils/dataCentreOrder.ts
@@ -1,13 +1,16 @@
-/** An order of boxes over all data centres that every process works out alike. Pure. */
+/** A deterministic order of boxes over all data centres, the same in every process. */
 import { compareText, rendezvousOrder } from './rendezvous.js';
 
-/** A box and where it stands. */
+/** A box and its data centre. */
 export interface PlacedBox {
   box: string;
   dataCentre: string;
 }
 
-/** Boxes by their rank for `key`, one of each data centre in turn, so that any first few are spread over all of them. */
+/**
+ * Orders boxes by their rendezvous rank for `key`, taking one box of each data centre in turn, so that any prefix of
+ * the result is spread over the data centres.
+ */
 export function orderAcrossDataCentres<T extends PlacedBox>(key: string, boxes: readonly T[]): T[] {
   const byDataCentre = new Map<string, T[]>();
   for (const candidate of boxes) {
--- a/src/utils/hash.ts
+++ b/src/utils/hash.ts
@@ -1,4 +1,4 @@
-/** Hashes: SHA-256 for content, MurmurHash for placement. */
+/** Hash functions: SHA-256 for content, MurmurHash for placement. */
 import { createHash } from 'node:crypto';
 import murmurhash from 'murmurhash';
 
@@ -7,7 +7,7 @@
   return createHash('sha256').update(data).digest('hex');
 }
 
-/** Returns a 32-bit placement hash of the joined `parts`. Not for security. */
+/** Returns a 32-bit hash of the joined `parts`, for placement decisions. Not cryptographic. */
 export function placementHash(...parts: string[]): number {
   return murmurhash.v3(parts.join('\u0000'));
 }
--- a/src/utils/httpBody.ts
+++ b/src/utils/httpBody.ts
@@ -1,21 +1,21 @@
-/** Reading request bodies and writing JSON answers on Node's http. */
+/** Helpers to read requests and to write JSON responses with Node's http module. */
 import type http from 'node:http';
 import { StepError } from './stepError.js';
 
 /**
- * Reads a whole body; throws a StepError once it is over `limitBytes`. The rest of such a body is thrown away, and the
- * answer should close the connection.
+ * Reads a whole body; throws a StepError as soon as it exceeds `limitBytes`. The rest of such a body is read and
+ * discarded, and the caller should close the connection after its response.
  */
 export async function readBody(request: http.IncomingMessage, limitBytes: number): Promise<Buffer> {
-  const pieces: Buffer[] = [];
+  const parts: Buffer[] = [];
   let length = 0;
   return await new Promise((resolve, reject) => {
-    request.on('data', (piece: Buffer) => {
-      length += piece.length;
-      if (length <= limitBytes) pieces.push(piece);
+    request.on('data', (part: Buffer) => {
+      length += part.length;
+      if (length <= limitBytes) parts.push(part);
       else reject(new StepError('http.body', `over ${limitBytes} bytes`, { advice: 'fix-input' }));
     });
-    request.once('end', () => resolve(Buffer.concat(pieces)));
+    request.once('end', () => resolve(Buffer.concat(parts)));
     request.once('error', reject);
     request.once('close', () => {
       if (!request.readableEnded) reject(new StepError('http.body', 'ended early'));
@@ -23,7 +23,7 @@
   });
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response, unless the response has already ended. */
 export function answerJson(
   response: http.ServerResponse,
   status: number,
@@ -40,13 +40,13 @@
   response.end(text);
 }
 
-/** Returns the bearer token of a request, or ''. */
+/** Returns the bearer token of a request, or '' when it has none. */
 export function bearerToken(request: http.IncomingMessage): string {
   const match = /^Bearer (\S+)$/i.exec(request.headers.authorization ?? '');
   return match?.[1] ?? '';
 }
 
-/** Returns a header as one string, or ''. */
+/** Returns the first value of a header, or '' when it is missing. */
 export function headerText(headers: http.IncomingHttpHeaders, name: string): string {
   const value = headers[name];
   return Array.isArray(value) ? (value[0] ?? '') : (value ?? '');
--- a/src/utils/json.ts
+++ b/src/utils/json.ts
@@ -1,6 +1,6 @@
-/** Reading JSON that may be none. */
+/** Parsing of text that may not be JSON. */
 
-/** Returns what the text says, or undefined when it is empty or no JSON. */
+/** Returns the parsed value, or undefined when the text is not valid JSON. */
 export function parseJson(text: string | Buffer): unknown {
   try {
     return JSON.parse(text.toString());
--- a/src/utils/nesting.ts
+++ b/src/utils/nesting.ts
@@ -1,12 +1,12 @@
-/** How deep a parsed value is nested. */
+/** Nesting depth of parsed values. */
 
-/** Whether `value` holds objects or arrays within each other more than `levels` deep. */
+/** Whether objects and arrays in `value` are nested more than `levels` deep. */
 export function isNestedDeeper(value: unknown, levels: number): boolean {
   let level: unknown[] = [value];
   for (let depth = 0; level.length > 0; depth++) {
-    const inner = level.filter((item) => typeof item === 'object' && item !== null);
-    if (inner.length > 0 && depth >= levels) return true;
-    level = inner.flatMap((item) => Object.values(item as object) as unknown[]);
+    const containers = level.filter((item) => typeof item === 'object' && item !== null);
+    if (containers.length > 0 && depth >= levels) return true;
+    level = containers.flatMap((item) => Object.values(item as object) as unknown[]);
   }
   return false;
 }
--- a/src/utils/random.ts
+++ b/src/utils/random.ts
@@ -1,18 +1,18 @@
-/** Seeded randomness, so that a run can be repeated. */
+/** Seeded random numbers, so that a run can be reproduced. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 /** A source of random numbers. */
 export interface Random {
-  /** Returns an integer from 0 up to, not including, `bound`. */
+  /** Returns an integer from 0 (inclusive) to `bound` (exclusive). */
   integer(bound: number): number;
-  /** Returns a number from 0 up to, not including, 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   fraction(): number;
 }
 
 const FRACTION_STEPS = 2 ** 30;
 
-/** Random numbers from a seed. */
+/** A pseudo-random generator: the same seed gives the same numbers. */
 export class SeededRandom implements Random {
   private readonly _generator: ReturnType<typeof xoroshiro128plus>;
 
@@ -29,7 +29,7 @@
   }
 }
 
-/** Returns `items` in a random order; the input is left as it is. */
+/** Returns a shuffled copy of `items`. */
 export function shuffled<T>(items: readonly T[], random: Random): T[] {
   const result = [...items];
   for (let last = result.length - 1; last > 0; last--) {
--- a/src/utils/rateLimiter.ts
+++ b/src/utils/rateLimiter.ts
@@ -1,24 +1,24 @@
-/** Paces bytes on a link. */
+/** Limits the rate of bytes on a link. */
 import type { Clock } from './clock.js';
 import { SystemClock } from './clock.js';
 import { pause } from './timers.js';
 
-/** How far a sender may run ahead of the rate, so that timers of one millisecond do not cost throughput. */
+/** Allowed burst in milliseconds of traffic; without it, the 1 ms resolution of timers would reduce throughput. */
 const BURST_MILLISECONDS = 8;
 
-/** Spreads bytes over time at a fixed rate; waiting callers are served in the order in which they asked. */
+/** Spreads bytes over time at a fixed rate and serves callers in the order of their calls. */
 export class RateLimiter {
   private readonly _bytesPerMillisecond: number;
   private readonly _clock: Clock;
   private _freeAt = 0;
 
-  /** `bytesPerSecond` of 0 means unlimited. */
+  /** A `bytesPerSecond` of 0 means no limit. */
   constructor(bytesPerSecond: number, clock: Clock = new SystemClock()) {
     this._bytesPerMillisecond = bytesPerSecond / 1000;
     this._clock = clock;
   }
 
-  /** Books `bytes` and returns how many milliseconds the caller has to wait before moving them. */
+  /** Reserves capacity for `bytes` and returns the milliseconds to wait before they may be transferred. */
   reserve(bytes: number): number {
     if (this._bytesPerMillisecond === 0) return 0;
     const now = this._clock.now();
@@ -26,7 +26,7 @@
     return Math.max(0, this._freeAt - now);
   }
 
-  /** Waits until `bytes` may be moved. */
+  /** Waits until `bytes` may be transferred, or until `signal` is aborted. */
   async acquire(bytes: number, signal?: AbortSignal): Promise<void> {
     const wait = this.reserve(bytes);
     if (wait >= 1) await pause(wait, signal);
--- a/src/utils/rendezvous.ts
+++ b/src/utils/rendezvous.ts
@@ -1,4 +1,4 @@
-/** Rendezvous (highest random weight) hashing: every process ranks the same candidates alike. */
+/** Rendezvous (highest random weight) hashing: every process computes the same ranking of the same candidates. */
 import { placementHash } from './hash.js';
 
 /** Returns `candidates` ordered by their rank for `key`, best first. */
@@ -12,7 +12,7 @@
   return scored.map((item) => item.candidate);
 }
 
-/** Orders two strings by code unit, the same on every machine. */
+/** Compares two strings by code units, so that the order does not depend on the locale of the machine. */
 export function compareText(a: string, b: string): number {
   if (a === b) return 0;
   return a < b ? -1 : 1;
--- a/src/utils/sharedInterval.ts
+++ b/src/utils/sharedInterval.ts
@@ -1,30 +1,33 @@
-/** One timer for many who want to be called at the same interval, so that a process wakes once for all of them. */
+/** One timer for several callbacks with the same interval, so that the process wakes up once for all of them. */
 
 export class SharedInterval {
   private readonly _milliseconds: number;
-  private readonly _runs = new Set<() => void>();
+  private readonly _callbacks = new Set<() => void>();
   private _timer: NodeJS.Timeout | undefined;
 
   constructor(milliseconds: number) {
     this._milliseconds = milliseconds;
   }
 
-  /** Calls `run` at each interval from now on; the returned function ends that. The timer keeps the process alive. */
+  /**
+   * Calls `run` at each interval from now on, until the returned function is called. The timer keeps the process
+   * alive.
+   */
   add(run: () => void): () => void {
-    // one that is added twice is called twice
-    const entry = (): void => run();
-    this._runs.add(entry);
-    this._timer ??= setInterval(() => this._runAll(), this._milliseconds);
-    return () => this._remove(entry);
+    // A new function for each call, so that a callback that is added twice also runs twice.
+    const callback = (): void => run();
+    this._callbacks.add(callback);
+    this._timer ??= setInterval(() => this._callAll(), this._milliseconds);
+    return () => this._remove(callback);
   }
 
-  private _runAll(): void {
-    for (const run of this._runs) run();
+  private _callAll(): void {
+    for (const run of this._callbacks) run();
   }
 
   private _remove(entry: () => void): void {
-    this._runs.delete(entry);
-    if (this._runs.size > 0) return;
+    this._callbacks.delete(entry);
+    if (this._callbacks.size > 0) return;
     clearInterval(this._timer);
     this._timer = undefined;
   }
--- a/src/utils/stepError.ts
+++ b/src/utils/stepError.ts
@@ -1,17 +1,17 @@
-/** The error type of the whole system. */
+/** The error type that all processes use. */
 
-/** What a caller or operator may do about an error. */
+/** What a caller or operator can do about an error. */
 export type ErrorAdvice = 'retry-later' | 'retry-elsewhere' | 'fix-input' | 'give-up';
 
-/** Extra facts of a {@link StepError}. */
+/** Optional details of a {@link StepError}. */
 export interface StepErrorDetails {
-  /** The peer at which the error arose: a box id, an address or a URL. */
+  /** The peer involved in the failed operation: a box name, an address or a URL. */
   peer?: string;
   advice?: ErrorAdvice;
   cause?: unknown;
 }
 
-/** An error that carries the step at which it arose and the peer it arose with. */
+/** An error that names the failed operation (`step`, such as `chunk.fetch`) and the peer involved. */
 export class StepError extends Error {
   readonly step: string;
   readonly peer: string | undefined;
@@ -26,13 +26,13 @@
   }
 }
 
-/** Returns a one-line text for anything thrown. */
+/** Returns the message of a thrown value of any type. */
 export function errorText(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   return error.message || (error as NodeJS.ErrnoException).code || error.name;
 }
 
-/** Returns the system or library error code of anything thrown, or ''. */
+/** Returns the system or library error code of a thrown value, or '' when it has none. */
 export function errorCode(error: unknown): string {
   return (error as { code?: string } | undefined)?.code ?? '';
 }
--- a/src/utils/timeLimit.ts
+++ b/src/utils/timeLimit.ts
@@ -1,4 +1,4 @@
-/** A bound on the time of one call: cheaper than `AbortSignal.timeout`, whose timers outlive the calls that they bound. */
+/** A timeout of one call. Cheaper than `AbortSignal.timeout`, whose timer keeps running after the call has ended. */
 
 export class TimeLimit {
   private readonly _controller = new AbortController();
@@ -6,7 +6,7 @@
   private readonly _outer: AbortSignal | undefined;
   private readonly _onOuter = (): void => this._controller.abort(this._outer?.reason);
 
-  /** `outer` ends the call earlier. */
+  /** An abort of `outer` also aborts the call. */
   constructor(milliseconds: number, outer?: AbortSignal) {
     this._outer = outer;
     this._timer = setTimeout(
@@ -17,12 +17,12 @@
     else outer?.addEventListener('abort', this._onOuter, { once: true });
   }
 
-  /** Aborted when the time is over. */
+  /** Aborted when the time is up or `outer` is aborted. */
   get signal(): AbortSignal {
     return this._controller.signal;
   }
 
-  /** Must be called when the call has ended. */
+  /** Clears the timer; must be called when the call has ended. */
   end(): void {
     clearTimeout(this._timer);
     this._outer?.removeEventListener('abort', this._onOuter);
--- a/src/utils/timers.ts
+++ b/src/utils/timers.ts
@@ -1,4 +1,4 @@
-/** Timers that end with their owner. */
+/** Promise-based timers that are cleared when they are no longer needed. */
 import { setTimeout as delay } from 'node:timers/promises';
 
 /** Resolves after `milliseconds`, or at once when `signal` is aborted. Never rejects. */
@@ -6,11 +6,11 @@
   try {
     await delay(milliseconds, undefined, { signal });
   } catch {
-    // aborted: the caller looks at the signal
+    // Aborted; callers check the signal themselves.
   }
 }
 
-/** Resolves when `work` does, and after `milliseconds` at the latest. */
+/** Resolves when `work` resolves, or after `milliseconds` if that is earlier. */
 export async function waitAtMost(work: Promise<void>, milliseconds: number): Promise<void> {
   const ended = new AbortController();
   try {
@@ -20,7 +20,7 @@
   }
 }
 
-/** Rejects with `onTimeout()` when `work` takes longer than `milliseconds`. */
+/** Returns the result of `work`; rejects with `onTimeout()` when it takes longer than `milliseconds`. */
 export async function withTimeout<T>(
   work: Promise<T>,
   milliseconds: number,
