--- a/src/configuration/apiFollower.ts
+++ b/src/configuration/apiFollower.ts
@@ -1,4 +1,4 @@
-/** Keeps the replica up to date from the object API, by a listing and then watches. */
+/** Keeps the replica up to date with the object API: lists all objects once, then watches for changes. */
 import type { ObjectApi } from '../external/objectApi.js';
 import type { Logger } from '../telemetry/logger.js';
 import { Backoff } from '../utils/backoff.js';
@@ -9,10 +9,10 @@
 import type { Replica } from './replica.js';
 
 const RETRY = { firstMilliseconds: 200, longestMilliseconds: 5_000 };
-/** How often an entry that does not watch looks whether it should. */
+/** How often an entry that does not watch checks whether it should. */
 const IDLE_MILLISECONDS = 500;
 
-/** Only the entries that `shouldWatch` says keep a watch open; the others hear from them. */
+/** Watches only while `shouldWatch` returns true; the other entries receive changes from the entries that watch. */
 export class ApiFollower {
   private readonly _api: ObjectApi;
   private readonly _replica: Replica;
@@ -21,8 +21,8 @@
   private readonly _backoff: Backoff;
   private readonly _shouldWatch: () => boolean;
   private readonly _stopped = new AbortController();
-  /** The revision up to which this entry has seen everything; undefined until a listing worked. */
-  private _seen: number | undefined;
+  /** The revision up to which all changes have been read; undefined until the first listing succeeds. */
+  private _seenRevision: number | undefined;
   private _lastAnswerAt = Number.NEGATIVE_INFINITY;
   private _reachable = false;
 
@@ -42,20 +42,20 @@
     this._shouldWatch = shouldWatch;
   }
 
-  /** Whether a listing has ever worked. */
+  /** Whether a complete listing has been read and no changes were missed since. */
   get synchronised(): boolean {
-    return this._seen !== undefined;
+    return this._seenRevision !== undefined;
   }
 
-  /** Milliseconds since the API last answered. */
+  /** Milliseconds since the object API last answered; infinite before the first answer. */
   get millisecondsSinceAnswer(): number {
     return this._clock.now() - this._lastAnswerAt;
   }
 
-  /** Follows until stopped. */
+  /** Runs until `stop` is called. */
   async run(): Promise<void> {
     while (!this._stopped.signal.aborted) {
-      if (this._seen !== undefined && !this._shouldWatch())
+      if (this._seenRevision !== undefined && !this._shouldWatch())
         await pause(IDLE_MILLISECONDS, this._stopped.signal);
       else await this._step();
     }
@@ -67,12 +67,12 @@
 
   private async _step(): Promise<void> {
     try {
-      if (this._seen === undefined) await this._list();
-      else await this._watch(this._seen);
+      if (this._seenRevision === undefined) await this._list();
+      else await this._watch(this._seenRevision);
       this._onAnswer();
     } catch (error) {
       if (this._stopped.signal.aborted) return;
-      this._onSilence(errorText(error));
+      this._onFailure(errorText(error));
       await pause(this._backoff.nextWait(), this._stopped.signal);
     }
   }
@@ -81,17 +81,17 @@
     const { revision, objects } = await this._api.list();
     const records = objects.map((object) => ({ ...object, deleted: false }));
     this._replica.applyListing(revision, records, 'api');
-    this._seen = revision;
+    this._seenRevision = revision;
   }
 
   private async _watch(after: number): Promise<void> {
     const { revision, changes, truncated } = await this._api.watch(after, this._stopped.signal);
     if (truncated) {
-      this._seen = undefined;
+      this._seenRevision = undefined;
       return;
     }
     for (const change of changes) this._replica.apply(change, 'api');
-    this._seen = revision;
+    this._seenRevision = revision;
   }
 
   private _onAnswer(): void {
@@ -101,7 +101,7 @@
     this._reachable = true;
   }
 
-  private _onSilence(reason: string): void {
+  private _onFailure(reason: string): void {
     if (this._reachable) this._logger.state('objectApi.unreachable', { reason });
     this._reachable = false;
   }
--- a/src/configuration/changeHandler.ts
+++ b/src/configuration/changeHandler.ts
@@ -1,4 +1,7 @@
-/** Accepts operators' changes: checked, written once, and held by another data centre before the yes. */
+/**
+ * Applies operators' changes. A change is accepted once it is written and another entry has confirmed it, one in
+ * another data centre if there are any.
+ */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { ReplicatedRecord } from '../protocol/records.js';
@@ -6,14 +9,14 @@
 import type { Replica } from './replica.js';
 import type { ConditionalWriteOutcome, ConditionalWriter } from './conditionalWriter.js';
 
-/** A change as an operator asks for it. */
+/** A change requested by an operator. */
 export interface ChangeRequest {
   key: string;
-  /** What to store; undefined deletes. */
+  /** The new value; undefined to delete the object. */
   value: object | undefined;
-  /** The revision that the operator has seen; undefined to take the present one, 0 for "must not exist". */
+  /** The revision that the change must replace; undefined for the current one, 0 if the object must not exist. */
   expectedRevision: number | undefined;
-  /** Names the change; sending it again with the same name changes nothing more. */
+  /** Identifies the change: a request that is repeated with the same id is applied only once. */
   changeId: string;
 }
 
@@ -22,24 +25,24 @@
   record: ReplicatedRecord;
 }
 
-/** Why a change was not accepted. */
+/** Reasons for which a change is not accepted. */
 export type ChangeRefusal =
   | { kind: 'invalid'; problems: FieldProblem[] }
   | { kind: 'not-found' }
-  /** Somebody else was first. */
+  /** The object has a different revision than expected. */
   | { kind: 'conflict'; currentRevision: number }
-  /** Nothing was changed; try later. */
+  /** The change was not written; the operator can try again later. */
   | { kind: 'unavailable'; reason: string }
-  /** It may have been changed: send the same change again. */
+  /** The change may have been written; the operator should repeat it with the same change id. */
   | { kind: 'unresolved'; reason: string };
 
-/** Hands a record to other entries and tells how many in other data centres confirmed it. */
+/** Sends a record to other entries and waits until they confirm that they have it. */
 export interface Confirmer {
-  /** Resolves true once enough entries hold the record that the loss of one cannot keep it from the rest. */
+  /** Resolves to true once enough entries have the record that the loss of one entry cannot lose it. */
   confirm(record: ReplicatedRecord): Promise<boolean>;
 }
 
-/** Writes changes and waits until they are safe. */
+/** Writes changes and waits until other entries have confirmed them. */
 export class ChangeHandler {
   private readonly _replica: Replica;
   private readonly _writer: ConditionalWriter;
@@ -51,10 +54,10 @@
     this._confirmer = confirmer;
   }
 
-  /** Carries out a change that has been checked. */
+  /** Applies a change whose value has already been validated. */
   async change(request: ChangeRequest): Promise<Result<AcceptedChange, ChangeRefusal>> {
     const known = this._replica.record(request.key);
-    if (this._wasMadeBefore(known, request)) return await this._confirmed(known!);
+    if (this._isRepeated(known, request)) return await this._confirmed(known!);
     if (request.value === undefined && known?.deleted) return await this._confirmed(known);
     if (request.value === undefined && !known) return err({ kind: 'not-found' });
     const expected = request.expectedRevision ?? this._replica.liveRevision(request.key);
@@ -67,7 +70,7 @@
     return await this._writer.put(request.key, { ...request.value, changeId: request.changeId }, expected);
   }
 
-  private _wasMadeBefore(known: ReplicatedRecord | undefined, request: ChangeRequest): boolean {
+  private _isRepeated(known: ReplicatedRecord | undefined, request: ChangeRequest): boolean {
     if (!known || known.deleted || request.value === undefined) return false;
     return (known.value as { changeId?: string }).changeId === request.changeId;
   }
--- a/src/configuration/conditionalWriter.ts
+++ b/src/configuration/conditionalWriter.ts
@@ -1,22 +1,22 @@
-/** Conditional writes whose outcome is always known, or said to be unknown. */
+/** Conditional writes that determine whether they took effect, also when the answer was lost. */
 import type { ObjectApi, WriteOutcome } from '../external/objectApi.js';
 import type { ReplicatedRecord } from '../protocol/records.js';
 import { pause } from '../utils/timers.js';
 import type { Replica } from './replica.js';
 
-/** What came of a write. `unresolved`: the API could not be asked whether it took effect. */
+/** The outcome of a write. `unresolved` means that it is unknown whether the write took effect. */
 export type ConditionalWriteOutcome =
   | { kind: 'written'; record: ReplicatedRecord }
   | { kind: 'conflict'; current: ReplicatedRecord | undefined }
   | { kind: 'refused'; reason: string }
   | { kind: 'unresolved'; reason: string };
 
-/** A value that names the change that made it, so that a lost answer can be resolved by reading it back. */
+/** A value with the id of the change that wrote it. After a lost answer, the id shows whose write took effect. */
 export interface WithChangeId {
   changeId: string;
 }
 
-/** A write until its outcome is known. */
+/** A write whose outcome is not known yet. */
 interface PendingWrite {
   key: string;
   expectedRevision: number;
@@ -25,10 +25,10 @@
   isOurs: (current: ReplicatedRecord | undefined) => boolean;
 }
 
-const READ_BACK_TRIES = 4;
+const READ_BACK_ATTEMPTS = 4;
 const READ_BACK_PAUSE_MILLISECONDS = 150;
 
-/** Writes objects and brings what it learns into the replica. */
+/** Writes objects to the object API and applies the results to the replica. */
 export class ConditionalWriter {
   private readonly _api: ObjectApi;
   private readonly _replica: Replica;
@@ -38,9 +38,9 @@
     this._replica = replica;
   }
 
-  /** Writes `value` over revision `expectedRevision`; 0 means that the object must not exist. */
+  /** Writes `value` if the object has revision `expectedRevision`; 0 means that it must not exist. */
   async put(key: string, value: WithChangeId, expectedRevision: number): Promise<ConditionalWriteOutcome> {
-    return await this._settle({
+    return await this._writeUntilKnown({
       key,
       expectedRevision,
       send: () => this._api.put(key, value, expectedRevision),
@@ -49,9 +49,9 @@
     });
   }
 
-  /** Deletes the object at revision `expectedRevision`. */
+  /** Deletes the object if it has revision `expectedRevision`. */
   async delete(key: string, expectedRevision: number): Promise<ConditionalWriteOutcome> {
-    return await this._settle({
+    return await this._writeUntilKnown({
       key,
       expectedRevision,
       send: () => this._api.delete(key, expectedRevision),
@@ -60,11 +60,11 @@
     });
   }
 
-  /** Sends a write; when its outcome is unknown, reads back and sends it again until it is known. */
-  private async _settle(write: PendingWrite): Promise<ConditionalWriteOutcome> {
+  /** Sends a write. While its outcome is unknown, reads the object back and sends the write again, a few times. */
+  private async _writeUntilKnown(write: PendingWrite): Promise<ConditionalWriteOutcome> {
     let outcome = await write.send();
     if (outcome.kind === 'refused') return { kind: 'refused', reason: outcome.reason };
-    for (let attempt = 0; attempt < READ_BACK_TRIES; attempt++) {
+    for (let attempt = 0; attempt < READ_BACK_ATTEMPTS; attempt++) {
       if (outcome.kind === 'written') return this._written(write.record(outcome.revision));
       const current = await this._read(write.key);
       if (current === 'unreadable') {
@@ -72,9 +72,11 @@
         continue;
       }
       if (current) this._replica.apply(current, 'api');
-      if (write.isOurs(current)) return { kind: 'written', record: current ?? this._deletion(write.key) };
+      if (write.isOurs(current))
+        return { kind: 'written', record: current ?? this._recordDeletion(write.key) };
       if ((current?.revision ?? 0) !== write.expectedRevision) return { kind: 'conflict', current };
-      // unchanged: the write may still be on its way, and at most one of the two can take effect
+      // The object is unchanged. The first write may still arrive, but both expect the same revision, so at most one
+      // of them can take effect.
       outcome = await write.send();
     }
     return { kind: 'unresolved', reason: 'no answer to the write, and none to reading it back' };
@@ -85,8 +87,11 @@
     return { kind: 'written', record };
   }
 
-  /** The watch will bring the deletion's own revision; until then it ranks just above what it deleted. */
-  private _deletion(key: string): ReplicatedRecord {
+  /**
+   * Records a deletion whose revision is unknown, one above the last known revision of the object. The watch delivers
+   * the real revision later.
+   */
+  private _recordDeletion(key: string): ReplicatedRecord {
     const revision = (this._replica.record(key)?.revision ?? 0) + 1;
     const record = { key, revision, value: null, deleted: true };
     this._replica.apply(record, 'self');
--- a/src/configuration/parsedRecords.ts
+++ b/src/configuration/parsedRecords.ts
@@ -1,7 +1,7 @@
-/** Values of replicated records in typed form, parsed once per revision. */
+/** A cache of parsed record values. */
 import type { Replica } from './replica.js';
 
-/** Parses on first use and again when the record has changed. */
+/** Parses the value of a record on first use, and again when its revision has changed. */
 export class ParsedRecords<T> {
   private readonly _replica: Replica;
   private readonly _parse: (value: unknown) => T | undefined;
@@ -12,7 +12,7 @@
     this._parse = parse;
   }
 
-  /** The value of `key`; undefined when there is none or it does not parse. */
+  /** Returns the parsed value of `key`; undefined when it does not exist or does not parse. */
   get(key: string): T | undefined {
     const record = this._replica.record(key);
     if (!record || record.deleted) return undefined;
--- a/src/configuration/recordKeys.ts
+++ b/src/configuration/recordKeys.ts
@@ -1,6 +1,6 @@
-/** Names of the objects that the system keeps in the object API. */
+/** Keys of the objects that are stored in the object API. */
 
-/** A customer's configuration by name. */
+/** Identifies a configuration of a customer. */
 export interface ConfigurationName {
   customer: string;
   configuration: string;
@@ -14,21 +14,21 @@
   return `customer/${name}`;
 }
 
-/** Kinds of objects that a configuration has. */
+/** Kinds of objects that are stored for each configuration. */
 export type ConfigurationKind = 'configuration' | 'rollout' | 'lease' | 'ledger';
 
-/** The object of one `kind` that belongs to a configuration. */
+/** Returns the key of a configuration's object of the given kind. */
 export function configurationKey(kind: ConfigurationKind, name: ConfigurationName): string {
   return `${kind}/${name.customer}/${name.configuration}`;
 }
 
-/** Returns the configuration that a key made by {@link configurationKey} belongs to. */
+/** Returns the configuration of a key that was created by {@link configurationKey}. */
 export function configurationOfKey(key: string): ConfigurationName | undefined {
   const [, customer, configuration] = key.split('/');
   return customer && configuration ? { customer, configuration } : undefined;
 }
 
-/** `customer.configuration`: the short name in logs, orders and leases. */
+/** Returns `customer.configuration`, the form in logs, rollout names and leases. */
 export function shortName(name: ConfigurationName): string {
   return `${name.customer}.${name.configuration}`;
 }
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -1,15 +1,15 @@
-/** Every entry's copy of the object API: the highest revision of each object, deletions included. */
+/** An entry's copy of the objects in the object API: the highest known revision of each, including deletions. */
 import { EventEmitter } from 'node:events';
 import { DIGEST_BUCKETS } from '../protocol/records.js';
 import type { ReplicatedRecord } from '../protocol/records.js';
 import { placementHash } from '../utils/hash.js';
 
 interface ReplicaEvents {
-  /** A record was replaced by a newer one; `source` names the peer it came from, or 'api' or 'self'. */
+  /** A record was added or replaced by a newer one. `source` is the peer that sent it, 'api' or 'self'. */
   change: [record: ReplicatedRecord, source: string];
 }
 
-/** A newer revision always wins, so a stale peer or a late watch changes nothing. */
+/** The highest revision of a record always wins, so records from an outdated peer or a late watch are ignored. */
 export class Replica extends EventEmitter<ReplicaEvents> {
   private readonly _records = new Map<string, ReplicatedRecord>();
   private readonly _buckets = new Uint32Array(DIGEST_BUCKETS);
@@ -23,7 +23,7 @@
     return this._records.size;
   }
 
-  /** Takes a record if it is newer than the one held; returns whether it was. */
+  /** Stores a record if it is newer than the known one; returns whether it was stored. */
   apply(record: ReplicatedRecord, source: string): boolean {
     const known = this._records.get(record.key);
     if (known && known.revision >= record.revision) return false;
@@ -36,7 +36,7 @@
     return true;
   }
 
-  /** Takes a whole listing: what it lacks and was older than it has been deleted. */
+  /** Applies a complete listing: known objects up to its revision that it does not contain are marked as deleted. */
   applyListing(revision: number, records: readonly ReplicatedRecord[], source: string): void {
     const listed = new Set(records.map((record) => record.key));
     for (const record of records) this.apply(record, source);
@@ -46,35 +46,35 @@
     }
   }
 
-  /** The record of `key`, deleted or not. */
+  /** Returns the record of `key`, also when it is a deletion. */
   record(key: string): ReplicatedRecord | undefined {
     return this._records.get(key);
   }
 
-  /** The value of `key`, undefined when it does not exist. */
+  /** Returns the value of `key`; undefined when the object does not exist. */
   value(key: string): unknown {
     const record = this._records.get(key);
     return record && !record.deleted ? record.value : undefined;
   }
 
-  /** The revision of `key`; 0 when it does not exist, as a conditional write expects. */
+  /** Returns the revision of `key`; 0 when the object does not exist, as conditional writes expect it. */
   liveRevision(key: string): number {
     const record = this._records.get(key);
     return record && !record.deleted ? record.revision : 0;
   }
 
-  /** All records of a kind, deletions included. */
+  /** Returns all records of a kind, including deletions. */
   recordsOf(kind: string): ReplicatedRecord[] {
     const prefix = `${kind}/`;
     return [...this._records.values()].filter((record) => record.key.startsWith(prefix));
   }
 
-  /** One hash per bucket; equal hashes mean equal records. */
+  /** Returns one hash per bucket of keys; replicas with equal records have equal hashes. */
   digest(): number[] {
     return [...this._buckets];
   }
 
-  /** The records of the buckets in which `digest` differs from ours. */
+  /** Returns the records of all buckets whose hash differs from that in `digest`. */
   recordsDifferingFrom(digest: readonly number[]): ReplicatedRecord[] {
     const differing = new Set<number>();
     this._buckets.forEach((hash, bucket) => {
--- a/src/configuration/resolveSpecification.ts
+++ b/src/configuration/resolveSpecification.ts
@@ -1,4 +1,4 @@
-/** Fills a template with a configuration's parameters. Pure. */
+/** Fills a template with the parameters of a configuration. */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import { z } from 'zod';
@@ -6,14 +6,14 @@
 import type { Configuration, Parameter, Specification, Template } from './template.js';
 import { referenceOf, specificationSchema } from './template.js';
 
-/** One wrong field: where, what was given, what is allowed. */
+/** An invalid field, its value and a description of the allowed values. */
 export interface FieldProblem {
   field: string;
   value: unknown;
   allowed: string;
 }
 
-/** Returns what a rollout needs, or every wrong field. */
+/** Returns the specification of the rollout, or all invalid fields. */
 export function resolveSpecification(
   template: Template,
   configuration: Configuration,
@@ -32,7 +32,7 @@
   return parsed.success ? ok(parsed.data) : err(problemsOf(parsed.error, rollout, 'rollout'));
 }
 
-/** Turns the issues of a failed check into problems that name field, value and what is allowed. */
+/** Converts Zod issues to field problems; `prefix` is put before each field name. */
 export function problemsOf(error: z.ZodError, input: unknown, prefix = ''): FieldProblem[] {
   return error.issues.map((issue) => {
     const path = issue.path.map(String);
--- a/src/configuration/template.ts
+++ b/src/configuration/template.ts
@@ -1,11 +1,11 @@
-/** Templates of rollouts and the configurations that fill them. */
+/** Schemas of rollout templates, of configurations that set their parameters, and of customers. */
 import { z } from 'zod';
 import { distributionSchema, nameSchema, serviceKindSchema, versionSchema } from '../protocol/index.js';
 
 const parameterBase = { description: z.string().max(500).optional() };
 const MAXIMUM_BOXES = 10_000;
 
-/** A typed parameter with its default and bounds. */
+/** A typed parameter with an optional default and bounds. */
 export const parameterSchema = z.discriminatedUnion('type', [
   z.strictObject({ type: z.literal('name'), default: nameSchema.optional(), ...parameterBase }),
   z.strictObject({ type: z.literal('version'), default: versionSchema.optional(), ...parameterBase }),
@@ -26,14 +26,14 @@
 ]);
 export type Parameter = z.infer<typeof parameterSchema>;
 
-/** What trades time to replicas against origin bytes: see docs/OPERATIONS.md. */
+/** Whether a rollout favours a short time to replicas or few bytes from the origin; see docs/OPERATIONS.md. */
 export const urgencySchema = z.enum(['time', 'origin-bytes']);
 export type Urgency = z.infer<typeof urgencySchema>;
 
-/** `together`: all boxes at one moment. `rolling`: each box as soon as it is ready. */
+/** `together` switches all boxes at the same time, `rolling` switches each box as soon as it is ready. */
 export const switchModeSchema = z.enum(['together', 'rolling']);
 
-/** Everything that a rollout needs to know. */
+/** The parameters of a rollout, after a template has been filled. */
 export const specificationSchema = z.strictObject({
   kind: serviceKindSchema.default('model'),
   model: nameSchema,
@@ -41,20 +41,20 @@
   boxes: z.array(nameSchema).min(1).max(MAXIMUM_BOXES),
   urgency: urgencySchema.default('time'),
   switch: switchModeSchema.default('together'),
-  /** Boxes that must be ready before any switches. */
+  /** Number of boxes that must be ready before any box switches. */
   leastReadyReplicas: z.number().int().min(1).default(1),
-  /** Most that may be drawn from the origin, in copies of the version. */
+  /** Limit on the bytes that are downloaded from the origin, as a multiple of the size of the version. */
   originBudgetCopies: z.number().min(1).max(1_000).default(1.25),
-  /** The customer's share of a box and of the origin beside other customers. */
+  /** Weight of the customer, relative to other customers, when a box and the origin are shared. */
   weight: z.number().positive().max(100).default(1),
   distribution: distributionSchema.default('exchange'),
 });
 export type Specification = z.infer<typeof specificationSchema>;
 
-/** A value that a template leaves to a parameter. */
+/** A template value that is set by a parameter. */
 const parameterReferenceSchema = z.strictObject({ parameter: z.string() });
 
-/** `rollout` gives each field of a {@link Specification} as a value or as a reference to a parameter. */
+/** Each field of `rollout` is a value of that field of a {@link Specification}, or a reference to a parameter. */
 export const templateSchema = z.strictObject({
   parameters: z.record(nameSchema, parameterSchema),
   rollout: z.partialRecord(
@@ -64,14 +64,14 @@
 });
 export type Template = z.infer<typeof templateSchema>;
 
-/** Names a template and fills its parameters. */
+/** The name of a template and the values of its parameters. */
 export const configurationSchema = z.strictObject({
   template: nameSchema,
   parameters: z.record(z.string(), z.unknown()).default({}),
 });
 export type Configuration = z.infer<typeof configurationSchema>;
 
-/** A customer: digests of its API keys (SHA-256, hex) and its weight beside others. */
+/** A customer: SHA-256 digests of its API keys, in hex. */
 export const customerSchema = z.strictObject({
   keyDigests: z
     .array(z.string().regex(/^[0-9a-f]{64}$/, 'must be a SHA-256 in hex'))
@@ -80,7 +80,7 @@
 });
 export type Customer = z.infer<typeof customerSchema>;
 
-/** Returns the parameter that a template value refers to, if it does. */
+/** Returns the name of the parameter that a template value refers to; undefined when the value is not a reference. */
 export function referenceOf(value: unknown): string | undefined {
   const parsed = parameterReferenceSchema.safeParse(value);
   return parsed.success ? parsed.data.parameter : undefined;
--- a/src/rollout/chunkCoverage.ts
+++ b/src/rollout/chunkCoverage.ts
@@ -1,13 +1,16 @@
-/** What a coordinator knows of the draws of one rollout, and which chunks need a grant. */
+/**
+ * Tracks which chunks of a rollout are on some box or being drawn. To draw a chunk is to download it from the origin,
+ * which a box may do only after the coordinator has granted it.
+ */
 import { Bitset } from '../utils/bitset.js';
 
-/** An agent's answer about one rollout. */
+/** What an agent reports about one rollout: a bitset of the chunks it holds, and its unfinished draws. */
 export interface Holdings {
   held: Uint8Array;
   openDraws: readonly number[];
 }
 
-/** Tracks holders and open grants by box. */
+/** Held chunks and open draws by box. */
 export class ChunkCoverage {
   private readonly _chunkCount: number;
   private readonly _held = new Map<string, Bitset>();
@@ -17,25 +20,25 @@
     this._chunkCount = chunkCount;
   }
 
-  /** Takes what a box holds and which of its draws are open. */
+  /** Replaces the held chunks and open draws of a box. */
   setHoldings(box: string, holdings: Holdings): void {
     this._held.set(box, Bitset.fromBytes(this._chunkCount, holdings.held));
     this._open.set(box, new Set(holdings.openDraws));
   }
 
-  /** Notes a grant. */
+  /** Adds granted draws to the open draws of a box. */
   addDraws(box: string, chunks: readonly number[]): void {
     const open = this._open.get(box) ?? new Set<number>();
     for (const chunk of chunks) open.add(chunk);
     this._open.set(box, open);
   }
 
-  /** Notes that a box ended draws without a chunk. */
+  /** Removes failed or refused draws from the open draws of a box. */
   removeDraws(box: string, chunks: readonly number[]): void {
     for (const chunk of chunks) this._open.get(box)?.delete(chunk);
   }
 
-  /** Forgets a box that is lost or draws no longer. Returns whether it had open draws or chunks of its own. */
+  /** Removes a box that is lost or stalled. Returns whether it had open draws or held any chunks. */
   removeBox(box: string): boolean {
     const mattered = (this._open.get(box)?.size ?? 0) > 0 || (this._held.get(box)?.count ?? 0) > 0;
     this._open.delete(box);
@@ -51,7 +54,7 @@
     return [...new Set([...this._held.keys(), ...this._open.keys()])];
   }
 
-  /** Chunks that no known box holds or is drawing. */
+  /** Returns the chunks that no known box holds or draws. */
   uncovered(): number[] {
     const covered = new Bitset(this._chunkCount);
     for (const held of this._held.values()) {
--- a/src/rollout/coordinatorPool.ts
+++ b/src/rollout/coordinatorPool.ts
@@ -11,20 +11,20 @@
 import { needsCoordinator } from './needsCoordinator.js';
 import type { WantedConfiguration } from './specifications.js';
 
-/** What a pool works with. */
+/** Options of a {@link CoordinatorPool}. */
 export interface CoordinatorPoolOptions extends CoordinatorServices {
   /** Box and incarnation of this entry. */
   holder: string;
   box: string;
   leaseMilliseconds: number;
-  /** Writes leases without waiting for other writes. */
+  /** Writer of the leases, which do not wait for other writes. */
   leaseWriter: ConditionalWriter;
-  /** Entries that may coordinate: live and not leaving. */
+  /** Entries that may coordinate: those that are live and not leaving. */
   entries: () => Box[];
   isLeaving: () => boolean;
 }
 
-/** One configuration under this entry's eyes. */
+/** State of a configuration for which this entry holds the lease or tries to acquire it. */
 interface ManagedConfiguration {
   lease: LeaseKeeper;
   coordinator: RolloutCoordinator | undefined;
@@ -34,14 +34,17 @@
 }
 
 const STEP_INTERVAL_MILLISECONDS = 50;
-/** How often to look when nothing has changed and no lease is held. */
-const QUIET_INTERVAL_MILLISECONDS = 500;
-/** Configurations that an entry coordinates at the same time; each costs a renewal every third of a lease. */
-const MOST_LEASES = 8;
-/** How long a lease is kept with nothing to do. */
-const IDLE_MILLISECONDS = 1_000;
-
-/** The entry that ranks first for a configuration takes its lease at once, the others after growing waits. */
+/** Step interval while nothing has changed and no lease is held. */
+const IDLE_STEP_INTERVAL_MILLISECONDS = 500;
+/** Leases that an entry holds at the same time. Each one costs a write per third of the lease lifetime. */
+const MAX_LEASES = 8;
+/** How long an idle lease is kept before it is released. */
+const IDLE_LEASE_MILLISECONDS = 1_000;
+
+/**
+ * For each configuration the entries are ranked by rendezvous hashing. The first one acquires a free lease at once, the
+ * others after a delay that grows with their rank.
+ */
 export class CoordinatorPool {
   private readonly _options: CoordinatorPoolOptions;
   private readonly _managed = new Map<string, ManagedConfiguration>();
@@ -51,12 +54,12 @@
 
   constructor(options: CoordinatorPoolOptions) {
     this._options = options;
-    options.replica.on('change', () => this._wake());
-    options.links.on('change', () => this._wake());
+    options.replica.on('change', () => this._scheduleSoon());
+    options.links.on('change', () => this._scheduleSoon());
     this._schedule(STEP_INTERVAL_MILLISECONDS);
   }
 
-  /** Boxes of the configurations that this entry coordinates or is the first to take up. */
+  /** Returns the boxes of all configurations that this entry coordinates or for which it ranks first. */
   coordinatedBoxes(): Set<string> {
     const coordinated = this._options.specifications.all().filter(({ name }) => {
       return this._managed.get(shortName(name))?.lease.epoch !== undefined || this._rank(name) === 0;
@@ -64,15 +67,15 @@
     return new Set(coordinated.flatMap(({ specification }) => specification?.boxes ?? []));
   }
 
-  /** Gives all leases back. */
+  /** Stops all work and releases all leases. */
   async stop(): Promise<void> {
     this._stopped = true;
     clearTimeout(this._timer);
     await Promise.all([...this._managed.values()].map((managed) => managed.lease.release()));
   }
 
-  /** Looks soon after a change. */
-  private _wake(): void {
+  /** Runs the next step soon, after a change of the replica or of the links. */
+  private _scheduleSoon(): void {
     if (this._dueAt - this._options.clock.now() > STEP_INTERVAL_MILLISECONDS)
       this._schedule(STEP_INTERVAL_MILLISECONDS);
   }
@@ -88,35 +91,35 @@
     const working = [...this._managed.values()].some(
       (managed) => managed.busy || managed.lease.epoch !== undefined,
     );
-    this._schedule(working ? STEP_INTERVAL_MILLISECONDS : QUIET_INTERVAL_MILLISECONDS);
-    for (const wanted of this._options.specifications.all()) this._stepOne(wanted);
+    this._schedule(working ? STEP_INTERVAL_MILLISECONDS : IDLE_STEP_INTERVAL_MILLISECONDS);
+    for (const wanted of this._options.specifications.all()) this._startStep(wanted);
   }
 
-  /** Nothing is kept of a configuration that needs no work. */
-  private _stepOne(wanted: WantedConfiguration): void {
-    const work = needsCoordinator(wanted, this._options);
+  /** Starts a step of one configuration, unless one is running. State exists only while there is work or a lease. */
+  private _startStep(wanted: WantedConfiguration): void {
+    const needed = needsCoordinator(wanted, this._options);
     const key = shortName(wanted.name);
-    const managed = this._managed.get(key) ?? (work ? this._manage(wanted.name) : undefined);
+    const managed = this._managed.get(key) ?? (needed ? this._getOrCreate(wanted.name) : undefined);
     if (!managed) return;
     if (managed.lease.epoch !== undefined) this._renew(managed);
-    else if (!work && !managed.busy) this._managed.delete(key);
+    else if (!needed && !managed.busy) this._managed.delete(key);
     if (managed.busy) return;
     managed.busy = true;
-    void this._step(wanted, managed, work)
+    void this._step(wanted, managed, needed)
       .catch((error: unknown) =>
         this._options.logger.state('coordinator.failed', { reason: errorText(error) }),
       )
       .finally(() => (managed.busy = false));
   }
 
-  /** Renewal does not wait for a step, which may wait for a silent agent. */
+  /** Renews the lease independently of the running step, which may be waiting for an agent that does not answer. */
   private _renew(managed: ManagedConfiguration): void {
     managed.lease.tick(0).catch((error: unknown) => {
       this._options.logger.state('lease.failed', { reason: errorText(error) });
     });
   }
 
-  private _manage(name: ConfigurationName): ManagedConfiguration {
+  private _getOrCreate(name: ConfigurationName): ManagedConfiguration {
     let managed = this._managed.get(shortName(name));
     if (!managed) {
       managed = {
@@ -146,12 +149,12 @@
   private async _step(
     wanted: WantedConfiguration,
     managed: ManagedConfiguration,
-    work: boolean,
+    needed: boolean,
   ): Promise<void> {
-    if (!work) return await this._idle(managed);
+    if (!needed) return await this._releaseWhenIdle(managed);
     managed.idleSince = undefined;
     if (this._options.isLeaving()) return await managed.lease.release();
-    if (managed.lease.epoch === undefined && this._heldLeases() < MOST_LEASES) {
+    if (managed.lease.epoch === undefined && this._heldLeases() < MAX_LEASES) {
       await managed.lease.tick(this._rank(wanted.name));
     }
     const epoch = managed.lease.epoch;
@@ -165,15 +168,15 @@
     await managed.coordinator!.step();
   }
 
-  /** A coordinator never acts under a later epoch than its own. */
+  /** Returns `epoch` while the lease is held under it, so that a coordinator never acts under a later epoch. */
   private _currentEpoch(managed: ManagedConfiguration, epoch: number): number | undefined {
     return managed.lease.epoch === epoch ? epoch : undefined;
   }
 
-  private async _idle(managed: ManagedConfiguration): Promise<void> {
+  private async _releaseWhenIdle(managed: ManagedConfiguration): Promise<void> {
     const now = this._options.clock.now();
     managed.idleSince ??= now;
-    if (now - managed.idleSince < IDLE_MILLISECONDS) return;
+    if (now - managed.idleSince < IDLE_LEASE_MILLISECONDS) return;
     managed.idleSince = undefined;
     await managed.lease.release();
   }
--- a/src/rollout/drawGranter.ts
+++ b/src/rollout/drawGranter.ts
@@ -1,4 +1,4 @@
-/** Decides which box may draw which chunk from the origin, within the budget. */
+/** Decides which box may draw which chunk, that is download it from the origin, within the origin budget. */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import type { Specification, Urgency } from '../configuration/template.js';
 import type { ReplyMessage } from '../protocol/rolloutMessages.js';
@@ -11,98 +11,98 @@
 import { OriginBudget } from './originBudget.js';
 import type { RolloutBox } from './rolloutView.js';
 
-/** What a granter is built from. */
+/** Options of a {@link DrawGranter}. */
 export interface DrawGranterOptions {
   name: ConfigurationName;
   epoch: () => number | undefined;
   rollout: string;
   index: ManifestIndex;
   specification: Specification;
-  /** Grants of earlier coordinators, as the rollout object has them. */
+  /** Bytes granted so far, by `box/incarnation`, from the rollout object; includes grants of earlier coordinators. */
   granted: Readonly<Record<string, number>>;
   clock: Clock;
   logger: Logger;
 }
 
-/** Grants that are booked and wait to be written and sent. */
+/** Grants that are reserved in the budget but not yet written and sent. */
 export interface PendingGrants {
   /** Chunks by box. */
   chunks: Map<string, number[]>;
-  /** The table for the rollout object. */
+  /** The new value of `granted` in the rollout object. */
   granted: Record<string, number>;
 }
 
-/** How long to wait for the answers of all boxes before the first draws are granted. */
-const FIRST_ANSWERS_MILLISECONDS = 1_000;
-/** How old the news in a report may be. */
-const REPORT_DELAY_MILLISECONDS = 250;
-/** Silence of a drawer after which its draws go to another box, by what the rollout cares for. */
+/** How long to wait for replies from all boxes before the first draws are granted. */
+const FIRST_REPLIES_MILLISECONDS = 1_000;
+/** Age that the content of a report may have when it arrives. */
+const MAX_REPORT_AGE_MILLISECONDS = 250;
+/** Time without progress after which the draws of a box are granted to another one, by urgency of the rollout. */
 const STALLED_MILLISECONDS: Record<Urgency, number> = { time: 3_000, 'origin-bytes': 15_000 };
 
-/** One per rollout and epoch. */
+/** Grants the draws of one rollout. A new instance is created for each rollout and lease epoch. */
 export class DrawGranter {
   readonly rollout: string;
   private readonly _options: DrawGranterOptions;
-  private readonly _plan: ChunkCoverage;
+  private readonly _coverage: ChunkCoverage;
   private _budget: OriginBudget;
-  private readonly _firstSeenAt: number;
+  private readonly _createdAt: number;
   private readonly _incarnations = new Map<string, string>();
   private readonly _progress = new Map<string, { text: string; at: number }>();
   private readonly _grantedAt = new Map<string, number>();
-  private _written: Readonly<Record<string, number>>;
-  private _begun = false;
+  private _writtenGrants: Readonly<Record<string, number>>;
+  private _started = false;
   private _needsHoldings = false;
 
   constructor(options: DrawGranterOptions) {
     this.rollout = options.rollout;
     this._options = options;
-    this._plan = new ChunkCoverage(options.index.chunkCount);
-    this._written = options.granted;
+    this._coverage = new ChunkCoverage(options.index.chunkCount);
+    this._writtenGrants = options.granted;
     this._budget = this._createBudget(options.granted);
-    this._firstSeenAt = options.clock.now();
+    this._createdAt = options.clock.now();
   }
 
-  /** Takes an agent's answer to a plan or a question. */
+  /** Applies an agent's reply to a plan or to a holdings query. */
   applyReply(box: string, reply: ReplyMessage): void {
     if (!reply.held || !reply.incarnation) return;
     const openDraws = reply.openDraws ?? [];
     this._incarnations.set(box, reply.incarnation);
-    this._plan.setHoldings(box, { held: reply.held, openDraws });
-    const drawer = `${box}/${reply.incarnation}`;
+    this._coverage.setHoldings(box, { held: reply.held, openDraws });
+    const agent = `${box}/${reply.incarnation}`;
     this._budget.recordUsage({
-      agent: drawer,
+      agent,
       originBytes: reply.originBytes ?? 0,
-      openBytes: this._bytes(openDraws),
+      openBytes: this._sizeOf(openDraws),
     });
   }
 
-  /** Returns what has to be granted now, booked against the budget. */
+  /** Returns the grants that are needed now, after reserving their bytes in the budget; undefined if there are none. */
   async nextGrants(boxes: readonly RolloutBox[]): Promise<PendingGrants | 'over-budget' | undefined> {
-    const live = boxes.filter((box) => box.live && this._plan.hasBox(box.box));
-    if (!this._begun && !this._answersAreIn(boxes, live)) return undefined;
-    this._dropLost(boxes);
-    this._takeFailures(live);
-    if (this._needsHoldings) await this._askHoldings(live);
-    if (this._options.specification.distribution === 'direct') return this._dueDirect(live);
-    const uncovered = this._plan.uncovered();
+    const live = boxes.filter((box) => box.live && this._coverage.hasBox(box.box));
+    if (!this._started && !this._hasEnoughReplies(boxes, live)) return undefined;
+    this._removeUnusableBoxes(boxes);
+    this._applyFailures(live);
+    if (this._needsHoldings) await this._queryHoldings(live);
+    if (this._options.specification.distribution === 'direct') return this._nextDirectGrants(live);
+    const uncovered = this._coverage.uncovered();
     if (uncovered.length === 0 || live.length === 0) {
-      this._begun ||= uncovered.length === 0 && live.length > 0;
+      this._started ||= uncovered.length === 0 && live.length > 0;
       return undefined;
     }
-    return this._book(this._assign(uncovered, live));
+    return this._reserve(this._assign(uncovered, live));
   }
 
-  /** Sends grants that have been written down. */
-  async send(due: PendingGrants, boxes: readonly RolloutBox[]): Promise<void> {
-    this._begun = true;
-    this._written = due.granted;
-    const sends = [...due.chunks].map(([box, chunks]) => this._sendOne(box, chunks, boxes));
+  /** Sends grants that have been written to the rollout object. */
+  async send(grants: PendingGrants, boxes: readonly RolloutBox[]): Promise<void> {
+    this._started = true;
+    this._writtenGrants = grants.granted;
+    const sends = [...grants.chunks].map(([box, chunks]) => this._sendOne(box, chunks, boxes));
     await Promise.all(sends);
   }
 
-  /** Called when the booking could not be written: nothing was sent. The next round books again. */
+  /** Drops a reservation that could not be written, before any grant was sent. The next step reserves again. */
   discardReservation(): void {
-    this._budget = this._createBudget(this._written);
+    this._budget = this._createBudget(this._writtenGrants);
     this._needsHoldings = true;
   }
 
@@ -111,18 +111,18 @@
     return new OriginBudget(Math.floor(limit), granted);
   }
 
-  private _answersAreIn(boxes: readonly RolloutBox[], live: readonly RolloutBox[]): boolean {
+  private _hasEnoughReplies(boxes: readonly RolloutBox[], live: readonly RolloutBox[]): boolean {
     const awaited = boxes.filter((box) => box.expected);
-    if (live.length > 0 && awaited.every((box) => this._plan.hasBox(box.box))) return true;
-    return live.length > 0 && this._options.clock.now() - this._firstSeenAt > FIRST_ANSWERS_MILLISECONDS;
+    if (live.length > 0 && awaited.every((box) => this._coverage.hasBox(box.box))) return true;
+    return live.length > 0 && this._options.clock.now() - this._createdAt > FIRST_REPLIES_MILLISECONDS;
   }
 
-  /** Forgets boxes that are gone, restarted, leaving or stalled; what they were to draw must be looked at again. */
-  private _dropLost(boxes: readonly RolloutBox[]): void {
-    const usable = new Set(boxes.filter((box) => this._isUsable(box)).map((box) => box.box));
-    for (const box of this._plan.boxes()) {
-      if (usable.has(box)) continue;
-      if (this._plan.removeBox(box)) this._needsHoldings = true;
+  /** Removes boxes that are gone, restarted, leaving or stalled. Their draws are granted again to other boxes. */
+  private _removeUnusableBoxes(boxes: readonly RolloutBox[]): void {
+    const usableBoxes = new Set(boxes.filter((box) => this._isUsable(box)).map((box) => box.box));
+    for (const box of this._coverage.boxes()) {
+      if (usableBoxes.has(box)) continue;
+      if (this._coverage.removeBox(box)) this._needsHoldings = true;
       this._options.logger.decision('drawer.dropped', { rollout: this.rollout, peer: box });
     }
   }
@@ -132,7 +132,7 @@
     return box.live && incarnation === this._incarnations.get(box.box) && !this._isStalled(box);
   }
 
-  /** A drawer is stalled when neither its chunks nor its draws have changed for too long. */
+  /** Whether a box with open draws has reported no progress for too long. */
   private _isStalled(box: RolloutBox): boolean {
     const { report } = box;
     if (report?.rollout !== this.rollout || report.openDraws === 0) return false;
@@ -144,18 +144,18 @@
     return now - since > STALLED_MILLISECONDS[this._options.specification.urgency];
   }
 
-  private _takeFailures(live: readonly RolloutBox[]): void {
-    for (const box of live) this._plan.removeDraws(box.box, this._failuresOf(box));
+  private _applyFailures(live: readonly RolloutBox[]): void {
+    for (const box of live) this._coverage.removeDraws(box.box, this._failuresOf(box));
   }
 
-  /** Failed draws of a box; a report from before its last grant says nothing about that grant. */
+  /** Returns the failed draws of a box, if its report is recent enough to include the last grant. */
   private _failuresOf({ box, link, report }: RolloutBox): number[] {
     if (report?.rollout !== this.rollout) return [];
     const grantedAt = this._grantedAt.get(box) ?? Number.NEGATIVE_INFINITY;
-    return link!.reportedAt > grantedAt + REPORT_DELAY_MILLISECONDS ? report.failedDraws : [];
+    return link!.reportedAt > grantedAt + MAX_REPORT_AGE_MILLISECONDS ? report.failedDraws : [];
   }
 
-  private async _askHoldings(live: readonly RolloutBox[]): Promise<void> {
+  private async _queryHoldings(live: readonly RolloutBox[]): Promise<void> {
     this._needsHoldings = false;
     const { customer, configuration } = this._options.name;
     const epoch = this._options.epoch() ?? 0;
@@ -178,20 +178,20 @@
     return topologyPolicy(distribution).initialOriginFetches(chunks, members, weight);
   }
 
-  /** The baseline in which each box draws all that it lacks. */
-  private _dueDirect(live: readonly RolloutBox[]): PendingGrants | 'over-budget' | undefined {
+  /** Grants for the `direct` distribution, in which each box downloads all chunks from the origin. */
+  private _nextDirectGrants(live: readonly RolloutBox[]): PendingGrants | 'over-budget' | undefined {
     const all = Array.from({ length: this._options.index.chunkCount }, (_none, index) => index);
     const chunks = new Map<string, number[]>();
     for (const box of live) {
-      const missing = this._begun ? this._failuresOf(box) : all;
+      const missing = this._started ? this._failuresOf(box) : all;
       if (missing.length > 0) chunks.set(box.box, [...missing]);
     }
-    return chunks.size === 0 ? undefined : this._book(chunks);
+    return chunks.size === 0 ? undefined : this._reserve(chunks);
   }
 
-  private _book(chunks: Map<string, number[]>): PendingGrants | 'over-budget' {
+  private _reserve(chunks: Map<string, number[]>): PendingGrants | 'over-budget' {
     const bytes = new Map<string, number>();
-    for (const [box, list] of chunks) bytes.set(`${box}/${this._incarnations.get(box)}`, this._bytes(list));
+    for (const [box, list] of chunks) bytes.set(`${box}/${this._incarnations.get(box)}`, this._sizeOf(list));
     const granted = this._budget.reserve(bytes);
     return granted ? { chunks, granted } : 'over-budget';
   }
@@ -206,7 +206,7 @@
       peer: box,
       chunks: chunks.length,
     });
-    this._plan.addDraws(box, chunks);
+    this._coverage.addDraws(box, chunks);
     this._grantedAt.set(box, this._options.clock.now());
     try {
       const reply = await link.order({
@@ -217,13 +217,13 @@
         rollout: this.rollout,
         chunks,
       });
-      if (!reply.accepted) this._plan.removeDraws(box, chunks);
+      if (!reply.accepted) this._coverage.removeDraws(box, chunks);
     } catch (error) {
       this._options.logger.state('grant.failed', { peer: box, reason: errorText(error) });
     }
   }
 
-  private _bytes(chunks: readonly number[]): number {
+  private _sizeOf(chunks: readonly number[]): number {
     return chunks.reduce((sum, chunk) => sum + (this._options.index.chunk(chunk)?.size ?? 0), 0);
   }
 }
--- a/src/rollout/ledgerAssigner.ts
+++ b/src/rollout/ledgerAssigner.ts
@@ -1,4 +1,7 @@
-/** Keeps the ledger table of a configuration in step with the agents that live. */
+/**
+ * Assigns the ledger slots of a configuration to its live agents. The agent that owns a slot remembers the idempotency
+ * keys of that slot.
+ */
 import { randomUUID } from 'node:crypto';
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
@@ -15,7 +18,7 @@
 import type { RolloutRecord } from './rolloutRecord.js';
 import type { RolloutBox } from './rolloutView.js';
 
-/** What an assigner works with. */
+/** Dependencies of a {@link LedgerAssigner}. */
 export interface LedgerAssignerServices {
   replica: Replica;
   ledgers: ParsedRecords<LedgerRecord>;
@@ -25,7 +28,7 @@
   logger: Logger;
 }
 
-/** Writes the table first and tells the owners after, so that two incarnations never own a slot under one epoch. */
+/** Writes the table before it informs the owners, so that two incarnations never own a slot under the same epoch. */
 export class LedgerAssigner {
   private readonly _services: LedgerAssignerServices;
   private readonly _name: ConfigurationName;
@@ -37,18 +40,18 @@
     this._epoch = epoch;
   }
 
-  /** Assigns free slots once the first rollout is complete, and tells agents of theirs. */
+  /** Assigns free slots once the first rollout is complete, and sends each agent its slots. */
   async step(rollout: RolloutRecord, boxes: readonly RolloutBox[]): Promise<void> {
     const key = configurationKey('ledger', this._name);
     const table = this._services.ledgers.get(key);
     if (!table && rollout.phase !== 'complete') return;
     const candidates = ledgerCandidates(boxes);
     if (candidates.length === 0) return;
-    const handedOver = await this._takeOver(table?.slots ?? [], boxes);
+    const handedOver = await this._exportKeys(table?.slots ?? [], boxes);
     const fateOf = (owner: SlotOwner): OwnerFate =>
       handedOver.has(identityOf(owner)) ? 'handed-over' : this._fateOf(owner);
     const slots = assignSlots(table?.slots ?? [], candidates, fateOf);
-    if (!(await this._import(table?.slots ?? [], slots, handedOver))) return;
+    if (!(await this._importKeys(table?.slots ?? [], slots, handedOver))) return;
     if (!table || changed(table.slots, slots)) {
       const value = { slots, changeId: randomUUID() };
       const outcome = await this._services.writer.put(key, value, this._services.replica.liveRevision(key));
@@ -58,11 +61,14 @@
       });
       if (outcome.kind !== 'written') return;
     }
-    await this._tell(slots, boxes);
+    await this._sendSlots(slots, boxes);
   }
 
-  /** Takes the keys of owners that are leaving or no longer belong to the configuration; by `box/incarnation`. */
-  private async _takeOver(
+  /**
+   * Exports the keys of owners that are leaving or no longer belong to the configuration. Returns them by
+   * `box/incarnation` of the owner.
+   */
+  private async _exportKeys(
     slots: readonly SlotOwner[],
     boxes: readonly RolloutBox[],
   ): Promise<Map<string, string[]>> {
@@ -76,8 +82,11 @@
     return keys;
   }
 
-  /** Gives handed-over keys to the new owners, before the table makes them owners. False when one did not answer. */
-  private async _import(
+  /**
+   * Sends exported keys to the new owners, before the table is written. Returns false when a new owner refused them or
+   * did not answer.
+   */
+  private async _importKeys(
     before: readonly SlotOwner[],
     after: readonly SlotOwner[],
     handedOver: ReadonlyMap<string, string[]>,
@@ -120,10 +129,10 @@
     }
   }
 
-  private async _tell(slots: readonly SlotOwner[], boxes: readonly RolloutBox[]): Promise<void> {
-    const untold = boxes.filter((box) => box.live && !hasCurrentSlots(box, slots));
+  private async _sendSlots(slots: readonly SlotOwner[], boxes: readonly RolloutBox[]): Promise<void> {
+    const outdated = boxes.filter((box) => box.live && !hasCurrentSlots(box, slots));
     await Promise.all(
-      untold.map(async ({ box, link }) => {
+      outdated.map(async ({ box, link }) => {
         const own = slotsOf(slots, { box, incarnation: link!.report!.incarnation });
         await this._order(box, { type: 'ledger', slots: own });
       }),
@@ -131,34 +140,37 @@
   }
 }
 
-/** Whether an owner still runs but is to run no more. */
+/** Whether an owner is still connected but is leaving or no longer belongs to the configuration. */
 export function mustHandOver(owner: SlotOwner, boxes: readonly RolloutBox[], links: AgentLinks): boolean {
   if (!links.get(owner.box)?.connected) return false;
   const box = boxes.find((candidate) => candidate.box === owner.box);
   return !box?.expected;
 }
 
-/** Reads a ledger object out of the replica. */
+/** Parses a ledger object; undefined when it is missing or invalid. */
 export function parseLedger(value: unknown): LedgerRecord | undefined {
   const parsed = ledgerRecordSchema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
 }
 
-/** Whether the agent has been told exactly the slots that the table gives it. */
+/** Whether the agent's last report shows the slots that the table assigns to it; also true without a report. */
 export function hasCurrentSlots(box: RolloutBox, slots: readonly SlotOwner[]): boolean {
   const incarnation = box.link?.report?.incarnation;
   if (!incarnation || !box.report) return true;
   return box.report.ledgerHash === ledgerHash(slotsOf(slots, { box: box.box, incarnation }));
 }
 
-/** Boxes that serve the configuration now. */
+/** Returns the boxes that serve the configuration now and so can own slots. */
 export function ledgerCandidates(boxes: readonly RolloutBox[]): LedgerCandidate[] {
   return boxes
     .filter((box) => box.expected && box.live && box.report?.activeRollout)
     .map(({ box, link }) => ({ box, incarnation: link!.report!.incarnation }));
 }
 
-/** Proof that an incarnation runs no more: another one answers on its box, or the platform has dropped the box. */
+/**
+ * Whether the owner has certainly ended: another incarnation is connected from its box, or the platform no longer lists
+ * the box.
+ */
 export function isOwnerGone(owner: SlotOwner, boxes: BoxListFollower, links: AgentLinks): boolean {
   if (!boxes.synchronised) return false;
   if (!boxes.get(owner.box)) return true;
--- a/src/rollout/needsCoordinator.ts
+++ b/src/rollout/needsCoordinator.ts
@@ -1,4 +1,4 @@
-/** Whether a configuration needs a coordinator now. */
+/** Decides whether a configuration needs a coordinator now. */
 import { configurationKey } from '../configuration/recordKeys.js';
 import type { ParsedRecords } from '../configuration/parsedRecords.js';
 import type { AgentLinks } from '../membership/agentLinks.js';
@@ -10,7 +10,7 @@
 import { rolloutBoxes, serviceReport, linksToWithdraw } from './rolloutView.js';
 import type { WantedConfiguration } from './specifications.js';
 
-/** What the check looks at. */
+/** The state on which the decision is based. */
 export interface NeedsCoordinatorInput {
   rollouts: ParsedRecords<RolloutRecord>;
   ledgers: ParsedRecords<LedgerRecord>;
@@ -18,17 +18,20 @@
   links: AgentLinks;
 }
 
-/** Compares what is wanted with the rollout object, the agents' reports and the ledger table. */
-export function needsCoordinator(wanted: WantedConfiguration, view: NeedsCoordinatorInput): boolean {
-  const record = view.rollouts.get(configurationKey('rollout', wanted.name));
-  if (wanted.withdrawn) return record !== undefined || isServedAnywhere(wanted, view.links);
+/**
+ * Whether anything remains to be done for a configuration. Compares it with its rollout object, the agents' reports and
+ * the ledger table.
+ */
+export function needsCoordinator(wanted: WantedConfiguration, state: NeedsCoordinatorInput): boolean {
+  const record = state.rollouts.get(configurationKey('rollout', wanted.name));
+  if (wanted.withdrawn) return record !== undefined || isServedAnywhere(wanted, state.links);
   const { specification } = wanted;
   if (!specification) return false;
   if (record?.phase !== 'complete') return true;
   if (record.model !== specification.model || record.version !== specification.version) return true;
-  const boxes = rolloutBoxes(wanted.name, specification, view.boxes, view.links);
-  if (linksToWithdraw(wanted.name, specification, view.links).length > 0) return true;
-  return boxes.some((box) => lacksVersion(box, record)) || ledgerNeedsWork(wanted, boxes, view);
+  const boxes = rolloutBoxes(wanted.name, specification, state.boxes, state.links);
+  if (linksToWithdraw(wanted.name, specification, state.links).length > 0) return true;
+  return boxes.some((box) => lacksVersion(box, record)) || needsLedgerUpdate(wanted, boxes, state);
 }
 
 function isServedAnywhere(wanted: WantedConfiguration, links: AgentLinks): boolean {
@@ -39,7 +42,7 @@
   return box.expected && box.live && box.report?.activeRollout !== record.rollout;
 }
 
-function ledgerNeedsWork(
+function needsLedgerUpdate(
   wanted: WantedConfiguration,
   boxes: readonly RolloutBox[],
   view: NeedsCoordinatorInput,
@@ -48,8 +51,8 @@
   if (candidates.length === 0) return false;
   const table = view.ledgers.get(configurationKey('ledger', wanted.name));
   if (!table) return true;
-  const isOver = (owner: SlotOwner): boolean =>
+  const mustReplace = (owner: SlotOwner): boolean =>
     isOwnerGone(owner, view.boxes, view.links) || mustHandOver(owner, boxes, view.links);
-  if (table.slots.some(isOver)) return true;
+  if (table.slots.some(mustReplace)) return true;
   return boxes.some((box) => box.live && !hasCurrentSlots(box, table.slots));
 }
--- a/src/rollout/originBudget.ts
+++ b/src/rollout/originBudget.ts
@@ -1,6 +1,6 @@
-/** The hard limit on what a rollout may draw from the origin, over all boxes and coordinators. Pure. */
+/** The limit on the bytes that a rollout may download from the origin, over all boxes and coordinators. */
 
-/** What an agent incarnation has really drawn and may still draw. */
+/** Bytes that one incarnation of an agent has downloaded, and bytes of its open draws. */
 export interface OriginUsage {
   /** `box/incarnation`. */
   agent: string;
@@ -9,8 +9,9 @@
 }
 
 /**
- * Every grant allows one attempt at one chunk and is written to the rollout object before it is sent. A coordinator
- * that takes over counts for each drawer what it reports, and all that it was ever granted when it does not answer.
+ * A grant allows one attempt to download one chunk and is written to the rollout object before it is sent. So a
+ * coordinator that takes over knows all grants: it counts the usage that each agent reports, and for an agent that does
+ * not answer, all bytes that were ever granted to it.
  */
 export class OriginBudget {
   private readonly _limitBytes: number;
@@ -23,19 +24,22 @@
     this._spent = new Map(this._granted);
   }
 
-  /** Bytes that may have been drawn, at most. */
+  /** Upper bound on the bytes that have been downloaded so far. */
   get spentBytes(): number {
     return [...this._spent.values()].reduce((sum, bytes) => sum + bytes, 0);
   }
 
-  /** Takes a drawer's own account, which is never more than it was granted. */
-  recordUsage(drawn: OriginUsage): void {
-    const granted = this._granted.get(drawn.agent);
+  /** Replaces the usage of an agent by the reported one, at most what was granted to it. */
+  recordUsage(usage: OriginUsage): void {
+    const granted = this._granted.get(usage.agent);
     if (granted === undefined) return;
-    this._spent.set(drawn.agent, Math.min(granted, drawn.originBytes + drawn.openBytes));
+    this._spent.set(usage.agent, Math.min(granted, usage.originBytes + usage.openBytes));
   }
 
-  /** Books grants if they fit; returns the table to write, or undefined when the limit would be passed. */
+  /**
+   * Reserves bytes by agent. Returns the new table of granted bytes; returns undefined and reserves nothing when the
+   * limit would be exceeded.
+   */
   reserve(grants: ReadonlyMap<string, number>): Record<string, number> | undefined {
     const wanted = [...grants.values()].reduce((sum, bytes) => sum + bytes, 0);
     if (this.spentBytes + wanted > this._limitBytes) return undefined;
--- a/src/rollout/planSender.ts
+++ b/src/rollout/planSender.ts
@@ -1,4 +1,4 @@
-/** Sends the plan of a rollout to every agent that has not got it. */
+/** Sends the plan of a rollout to every agent that does not have the current one. */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import type { Specification } from '../configuration/template.js';
 import type { Manifest } from '../protocol/manifest.js';
@@ -14,9 +14,9 @@
   private readonly _name: ConfigurationName;
   private readonly _epoch: () => number | undefined;
   private readonly _logger: Logger;
-  /** What each box was sent last. */
+  /** Identifies the plan that each box last accepted. */
   private readonly _sent = new Map<string, string>();
-  /** All members of the rollout so far: a box that is lost stays one, so that its loss changes no plan. */
+  /** All members of the rollout so far. A lost box remains a member, so that its loss does not change the plan. */
   private _members = new Map<string, Member>();
   private _rollout = '';
 
@@ -26,7 +26,7 @@
     this._logger = logger;
   }
 
-  /** Sends what is due and hands the answers to `granter`. */
+  /** Sends the plan to live boxes that do not have it, and passes their replies to `granter`. */
   async send(
     boxes: readonly RolloutBox[],
     record: RolloutRecord,
@@ -34,14 +34,16 @@
     specification: Specification,
     granter: DrawGranter,
   ): Promise<void> {
-    this._follow(boxes, record);
+    this._updateMembers(boxes, record);
     const plan = this._plan(record, manifest, specification);
     const key = `${record.rollout}/${this._epoch()}/${membersHash(plan.members)}/${specification.weight}`;
-    const due = boxes.filter((box) => box.live && this._sent.get(box.box) !== `${key}/${incarnationOf(box)}`);
-    await Promise.all(due.map((box) => this._sendOne(box, plan, key, granter)));
+    const outdated = boxes.filter(
+      (box) => box.live && this._sent.get(box.box) !== `${key}/${incarnationOf(box)}`,
+    );
+    await Promise.all(outdated.map((box) => this._sendOne(box, plan, key, granter)));
   }
 
-  private _follow(boxes: readonly RolloutBox[], record: RolloutRecord): void {
+  private _updateMembers(boxes: readonly RolloutBox[], record: RolloutRecord): void {
     if (this._rollout !== record.rollout) {
       this._rollout = record.rollout;
       this._members = new Map();
--- a/src/rollout/rolloutCoordinator.ts
+++ b/src/rollout/rolloutCoordinator.ts
@@ -1,4 +1,4 @@
-/** Carries one configuration from what is to what is wanted, under a lease. */
+/** Brings the boxes of one configuration to the wanted version, while this entry holds the lease. */
 import { randomUUID } from 'node:crypto';
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
@@ -24,7 +24,7 @@
 import { rolloutBoxes, serviceReport, linksToWithdraw } from './rolloutView.js';
 import type { Specifications } from './specifications.js';
 
-/** What all coordinators of an entry share. */
+/** Dependencies that all coordinators of an entry share. */
 export interface CoordinatorServices {
   replica: Replica;
   rollouts: ParsedRecords<RolloutRecord>;
@@ -38,10 +38,10 @@
   logger: Logger;
 }
 
-/** How long a box may be out of reach before a switch of all boxes together goes on without it. */
+/** How long a box may be unreachable before a `together` switch goes on without it. */
 const UNREACHABLE_MILLISECONDS = 10_000;
 
-/** Lives as long as one epoch of the lease. `step` is called again and again and does whatever is due. */
+/** Exists for one epoch of the lease. `step` is called repeatedly and does whatever is needed next. */
 export class RolloutCoordinator {
   private readonly _services: CoordinatorServices;
   private readonly _name: ConfigurationName;
@@ -52,7 +52,7 @@
   private _index: ManifestIndex | undefined;
   private _activating = new Set<string>();
 
-  /** `epoch` returns the epoch under which orders may be given now, undefined when the lease is not held. */
+  /** `epoch` returns the epoch for orders that are sent now; undefined when the lease is not held. */
   constructor(services: CoordinatorServices, name: ConfigurationName, epoch: () => number | undefined) {
     this._services = services;
     this._name = name;
@@ -61,7 +61,7 @@
     this._ledger = new LedgerAssigner(services, name, epoch);
   }
 
-  /** Does what is due now. */
+  /** Compares the wanted with the current state and does what is needed next. */
   async step(): Promise<void> {
     const wanted = this._services.specifications.find(this._name);
     if (wanted?.withdrawn) return await this._withdraw();
@@ -88,7 +88,7 @@
     return configurationKey('rollout', this._name);
   }
 
-  /** Returns the record of the wanted version; writes a new one when another version is wanted. */
+  /** Returns the record of the current rollout; starts a new rollout when another version is wanted. */
   private async _currentRecord(
     specification: Specification,
     revision: number,
@@ -143,11 +143,16 @@
   }
 
   private async _readManifest(
-    of: Pick<Specification, 'kind' | 'model' | 'version'>,
+    versionToRead: Pick<Specification, 'kind' | 'model' | 'version'>,
   ): Promise<Manifest | undefined> {
-    if (of.kind === 'plain') return { model: of.model, version: of.version, chunks: [] };
+    if (versionToRead.kind === 'plain')
+      return { model: versionToRead.model, version: versionToRead.version, chunks: [] };
     try {
-      return await this._services.origin.manifest(this._name.customer, of.model, of.version);
+      return await this._services.origin.manifest(
+        this._name.customer,
+        versionToRead.model,
+        versionToRead.version,
+      );
     } catch (error) {
       this._services.logger.state('manifest.failed', {
         configuration: shortName(this._name),
@@ -177,17 +182,17 @@
     return this._granter;
   }
 
-  /** Writes the grants down before they are sent, so that the budget holds across coordinators. */
+  /** Writes grants to the rollout object before they are sent, so that the next coordinator counts them. */
   private async _grant(
     granter: DrawGranter,
     boxes: readonly RolloutBox[],
     record: RolloutRecord,
   ): Promise<void> {
-    const due = await granter.nextGrants(boxes);
-    if (due === undefined) return;
-    if (due === 'over-budget') return await this._holdBack(record, 'the origin budget is used up');
-    const written = await this._write({ ...this._record()!, granted: due.granted, heldBack: '' });
-    if (written) await granter.send(due, boxes);
+    const grants = await granter.nextGrants(boxes);
+    if (grants === undefined) return;
+    if (grants === 'over-budget') return await this._holdBack(record, 'the origin budget is used up');
+    const written = await this._write({ ...this._record()!, granted: grants.granted, heldBack: '' });
+    if (written) await granter.send(grants, boxes);
     else granter.discardReservation();
   }
 
@@ -202,14 +207,14 @@
   ): Promise<void> {
     const record = this._record();
     if (!record || record.rollout !== before.rollout) return;
-    if (record.phase === 'staging' && this._mayActivate(record, specification, boxes)) {
+    if (record.phase === 'staging' && this._canActivate(record, specification, boxes)) {
       await this._write({ ...record, phase: 'active', heldBack: '', activatedAt: new Date().toISOString() });
     } else if (record.phase === 'active' && allSwitched(record, boxes)) {
       await this._write({ ...record, phase: 'complete', completedAt: new Date().toISOString() });
     }
   }
 
-  private _mayActivate(
+  private _canActivate(
     record: RolloutRecord,
     specification: Specification,
     boxes: readonly RolloutBox[],
@@ -225,7 +230,7 @@
     return box.expected && (!box.link || box.link.lostFor < UNREACHABLE_MILLISECONDS);
   }
 
-  /** Orders every ready box that has not switched yet to do so; the agents' reports confirm it. */
+  /** Orders every box with the loaded version to switch to it. The agents' reports show when that is done. */
   private _activate(before: RolloutRecord, boxes: readonly RolloutBox[]): void {
     const record = this._record();
     if (!record || record.rollout !== before.rollout || record.phase === 'staging') return;
@@ -233,13 +238,13 @@
       if (!live || report?.rollout !== record.rollout || report.state !== 'loaded') continue;
       if (this._activating.has(box)) continue;
       this._activating.add(box);
-      void this._order(box, () =>
+      void this._sendActivate(box, () =>
         link!.order({ ...this._orderFields(), type: 'activate', rollout: record.rollout }),
       );
     }
   }
 
-  private async _order(
+  private async _sendActivate(
     box: string,
     send: () => Promise<{ accepted: boolean; refusal?: string }>,
   ): Promise<void> {
@@ -262,7 +267,7 @@
     await Promise.allSettled(links.map((link) => link.order({ ...this._orderFields(), type: 'withdraw' })));
   }
 
-  /** Takes the configuration off every box, then removes what was kept about it. */
+  /** Withdraws the configuration from every box, then deletes its rollout and ledger objects. */
   private async _withdraw(): Promise<void> {
     const { links, replica, writer } = this._services;
     const serving = links.all().filter((link) => link.connected && serviceReport(link, this._name));
@@ -275,7 +280,7 @@
   }
 }
 
-/** Whether a box has the version loaded or in service. */
+/** Whether a box has loaded the version or serves it. */
 function isReady(record: RolloutRecord, box: RolloutBox): boolean {
   if (box.report?.activeRollout === record.rollout) return true;
   return box.report?.rollout === record.rollout && box.report.state === 'loaded';
--- a/src/rollout/rolloutRecord.ts
+++ b/src/rollout/rolloutRecord.ts
@@ -1,4 +1,4 @@
-/** The rollout object of a configuration: what has been decided and must survive the coordinator. */
+/** The rollout object of a configuration: the decisions that the next coordinator needs. */
 import { z } from 'zod';
 import {
   countSchema,
@@ -19,9 +19,9 @@
   manifestDigest: digestSchema,
   totalBytes: countSchema,
   phase: rolloutPhaseSchema,
-  /** Bytes that each agent incarnation (`box/incarnation`) has been allowed to draw from the origin. */
+  /** Bytes that each agent incarnation (`box/incarnation`) has been allowed to download from the origin. */
   granted: z.record(z.string(), countSchema),
-  /** Why the rollout cannot go on, or ''. */
+  /** Why the rollout cannot continue, or ''. */
   heldBack: z.string(),
   startedAt: z.string(),
   activatedAt: z.string(),
@@ -30,7 +30,7 @@
 });
 export type RolloutRecord = z.infer<typeof rolloutRecordSchema>;
 
-/** Reads a record out of the replica; undefined when there is none or it does not parse. */
+/** Parses a rollout object; undefined when it is missing or invalid. */
 export function parseRollout(value: unknown): RolloutRecord | undefined {
   const parsed = rolloutRecordSchema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
--- a/src/rollout/rolloutView.ts
+++ b/src/rollout/rolloutView.ts
@@ -1,4 +1,4 @@
-/** What the agents of a configuration report, put beside what is wanted. */
+/** Combines the boxes that a specification names with their platform state and the reports of their agents. */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import type { Specification } from '../configuration/template.js';
 import type { AgentLink } from '../membership/agentLink.js';
@@ -6,18 +6,18 @@
 import type { BoxListFollower } from '../membership/boxListFollower.js';
 import type { ServiceReport } from '../protocol/reportMessages.js';
 
-/** One box of a rollout. */
+/** The state of one box of a rollout. */
 export interface RolloutBox {
   box: string;
   link: AgentLink | undefined;
-  /** Whether the platform lists the box as live and its agent is not leaving. */
+  /** Whether neither the platform nor the agent says that the box is leaving. */
   expected: boolean;
-  /** Whether the agent is connected and takes work. */
+  /** Whether the agent is connected and accepts work. */
   live: boolean;
   report: ServiceReport | undefined;
 }
 
-/** Returns the boxes that a specification names and the platform knows. */
+/** Returns the boxes that a specification names and that the platform lists as agents. */
 export function rolloutBoxes(
   name: ConfigurationName,
   specification: Specification,
@@ -32,7 +32,7 @@
   });
 }
 
-/** Agents that still hold a configuration whose specification does not name them any more. */
+/** Returns the connected agents that still run a configuration although its specification no longer names them. */
 export function linksToWithdraw(
   name: ConfigurationName,
   specification: Specification,
@@ -44,7 +44,7 @@
     .filter((link) => link.connected && !named.has(link.box.box) && serviceReport(link, name));
 }
 
-/** What an agent reports of one configuration. */
+/** Returns the part of an agent's report that concerns one configuration. */
 export function serviceReport(
   link: AgentLink | undefined,
   name: ConfigurationName,
--- a/src/rollout/specifications.ts
+++ b/src/rollout/specifications.ts
@@ -1,4 +1,4 @@
-/** What operators want, read from the replica. */
+/** Reads the configurations in the replica and resolves them to rollout specifications. */
 import type { Result } from 'neverthrow';
 import { err } from 'neverthrow';
 import type { ConfigurationName } from '../configuration/recordKeys.js';
@@ -9,17 +9,17 @@
 import type { Specification } from '../configuration/template.js';
 import { configurationSchema, templateSchema } from '../configuration/template.js';
 
-/** A configuration that some object names, wanted or withdrawn. */
+/** A configuration that exists or that has been withdrawn, that is deleted. */
 export interface WantedConfiguration {
   name: ConfigurationName;
-  /** Undefined when it has been withdrawn or does not resolve. */
+  /** Undefined when the configuration has been withdrawn or is invalid. */
   specification: Specification | undefined;
   withdrawn: boolean;
   /** The revision of the configuration object. */
   revision: number;
 }
 
-/** Resolves configurations against their templates, once per revision of the replica. */
+/** Resolves configurations with their templates; the results are cached until the replica changes. */
 export class Specifications {
   private readonly _replica: Replica;
   private _cache: WantedConfiguration[] = [];
@@ -30,7 +30,7 @@
     replica.on('change', () => (this._cachedAt = -1));
   }
 
-  /** All configurations, withdrawn ones included. */
+  /** Returns all configurations, including withdrawn ones. */
   all(): WantedConfiguration[] {
     if (this._cachedAt < 0) {
       this._cache = this._replica.recordsOf('configuration').map((record) => this._read(record.key));
@@ -43,7 +43,7 @@
     return this.all().find(({ name: other }) => sameName(name, other));
   }
 
-  /** Checks a configuration before it is stored. */
+  /** Resolves a configuration value, such as one that is checked before it is stored. */
   resolve(value: unknown): Result<Specification, FieldProblem[]> {
     const configuration = configurationSchema.safeParse(value);
     if (!configuration.success) return err(problemsOf(configuration.error, value));
@@ -63,13 +63,13 @@
   }
 }
 
-/** Strips the change id that the system adds to operators' objects. */
+/** Removes the change id that is stored with operators' objects. */
 export function withoutChangeId(value: unknown): unknown {
   if (typeof value !== 'object' || value === null) return value;
   return Object.fromEntries(Object.entries(value).filter(([name]) => name !== 'changeId'));
 }
 
-/** Whether two names are of the same configuration. */
+/** Whether two names identify the same configuration. */
 export function sameName(a: ConfigurationName, b: ConfigurationName): boolean {
   return configurationKey('configuration', a) === configurationKey('configuration', b);
 }
