--- a/src/cli/cliError.ts
+++ b/src/cli/cliError.ts
@@ -1,9 +1,9 @@
-/** An error that ends the command line with a message and an exit code. */
+/** An error that ends the command with a message and an exit code. */
 import type { ExitCode } from './exitCodes.js';
 
 export class CliError extends Error {
   readonly exitCode: ExitCode;
-  /** One line each, for the user. */
+  /** The message, split into lines. */
   readonly lines: readonly string[];
 
   constructor(exitCode: ExitCode, lines: readonly string[]) {
--- a/src/cli/daemonCommand.ts
+++ b/src/cli/daemonCommand.ts
@@ -1,4 +1,4 @@
-/** Runs a daemon until it is told to stop. */
+/** `larklatch entry` and `larklatch agent`: runs a daemon until it receives a signal to stop. */
 import { agentSettingsSchema } from '../settings/agentSettings.js';
 import { entrySettingsSchema } from '../settings/entrySettings.js';
 import type { SettingsSchema } from '../settings/settingsParser.js';
@@ -8,16 +8,16 @@
 import { CliError } from './cliError.js';
 import { EXIT } from './exitCodes.js';
 
-/** What both daemons have in common. */
+/** The interface that both daemons implement. */
 interface Daemon {
   start(): Promise<{ httpPort: number; controlPort: number }>;
   stop(): Promise<void>;
 }
 
-/** Flags as given on the command line. */
+/** Command-line flags by name. */
 export type Flags = Record<string, unknown>;
 
-/** Checks settings; throws a CliError that names every wrong one. */
+/** Reads settings from flags and the environment; throws a CliError that lists all invalid ones. */
 export function checkSettings<Schema extends SettingsSchema>(schema: Schema, flags: Flags): z.infer<Schema> {
   const parsed = parseSettings(schema, flags, process.env);
   if (parsed.isErr()) throw new CliError(EXIT.wrongInput, problemLines(parsed.error));
@@ -40,7 +40,10 @@
   await runUntilStopped(new EntryDaemon(settings), settings.box);
 }
 
-/** Prints where the daemon listens as one JSON line; SIGTERM and SIGINT stop it in order, a second one at once. */
+/**
+ * Starts the daemon and prints its ports as one JSON line. The first SIGTERM or SIGINT stops it gracefully, the second
+ * one exits at once.
+ */
 export async function runUntilStopped(daemon: Daemon, box: string): Promise<void> {
   const ports = await daemon.start();
   console.log(JSON.stringify({ event: 'listening', box, ...ports }));
--- a/src/cli/exitCodes.ts
+++ b/src/cli/exitCodes.ts
@@ -1,4 +1,4 @@
-/** Exit codes of the command line; docs/OPERATIONS.md lists them for users. */
+/** Exit codes of the command line, documented in docs/OPERATIONS.md. */
 export const EXIT = {
   ok: 0,
   failed: 1,
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,31 +1,31 @@
-/** `larklatch explain REQUEST-ID`: the story of one request from the logs of several processes. */
+/** `larklatch explain REQUEST-ID`: lists the log lines of one request, from the logs of several processes. */
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 
-/** One log line of the request. */
+/** A parsed log line of the request. */
 export interface RequestLogLine {
-  /** Milliseconds since the epoch, by the clock of the box that wrote it. */
+  /** Milliseconds since the Unix epoch, by the clock of the box that wrote the line. */
   time: number;
   step: string;
   box: string;
-  /** All other fields. */
+  /** All other fields, except the request id and the data centre. */
   fields: Record<string, unknown>;
 }
 
-/** Reads log lines, which may stand behind other text, and returns those of one request in the order of time. */
+/** Returns the log lines of one request, ordered by time. Text before the JSON of a line is ignored. */
 export async function readRequestLog(input: Readable, request: string): Promise<RequestLogLine[]> {
-  const story: RequestLogLine[] = [];
+  const lines: RequestLogLine[] = [];
   for await (const line of createInterface({ input })) {
     const parsed = parseLine(line, request);
-    if (parsed) story.push(parsed);
+    if (parsed) lines.push(parsed);
   }
-  return story.sort((a, b) => a.time - b.time);
+  return lines.sort((a, b) => a.time - b.time);
 }
 
-/** One line of text per log line, with the time since the first. */
-export function formatRequestLog(story: readonly RequestLogLine[]): string[] {
-  return story.map(({ time, step, box, fields }) => {
-    const offset = `+${time - story[0].time} ms`.padStart(10);
+/** Formats each log line as text, with the time since the first one. */
+export function formatRequestLog(lines: readonly RequestLogLine[]): string[] {
+  return lines.map(({ time, step, box, fields }) => {
+    const offset = `+${time - lines[0].time} ms`.padStart(10);
     const details = Object.entries(fields).map(([name, value]) => `${name}=${JSON.stringify(value)}`);
     return `${offset}  ${box}  ${step}  ${details.join(' ')}`;
   });
--- a/src/cli/lossTable.ts
+++ b/src/cli/lossTable.ts
@@ -1,8 +1,11 @@
-/** `larklatch losses`: how requests ended, second by second and route by route, from the logs of gateways. */
+/** `larklatch losses`: counts from gateway logs how requests ended, by second and by route. */
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 
-/** How a request counts; an answered one may have begun late, or have paused for too long midway. */
+/**
+ * How a request ended. An answered request is `late-first` when its first byte came after the objective, `late-midway`
+ * when its stream paused for too long, and `in-time` otherwise.
+ */
 export type RequestEnd =
   'in-time' | 'late-first' | 'late-midway' | 'refused' | 'failed' | 'cut' | 'caller-gone';
 
@@ -16,15 +19,15 @@
   'caller-gone',
 ];
 
-/** Requests of one group, such as a second or a route. */
+/** Counts of the requests in one group, such as a second or a route. */
 export interface LossRow {
   group: string;
-  /** Requests that were sent to more than one server. */
+  /** Number of requests with more than one attempt. */
   moved: number;
   ends: Record<RequestEnd, number>;
 }
 
-/** What the log says of the end of one request. */
+/** A parsed log line about the end of a request. */
 interface EndLine {
   time: number;
   step: string;
@@ -39,36 +42,36 @@
 const STEP_PREFIX = 'request.';
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Reads log lines, which may stand behind other text; `longestPauseMilliseconds` is what a stream may pause. */
+/**
+ * Counts the requests in log lines, by second and by route. Text before the JSON of a line is ignored. A stream that
+ * pauses for longer than `longestPauseMilliseconds` is late.
+ */
 export async function readLosses(input: Readable, longestPauseMilliseconds: number): Promise<LossRow[]> {
   const lines: EndLine[] = [];
   for await (const text of createInterface({ input })) {
     const line = parseLine(text);
     if (line) lines.push(line);
   }
-  const firstBeganAt = lines.reduce(
-    (first, line) => Math.min(first, beganAt(line)),
-    Number.POSITIVE_INFINITY,
-  );
+  const firstStart = lines.reduce((first, line) => Math.min(first, startOf(line)), Number.POSITIVE_INFINITY);
   const seconds = new Map<string, LossRow>();
   const routes = new Map<string, LossRow>();
   for (const line of lines) {
-    const second = Math.floor((beganAt(line) - firstBeganAt) / MILLISECONDS_PER_SECOND);
+    const second = Math.floor((startOf(line) - firstStart) / MILLISECONDS_PER_SECOND);
     const end = endOf(line, longestPauseMilliseconds);
-    count(rowOf(seconds, `second ${second}`), line, end);
-    count(rowOf(routes, `route ${line.route}`), line, end);
+    addRequest(getOrCreateRow(seconds, `second ${second}`), line, end);
+    addRequest(getOrCreateRow(routes, `route ${line.route}`), line, end);
   }
-  return [...sorted(seconds), ...sorted(routes)];
+  return [...sortRows(seconds), ...sortRows(routes)];
 }
 
-/** The rows as text, with a head line. */
+/** Formats the rows as a text table with a header. */
 export function formatLosses(rows: readonly LossRow[]): string[] {
-  const head = ['', ...ENDS, 'moved'];
+  const header = ['', ...ENDS, 'moved'];
   const cells = rows.map(({ group, ends, moved }) => [group, ...ENDS.map((end) => ends[end]), moved]);
-  const widths = head.map((_name, column) =>
-    Math.max(...[head, ...cells].map((row) => String(row[column]).length)),
+  const widths = header.map((_name, column) =>
+    Math.max(...[header, ...cells].map((row) => String(row[column]).length)),
   );
-  return [head, ...cells].map((row) =>
+  return [header, ...cells].map((row) =>
     row.map((cell, column) => String(cell).padStart(widths[column])).join('  '),
   );
 }
@@ -84,7 +87,7 @@
   }
 }
 
-function beganAt({ time, milliseconds }: EndLine): number {
+function startOf({ time, milliseconds }: EndLine): number {
   return time - milliseconds;
 }
 
@@ -96,7 +99,7 @@
   return (line.pauseMilliseconds ?? 0) > longestPauseMilliseconds ? 'late-midway' : 'in-time';
 }
 
-function rowOf(rows: Map<string, LossRow>, group: string): LossRow {
+function getOrCreateRow(rows: Map<string, LossRow>, group: string): LossRow {
   let row = rows.get(group);
   if (!row) {
     const ends = Object.fromEntries(ENDS.map((end) => [end, 0])) as Record<RequestEnd, number>;
@@ -106,11 +109,11 @@
   return row;
 }
 
-function count(row: LossRow, line: EndLine, end: RequestEnd): void {
+function addRequest(row: LossRow, line: EndLine, end: RequestEnd): void {
   row.ends[end]++;
   if (line.attempts > 1) row.moved++;
 }
 
-function sorted(rows: ReadonlyMap<string, LossRow>): LossRow[] {
+function sortRows(rows: ReadonlyMap<string, LossRow>): LossRow[] {
   return [...rows.values()].sort((a, b) => a.group.localeCompare(b.group, 'en', { numeric: true }));
 }
--- a/src/cli/objectCommand.ts
+++ b/src/cli/objectCommand.ts
@@ -7,7 +7,7 @@
 import { EXIT } from './exitCodes.js';
 import type { OperatorClient } from './operatorClient.js';
 
-/** Kinds of objects that operators keep. */
+/** Kinds of objects that operators manage. */
 export type ObjectKind = 'template' | 'customer' | 'configuration';
 
 const NAMES: Record<ObjectKind, string> = {
@@ -16,7 +16,7 @@
   configuration: 'CUSTOMER NAME',
 };
 
-/** Carries out one verb and returns what is to be printed. */
+/** Runs one verb and returns the value to print. */
 export async function runObjectCommand(
   client: OperatorClient,
   kind: ObjectKind,
@@ -40,7 +40,7 @@
   ]);
 }
 
-/** Reads a JSON file; throws a CliError that names the flag. */
+/** Reads the JSON file of `--file`; throws a CliError when that fails. */
 export function readJsonFile(flags: Flags): unknown {
   const file = textFlag(flags, 'file');
   if (!file) throw new CliError(EXIT.wrongInput, ['--file: got nothing; allowed: the path of a JSON file']);
@@ -53,7 +53,7 @@
   }
 }
 
-/** Returns a flag as text, or undefined. */
+/** Returns a flag as text; undefined when it is missing or empty. */
 export function textFlag(flags: Flags, name: string): string | undefined {
   const value = flags[name];
   return value === undefined || value === '' ? undefined : String(value);
@@ -88,7 +88,7 @@
   return { template, parameters };
 }
 
-/** Numbers and JSON lists are taken as such, everything else as text. */
+/** Parses numbers and JSON arrays; any other value remains text. */
 function parameterValue(text: string): unknown {
   if (/^-?\d+(\.\d+)?$/.test(text) || text.startsWith('[')) {
     try {
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -1,4 +1,4 @@
-/** Talks to the operators' interface of an entry. */
+/** Client of the operator API of an entry. */
 import { randomUUID } from 'node:crypto';
 import type { JsonAnswer } from '../external/httpClient.js';
 import { sendJson } from '../external/httpClient.js';
@@ -6,18 +6,18 @@
 import { EXIT } from './exitCodes.js';
 import type { ExitCode } from './exitCodes.js';
 
-/** A request to the operators' interface. */
+/** A request to the operator API. */
 export interface OperatorRequest {
   method: 'GET' | 'PUT' | 'DELETE';
   path: string;
   body?: unknown;
-  /** Revision that must be the present one, as the user gave it. */
+  /** The revision that the object must have, as the user gave it; '0' if it must not exist. */
   ifMatch?: string;
   changeId?: string;
 }
 
 const TIMEOUT_MILLISECONDS = 20_000;
-const TRIES = 4;
+const MAX_ATTEMPTS = 4;
 const RETRY_PAUSE_MILLISECONDS = 500;
 
 const EXIT_OF_STATUS: Record<number, ExitCode> = {
@@ -28,7 +28,7 @@
   503: EXIT.unavailable,
 };
 
-/** A change is sent again under the same change id until its outcome is known or the tries are used up. */
+/** Retries requests without an answer or with status 503. All attempts have the same change id. */
 export class OperatorClient {
   private readonly _entryUrl: string;
   private readonly _key: string;
@@ -38,14 +38,15 @@
     this._key = key;
   }
 
-  /** Returns the answer's body; throws a CliError otherwise. */
+  /** Returns the body of an answer with status 200; throws a CliError otherwise. */
   async send(request: OperatorRequest): Promise<unknown> {
     const changeId = request.changeId ?? randomUUID();
     let answer: JsonAnswer | undefined;
-    for (let attempt = 1; attempt <= TRIES; attempt++) {
+    for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
       answer = await this._sendOnce(request, changeId);
       if (answer && answer.status !== 503) break;
-      if (attempt < TRIES) await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE_MILLISECONDS));
+      if (attempt < MAX_ATTEMPTS)
+        await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE_MILLISECONDS));
     }
     if (answer?.status === 200) return answer.body;
     throw failure(answer, this._entryUrl, changeId);
@@ -76,7 +77,7 @@
 function failure(answer: JsonAnswer | undefined, entryUrl: string, changeId: string): CliError {
   if (!answer) {
     return new CliError(EXIT.unavailable, [
-      `no answer from ${entryUrl} after ${TRIES} tries`,
+      `no answer from ${entryUrl} after ${MAX_ATTEMPTS} attempts`,
       `try another entry, with --change-id ${changeId}`,
     ]);
   }
--- a/src/cli/runCommand.ts
+++ b/src/cli/runCommand.ts
@@ -1,4 +1,4 @@
-/** Finds the command that the user named and runs it. */
+/** Dispatches the commands of the command line. */
 import { z } from 'zod';
 import { templateSchema } from '../configuration/template.js';
 import { problemsOf } from '../configuration/resolveSpecification.js';
@@ -29,7 +29,7 @@
   staging: stagingSettingsSchema,
 };
 const TIMEOUT_MILLISECONDS = 10_000;
-/** Longest pause of a stream that is in time, unless the user says otherwise; that of the users' deployments. */
+/** Default longest pause of a stream that is in time: the limit in the users' deployments. */
 const LONGEST_PAUSE_MILLISECONDS = 300;
 
 const operatorSettingsSchema = z.object({
@@ -43,9 +43,9 @@
   dataCentre: z.string().optional(),
 });
 
-/** Runs a command; throws a CliError when it cannot. */
-export async function runCommand(words: string[], flags: Flags): Promise<void> {
-  const [command, ...rest] = words;
+/** Runs a command; throws a CliError when it is unknown or fails. */
+export async function runCommand(args: string[], flags: Flags): Promise<void> {
+  const [command, ...rest] = args;
   if (command === 'check') return check(rest[0], flags);
   if (command === 'explain') return await explain(rest[0]);
   if (command === 'losses') return await printLosses(flags);
@@ -61,11 +61,11 @@
 }
 
 async function explain(request: string | undefined): Promise<void> {
-  if (!request) throw new CliError(EXIT.wrongInput, ['which request? larklatch explain REQUEST-ID < log']);
-  const story = await readRequestLog(process.stdin, request);
-  if (story.length === 0)
-    throw new CliError(EXIT.failed, [`no line of request ${request} on standard input`]);
-  for (const line of formatRequestLog(story)) console.log(line);
+  if (!request) throw new CliError(EXIT.wrongInput, ['usage: larklatch explain REQUEST-ID < log']);
+  const lines = await readRequestLog(process.stdin, request);
+  if (lines.length === 0)
+    throw new CliError(EXIT.failed, [`no log line of request ${request} on standard input`]);
+  for (const line of formatRequestLog(lines)) console.log(line);
 }
 
 async function printLosses(flags: Flags): Promise<void> {
@@ -93,7 +93,7 @@
   return answer.body;
 }
 
-/** Checks settings or a template without starting or publishing anything. */
+/** Validates settings or a template without starting or publishing anything. */
 function check(what: string | undefined, flags: Flags): void {
   const schema = DAEMON_SCHEMAS[what ?? ''];
   if (schema && flags['help']) return console.log(settingsHelp(schema));
--- a/src/cli/settingsPage.ts
+++ b/src/cli/settingsPage.ts
@@ -1,4 +1,4 @@
-/** The operators' page of settings, made from the schemas. */
+/** Generates docs/SETTINGS.md, the reference of all settings, from the schemas. */
 import type { z } from 'zod';
 import { agentSettingsSchema } from '../settings/agentSettings.js';
 import { entrySettingsSchema } from '../settings/entrySettings.js';
@@ -7,7 +7,7 @@
 import type { SettingsSchema } from '../settings/settingsParser.js';
 import { flagOf, variableOf } from '../settings/settingsParser.js';
 
-/** Returns docs/SETTINGS.md. */
+/** Returns the content of docs/SETTINGS.md. */
 export function settingsPage(): string {
   return [
     '# Settings',
@@ -41,11 +41,11 @@
 }
 
 function row(name: string, field: z.ZodType): string {
-  const standard = field.safeParse(undefined);
-  const fallback = standard.success
-    ? standard.data === undefined
+  const parsedDefault = field.safeParse(undefined);
+  const defaultText = parsedDefault.success
+    ? parsedDefault.data === undefined
       ? 'none'
-      : `\`${String(standard.data)}\``
+      : `\`${String(parsedDefault.data)}\``
     : 'required';
-  return `| \`${flagOf(name)}\` | \`${variableOf(name)}\` | ${field.description ?? ''} | ${fallback} |`;
+  return `| \`${flagOf(name)}\` | \`${variableOf(name)}\` | ${field.description ?? ''} | ${defaultText} |`;
 }
--- a/src/settings/commonSettings.ts
+++ b/src/settings/commonSettings.ts
@@ -1,11 +1,11 @@
-/** Settings that entries and agents share. */
+/** Setting types and the settings that several daemons share. */
 import { z } from 'zod';
 import { nameSchema } from '../protocol/names.js';
 
 const MAXIMUM_PORT = 65_535;
-const SHORTEST_KEY = 16;
+const MIN_KEY_LENGTH = 16;
 
-/** A TCP port; 0 lets the system choose. */
+/** A TCP port; with 0, the system chooses a free one. */
 export const portSetting = z.coerce
   .number('a port from 0 to 65535')
   .int('a port from 0 to 65535')
@@ -18,27 +18,32 @@
   .string('an http URL, such as http://10.0.0.1:8080')
   .regex(/^https?:\/\/[^/]+$/, 'an http URL without a path, such as http://10.0.0.1:8080');
 
-/** Where something listens. */
+/** An address to listen on or to connect to. */
 export const hostPortSetting = z
   .string('host:port')
   .regex(/^[^:\s]+:\d+$/, 'host:port, such as 10.0.0.1:8080');
 
-/** A whole number within bounds. */
+/** An integer within bounds; `unit` appears in the error message. */
 export function numberSetting(
   minimum: number,
   maximum: number,
-  standard: number,
+  defaultValue: number,
   unit: string,
 ): z.ZodDefault<z.ZodCoercedNumber> {
   const allowed = `a whole number of ${unit} from ${minimum} to ${maximum}`;
-  return z.coerce.number(allowed).int(allowed).min(minimum, allowed).max(maximum, allowed).default(standard);
+  return z.coerce
+    .number(allowed)
+    .int(allowed)
+    .min(minimum, allowed)
+    .max(maximum, allowed)
+    .default(defaultValue);
 }
 
-/** Settings of every process of ours. */
+/** Settings of every daemon. */
 export const processSettings = {
   sharedKey: z
-    .string(`at least ${SHORTEST_KEY} characters`)
-    .min(SHORTEST_KEY, `at least ${SHORTEST_KEY} characters`)
+    .string(`at least ${MIN_KEY_LENGTH} characters`)
+    .min(MIN_KEY_LENGTH, `at least ${MIN_KEY_LENGTH} characters`)
     .describe('key that all processes of the system share; best given as a variable'),
   peerTimeoutMilliseconds: numberSetting(100, 60_000, 2_000, 'milliseconds').describe(
     'silence after which a control connection counts as lost',
@@ -50,6 +55,7 @@
     .describe('which lines are logged'),
 };
 
+/** Settings that `larklatch entry` and `larklatch agent` share. */
 export const commonSettings = {
   ...processSettings,
   box: nameSchema.describe('name of this box, as in the box list'),
@@ -62,7 +68,7 @@
   ),
 };
 
-/** Settings of the processes on a platform whose names need not be ours. */
+/** Settings of the daemons on the platform. Names of boxes and data centres there need not match `nameSchema`. */
 export const platformProcessSettings = {
   ...processSettings,
   box: z.string('a name').min(1, 'a name').describe('name of this box'),
--- a/src/settings/gatewaySettings.ts
+++ b/src/settings/gatewaySettings.ts
@@ -1,4 +1,4 @@
-/** Settings of `larklatch gateway`: an entry that reaches backend servers directly. */
+/** Settings of the gateway: an entry that connects to backend servers directly, without agents. */
 import { z } from 'zod';
 import { hostPortSetting, numberSetting, platformProcessSettings } from './commonSettings.js';
 
--- a/src/settings/settingsParser.ts
+++ b/src/settings/settingsParser.ts
@@ -1,19 +1,19 @@
-/** Reads settings from flags and environment variables and checks them against a schema. */
+/** Reads settings from flags and environment variables and validates them with a schema. */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { z } from 'zod';
 
-/** One wrong setting. */
+/** An invalid setting. */
 export interface SettingProblem {
-  /** As the user writes it, such as `--data centre`. */
+  /** The command-line flag, such as `--data-centre`. */
   flag: string;
-  /** The environment variable that sets the same. */
+  /** The environment variable of the same setting. */
   variable: string;
   value: string;
   allowed: string;
 }
 
-/** Any object schema of settings. */
+/** An object schema with one field per setting. */
 export type SettingsSchema = z.ZodObject<z.ZodRawShape>;
 
 /** Returns `--object-api-url` for `objectApiUrl`. */
@@ -26,7 +26,7 @@
   return `LARKLATCH_${name.replace(/[A-Z]/g, (letter) => `_${letter}`).toUpperCase()}`;
 }
 
-/** Takes each setting from its flag, else from its variable, else from its default. */
+/** Reads each setting from its flag, its environment variable or its default, in this order of precedence. */
 export function parseSettings<Schema extends SettingsSchema>(
   schema: Schema,
   flags: Record<string, unknown>,
@@ -42,7 +42,7 @@
   return err(parsed.error.issues.map((issue) => problemOf(issue, raw)));
 }
 
-/** Returns the lines that tell a user what to mend. */
+/** Returns one line per problem, for the user. */
 export function problemLines(problems: readonly SettingProblem[]): string[] {
   return problems.map(
     ({ flag, variable, value, allowed }) => `${flag} (or ${variable}): got ${value}; allowed: ${allowed}`,
--- a/src/settings/stagingSettings.ts
+++ b/src/settings/stagingSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of `larklatch staging`: an agent that only brings versions to its backend server. */
+/** Settings of the staging agent: an agent that only loads versions into its backend server. */
 import { z } from 'zod';
 import { hostPortSetting, numberSetting, platformProcessSettings } from './commonSettings.js';
 
--- a/src/telemetry/eventLog.ts
+++ b/src/telemetry/eventLog.ts
@@ -1,21 +1,21 @@
-/** Structured log lines (JSON) on standard output: bounded in rate and memory, never blocking. */
+/** Structured log lines (JSON) on standard output, with bounded rate and memory. Writing never blocks. */
 import sonicBoom from 'sonic-boom';
 
-/** What a line may carry. Undefined fields are left out. */
+/** Fields of a log line. Undefined fields are omitted. */
 export type EventFields = Record<string, string | number | boolean | readonly unknown[] | undefined>;
 
-/** Which lines are written. */
+/** Which lines are written: `state` writes state lines only, `decision` writes both kinds. */
 export type EventLevel = 'off' | 'state' | 'decision';
 
-/** Where lines go; a stand-in in tests. */
+/** The destination of log lines; tests replace it. */
 export interface LineSink {
   write(line: string): void;
 }
 
-/** Lines of one step that may be written within one second; further ones are counted. */
+/** Lines per step and second that are written; the others are only counted. */
 const LINES_PER_SECOND = 100;
 const WINDOW_MILLISECONDS = 1_000;
-/** Bytes that may wait for a reader of standard output; beyond that lines are dropped. */
+/** Size of the buffer for a slow reader of standard output; lines are dropped while it is full. */
 const BUFFER_BYTES = 256 * 1024;
 const STANDARD_OUTPUT = 1;
 
@@ -25,14 +25,14 @@
   dropped: number;
 }
 
-/** Returns a sink that writes to standard output without ever waiting for its reader. */
+/** Returns a sink that writes to standard output and never blocks on its reader. */
 export function standardOutputSink(): LineSink {
   const stream = new sonicBoom.SonicBoom({ fd: STANDARD_OUTPUT, sync: false, maxLength: BUFFER_BYTES });
   stream.on('error', () => undefined);
   return stream;
 }
 
-/** Writes the lines of one process. `common` fields stand on every line. */
+/** Writes the log lines of one process. The `common` fields are added to every line. */
 export class EventLog {
   private readonly _sink: LineSink;
   private readonly _level: EventLevel;
@@ -46,12 +46,12 @@
     this._common = common;
   }
 
-  /** Lines that were over their budget since the start. */
+  /** Lines dropped by the rate limit since the start. */
   get droppedLines(): number {
     return this._droppedLines;
   }
 
-  /** Logs a change of what the process believes, a start, a stop, or a dependency lost or regained. */
+  /** Logs a change of state, such as a start, a stop, or a dependency that is lost or reachable again. */
   state(step: string, fields: EventFields = {}): void {
     if (this._level !== 'off') this._write(step, fields);
   }
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and latencies of one daemon, in Prometheus text. */
+/** Counters, gauges and latency histograms of one daemon, in the Prometheus text format. */
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 import { Counter, Gauge, Registry } from 'prom-client';
@@ -6,13 +6,13 @@
 const QUANTILES = [0.5, 0.95, 0.99];
 const HIGHEST_MILLISECONDS = 3_600_000;
 
-/** Keeps the metrics that a daemon shows on `/metrics`. */
+/** The metrics that a daemon serves on `/metrics`. */
 export class Metrics {
   private readonly _registry = new Registry();
   private readonly _counters = new Map<string, Counter>();
   private readonly _latencies = new Map<string, Histogram>();
 
-  /** Adds `amount` to the counter `name`. The same name always has the same labels. */
+  /** Adds `amount` to the counter `name`. All calls with the same name must have the same labels. */
   count(name: string, labels: Record<string, string> = {}, amount = 1): void {
     let counter = this._counters.get(name);
     if (!counter) {
@@ -23,7 +23,7 @@
     counter.inc(labels, amount);
   }
 
-  /** Shows the result of `read` under `name`, read when asked for. */
+  /** Adds a gauge whose value is `read()` at the time of each scrape. */
   gauge(name: string, read: () => number): void {
     new Gauge({
       name: `larklatch_${name}`,
@@ -45,7 +45,7 @@
     histogram.recordValue(Math.min(HIGHEST_MILLISECONDS, Math.max(0, Math.round(milliseconds))));
   }
 
-  /** Returns the text that `/metrics` answers. */
+  /** Returns all metrics in the Prometheus text format. */
   async exposition(): Promise<string> {
     const lines = [await this._registry.metrics()];
     for (const [name, histogram] of this._latencies) {
--- a/src/telemetry/metricsServer.ts
+++ b/src/telemetry/metricsServer.ts
@@ -1,4 +1,4 @@
-/** Answers the figures of a process over HTTP. */
+/** Serves the metrics of a process over HTTP. */
 import http from 'node:http';
 import { closeHttp, listenHttp } from '../utils/httpServer.js';
 import type { ServingMetrics } from './servingMetrics.js';
@@ -6,7 +6,7 @@
 export class MetricsServer {
   private readonly _server: http.Server;
 
-  /** Answers on `path` and nowhere else. */
+  /** Serves the metrics on `path`; every other path answers with status 404. */
   constructor(metrics: ServingMetrics, path: string) {
     this._server = http.createServer((request, response) => {
       if (request.url !== path) response.writeHead(404).end();
--- a/src/telemetry/servingMetrics.ts
+++ b/src/telemetry/servingMetrics.ts
@@ -1,11 +1,11 @@
-/** Counters and latency histograms of a gateway. */
+/** Counters, gauges and histograms of a gateway, in the Prometheus text format. */
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
 const QUANTILES = [50, 95, 99];
 const HIGHEST_MILLISECONDS = 600_000;
 
-/** Times of one kind, for one service. */
+/** The histogram of one metric for one service. */
 interface NamedHistogram {
   name: string;
   service: string;
@@ -30,22 +30,22 @@
     this._record('request_milliseconds', service, milliseconds);
   }
 
-  /** Age of the load report by which a server was chosen. */
+  /** Records the age of the load report that was used to choose a server. */
   recordLoadAge(service: string, ageMilliseconds: number): void {
     this._record('load_age_milliseconds', service, ageMilliseconds);
   }
 
-  /** Adds one to a counter; `series` is its name with labels. */
+  /** Increments a counter; `series` is its name with labels. */
   count(series: string): void {
     this._counts.set(series, (this._counts.get(series) ?? 0) + 1);
   }
 
-  /** Shows the result of `read` under `name`. */
+  /** Adds a gauge whose value is `read()` at the time of each scrape. */
   gauge(name: string, read: () => number): void {
     this._gauges.set(name, read);
   }
 
-  /** All figures in Prometheus text. */
+  /** Returns all metrics in the Prometheus text format. */
   exposition(): string {
     const lines = [...this._counts].map(([series, value]) => `larklatch_${series} ${value}`);
     for (const [name, read] of this._gauges) lines.push(`larklatch_${name} ${read()}`);
@@ -61,15 +61,15 @@
 
   private _record(name: string, service: string, milliseconds: number): void {
     const key = `${name}/${service}`;
-    let held = this._histograms.get(key);
-    if (!held) {
+    let entry = this._histograms.get(key);
+    if (!entry) {
       const options = {
         highestTrackableValue: HIGHEST_MILLISECONDS,
         numberOfSignificantValueDigits: 2,
       } as const;
-      held = { name, service, histogram: build(options) };
-      this._histograms.set(key, held);
+      entry = { name, service, histogram: build(options) };
+      this._histograms.set(key, entry);
     }
-    held.histogram.recordValue(Math.min(HIGHEST_MILLISECONDS, Math.max(0, Math.round(milliseconds))));
+    entry.histogram.recordValue(Math.min(HIGHEST_MILLISECONDS, Math.max(0, Math.round(milliseconds))));
   }
 }
