--- a/tests/bitset.spec.ts
+++ b/tests/bitset.spec.ts
@@ -1,4 +1,4 @@
-/** Tests of the chunk set. */
+/** Bitset: serialisation and bounds. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { Bitset } from '../src/utils/bitset.js';
--- a/tests/conditionalWriter.spec.ts
+++ b/tests/conditionalWriter.spec.ts
@@ -1,4 +1,4 @@
-/** Conditional writes: every fault of a write, and what the writer must know afterwards. */
+/** ConditionalWriter: the outcome that it reports for each fault of a write. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { Replica } from '../src/configuration/replica.js';
@@ -18,7 +18,7 @@
 ];
 
 for (const { fault, outcome, stored } of WRITE_FAULTS) {
-  test(`should know the outcome of a write: ${fault}`, async () => {
+  test(`should report the outcome of a write with the fault ${fault}`, async () => {
     const api = new MemoryObjectApi();
     const writer = new ConditionalWriter(api, new Replica());
     api.writeFaults = [fault];
@@ -28,7 +28,7 @@
   });
 }
 
-test('should report a conflict when another writer came between a lost request and its resolution', async () => {
+test('should report a conflict when another writer wrote after a lost request', async () => {
   const api = new MemoryObjectApi();
   api.writeFaults = ['lose-request'];
   const outcome = await api.put(KEY, { changeId: 'lost' }, 0);
@@ -38,7 +38,7 @@
   expect(result.kind).toEqual('conflict');
 });
 
-test('should not claim success when the api can be read no more', async () => {
+test('should not report success when the object api can no longer be read', async () => {
   const api = new MemoryObjectApi();
   api.writeFaults = ['lose-answer'];
   api.readable = false;
@@ -46,7 +46,7 @@
   expect(result.kind).toEqual('unresolved');
 });
 
-test('should take a change that was made before under the same change id as made', async () => {
+test('should report a repeated change with the same change id as written', async () => {
   const api = new MemoryObjectApi();
   const writer = new ConditionalWriter(api, new Replica());
   await writer.put(KEY, { changeId: 'a' }, 0);
--- a/tests/eventLog.spec.ts
+++ b/tests/eventLog.spec.ts
@@ -1,11 +1,11 @@
-/** Log lines: bounded, structured, and never in the way. */
+/** EventLog: format, levels and rate limit of log lines. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { EventLog } from '../src/telemetry/eventLog.js';
 
 const MANY = 1_000;
 
-test('should write one JSON object a line, with what stands on every line', () => {
+test('should write one JSON object per line, with the common fields', () => {
   const lines: string[] = [];
   new EventLog({ write: (line) => void lines.push(line) }, 'state', { box: 'b' }).state('start', { port: 1 });
   const parsed = JSON.parse(lines[0]);
@@ -13,14 +13,14 @@
   expect(lines[0].endsWith('\n')).toEqual(true);
 });
 
-test('should write decisions only when asked to', () => {
+test('should not write decisions at level state', () => {
   const lines: string[] = [];
   const log = new EventLog({ write: (line) => void lines.push(line) }, 'state');
   log.decision('request.sent');
   expect(lines).toEqual([]);
 });
 
-test('should write no more than a few lines of one step a second, and count the others', () => {
+test('should limit the lines of one step per second, and count the dropped ones', () => {
   const lines: string[] = [];
   const log = new EventLog({ write: (line) => void lines.push(line) }, 'decision');
   for (let line = 0; line < MANY; line++) log.decision('request.sent');
--- a/tests/explain.spec.ts
+++ b/tests/explain.spec.ts
@@ -1,4 +1,4 @@
-/** The story of a request, from the logs of a gateway that ran it. */
+/** `larklatch explain`: the log lines of one request, from the log of a gateway. */
 import { Readable } from 'node:stream';
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
@@ -17,19 +17,19 @@
 
 async function stepsOf(request: string): Promise<string[]> {
   const log = fixture.lines.map((line) => `12.5 gateway-1 ${line}`).join('');
-  const story = await readRequestLog(Readable.from([log]), request);
-  expect(formatRequestLog(story).length).toEqual(story.length);
-  return story.map((line) => line.step);
+  const lines = await readRequestLog(Readable.from([log]), request);
+  expect(formatRequestLog(lines).length).toEqual(lines.length);
+  return lines.map((line) => line.step);
 }
 
-test('should tell why a request was refused', async () => {
+test('should show why a request was refused', async () => {
   const full = answers({ status: 503, headers: { 'larklatch-not-run': '1' }, seal: null });
   await fixture.start([full], { routes: [routeFixture({ kind: 'once', attempts: 1 })] });
   await fixture.ask({ method: 'POST' });
   expect(await stepsOf('request-1')).toEqual(['request.sent', 'request.rejected', 'request.refused']);
 });
 
-test('should tell why a request failed after it was sent', async () => {
+test('should show why a request failed after it was sent', async () => {
   await fixture.start([({ socket }) => void socket.resetAndDestroy()], {
     routes: [routeFixture({ kind: 'once', attempts: 1 })],
   });
@@ -37,13 +37,13 @@
   expect(await stepsOf('request-1')).toEqual(['request.sent', 'request.attempt-failed', 'request.failed']);
 });
 
-test('should tell why a request was denied', async () => {
+test('should show why a request was denied', async () => {
   await fixture.start([answers()]);
   await fixture.ask({ headers: { authorization: 'Bearer other' } });
   expect(await stepsOf('request-1')).toEqual(['request.denied']);
 });
 
-test('should tell nothing of other requests', async () => {
+test('should not show lines of other requests', async () => {
   await fixture.start([answers()]);
   await fixture.ask();
   expect(await stepsOf('request-2')).toEqual([]);
--- a/tests/fleetConfiguration.spec.ts
+++ b/tests/fleetConfiguration.spec.ts
@@ -1,4 +1,7 @@
-/** Configuration on real processes: races, lost answers, outages, restarts; it never goes back. */
+/**
+ * Configuration changes on a fleet of processes: races, lost answers, outages and restarts. No entry may return to an
+ * older revision. Each test builds on those before.
+ */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { OPERATOR_KEY } from '../standins/localFleet.js';
@@ -24,7 +27,7 @@
   });
 }
 
-/** The version that each entry has in force. */
+/** Returns the version in the configuration that each entry has, or the status when it has none. */
 async function versions(): Promise<string[]> {
   const { fleet } = context;
   return await Promise.all(
@@ -37,13 +40,13 @@
   );
 }
 
-async function untilEverywhere(version: string): Promise<void> {
+async function waitForVersion(version: string): Promise<void> {
   await context.fleet.until(`${version} in force everywhere`, async () =>
     (await versions()).every((each) => each === version),
   );
 }
 
-test('should let one of two racing operators win and tell the other', async () => {
+test('should accept one of two concurrent changes and report a conflict for the other', async () => {
   const created = await put('v1', { 'if-none-match': '*' });
   const revision = created.headers.get('etag')!;
   const answers = await Promise.all([
@@ -51,17 +54,17 @@
     put('v3', { 'if-match': revision }, 1),
   ]);
   expect(answers.map((answer) => answer.status).sort()).toEqual([200, 412]);
-  await untilEverywhere(answers[0].status === 200 ? 'v2' : 'v3');
+  await waitForVersion(answers[0].status === 200 ? 'v2' : 'v3');
 });
 
-test('should accept a change whose answer from the object api was lost, once', async () => {
+test('should apply a change once when the answer of the object api was lost', async () => {
   const { fleet } = context;
   await fleet.setFaults(fleet.objectApiUrl, { loseWriteAnswers: 1 });
   const answer = await put('v4', { 'idempotency-key': 'change-4' });
   expect(answer.status).toEqual(200);
   const again = await put('v4', { 'idempotency-key': 'change-4' }, 1);
   expect(again.headers.get('etag')).toEqual(answer.headers.get('etag'));
-  await untilEverywhere('v4');
+  await waitForVersion('v4');
 });
 
 test('should refuse changes while the object api is down, and change nothing', async () => {
@@ -73,36 +76,36 @@
   expect(new Set(await versions())).toEqual(new Set(['v4']));
 });
 
-test('should bring a restarted entry up from its peers during the outage', async () => {
+test('should bring a restarted entry up to date from its peers during the outage', async () => {
   const { fleet } = context;
   await fleet.restart(fleet.entries()[0].name);
-  await untilEverywhere('v4');
+  await waitForVersion('v4');
   await fleet.setFaults(fleet.objectApiUrl, { availability: 'up' });
-  await untilEverywhere('v4');
+  await waitForVersion('v4');
 });
 
-test('should keep an accepted change when the entry that said yes is killed at once', async () => {
+test('should keep an accepted change when the entry that accepted it is killed at once', async () => {
   const { fleet } = context;
   const entry = fleet.entries()[0];
   const answer = await put('v6', {}, 0);
   expect(answer.status).toEqual(200);
   await entry.child.end('SIGKILL');
-  await untilEverywhere('v6');
+  await waitForVersion('v6');
   await fleet.restart(entry.name);
-  await untilEverywhere('v6');
+  await waitForVersion('v6');
 });
 
-test('should keep a deletion, also at an entry that was away', async () => {
+test('should apply a deletion also at an entry that was frozen meanwhile', async () => {
   const { fleet } = context;
   const frozen = fleet.entries()[2];
   frozen.child.signal('SIGSTOP');
   const answer = await fleet.operate('DELETE', PATH);
   frozen.child.signal('SIGCONT');
   expect(answer.status).toEqual(200);
-  await untilEverywhere('404');
+  await waitForVersion('404');
 });
 
-test('should name the field of a wrong configuration', async () => {
+test('should name the field of an invalid configuration', async () => {
   const { fleet } = context;
   const answer = await fleet.operate('PUT', PATH, {
     template: 'chat',
@@ -112,7 +115,7 @@
   expect((answer.body as { problems: { field: string }[] }).problems[0].field).toEqual('parameters.version');
 });
 
-test('should refuse a template that would break a configuration built on it', async () => {
+test('should refuse a template that would invalidate a configuration that uses it', async () => {
   const { fleet } = context;
   await fleet.publish(PATH, body('v7'));
   const answer = await fleet.operate('PUT', '/v1/templates/chat', {
@@ -127,13 +130,13 @@
   expect(answer.status).toEqual(401);
 });
 
-test('should send nothing that may run once only from a data centre that is cut off, and serve the rest', async () => {
+test('should refuse non-repeatable requests at an isolated entry, and serve repeatable ones', async () => {
   const { fleet } = context;
   await publishService(fleet);
   const [cutOff, ...others] = fleet.entries();
   await fleet.setFaults(fleet.objectApiUrl, { availability: 'down' });
   others.forEach((entry) => entry.child.signal('SIGSTOP'));
-  await fleet.until('the entry knows that it is cut off', async () => {
+  await fleet.until('the entry reports that it is isolated', async () => {
     const answer = await notice(fleet, 'a-key-while-cut-off');
     return answer.status === 503 && ((await answer.json()) as { error: string }).error === 'isolated';
   });
@@ -146,7 +149,7 @@
   expect(repeatable.status).toEqual(200);
   expect(((await entries.json()) as { entries: unknown[] }).entries).toEqual([]);
   await fleet.until(
-    'the entry sends them again',
+    'the entry accepts non-repeatable requests again',
     async () => (await notice(fleet, 'a-key-afterwards')).status === 200,
   );
 });
--- a/tests/lease.spec.ts
+++ b/tests/lease.spec.ts
@@ -1,4 +1,4 @@
-/** Leases under pauses, outages and races: two entries, one object, a clock that the test moves. */
+/** LeaseKeeper: two entries compete for one lease, with pauses, outages and races, on a manual clock. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { Replica } from '../src/configuration/replica.js';
@@ -9,21 +9,21 @@
 import { MemoryObjectApi } from './fixtures/memoryObjectApi.js';
 
 const KEY = 'lease/studio/advisor';
-const LIFETIME = 3_000;
+const LIFETIME_MILLISECONDS = 3_000;
 
 interface Entry {
   lease: LeaseKeeper;
   replica: Replica;
 }
 
-interface Stage {
+interface Fixture {
   api: MemoryObjectApi;
   clock: ManualClock;
   one: Entry;
   two: Entry;
 }
 
-function stage(): Stage {
+function createFixture(): Fixture {
   const api = new MemoryObjectApi();
   const clock = new ManualClock();
   const entry = (holder: string): Entry => {
@@ -35,7 +35,7 @@
       lease: new LeaseKeeper({
         key: KEY,
         holder,
-        lifetimeMilliseconds: LIFETIME,
+        lifetimeMilliseconds: LIFETIME_MILLISECONDS,
         replica,
         writer,
         clock,
@@ -46,56 +46,56 @@
   return { api, clock, one: entry('one'), two: entry('two') };
 }
 
-/** What replication does in a fleet: the object as it stands reaches the entry. */
-async function hear(api: MemoryObjectApi, entry: Entry): Promise<void> {
+/** Copies the current lease object to the replica of an entry, as replication does in a fleet. */
+async function replicate(api: MemoryObjectApi, entry: Entry): Promise<void> {
   const object = await api.get(KEY);
   if (object) entry.replica.apply({ ...object, deleted: false }, 'api');
 }
 
-test('should give the lease to one of two that ask at the same moment', async () => {
-  const { one, two } = stage();
+test('should give the lease to one of two entries that acquire it at the same time', async () => {
+  const { one, two } = createFixture();
   await Promise.all([one.lease.tick(0), two.lease.tick(0)]);
   expect([one.lease.epoch, two.lease.epoch].filter((epoch) => epoch !== undefined)).toEqual([1]);
 });
 
-test('should not take a lease that is being renewed', async () => {
-  const { api, clock, one, two } = stage();
+test('should not acquire a lease that another entry renews', async () => {
+  const { api, clock, one, two } = createFixture();
   await one.lease.tick(0);
-  for (let turn = 0; turn < 10; turn++) {
-    clock.advance(LIFETIME / 2);
+  for (let round = 0; round < 10; round++) {
+    clock.advance(LIFETIME_MILLISECONDS / 2);
     await one.lease.tick(0);
-    await hear(api, two);
+    await replicate(api, two);
     await two.lease.tick(0);
     expect(two.lease.epoch).toEqual(undefined);
   }
   expect(one.lease.epoch).toEqual(1);
 });
 
-test('should take over under a higher epoch once the holder is silent', async () => {
-  const { api, clock, one, two } = stage();
+test('should acquire the lease under a higher epoch once the holder stops renewing it', async () => {
+  const { api, clock, one, two } = createFixture();
   await one.lease.tick(0);
-  await hear(api, two);
+  await replicate(api, two);
   await two.lease.tick(0);
-  clock.advance(LIFETIME + 1);
+  clock.advance(LIFETIME_MILLISECONDS + 1);
   await two.lease.tick(0);
   expect(two.lease.epoch).toEqual(2);
 });
 
-test('should stop acting by itself when the holder was paused past its lease', async () => {
-  const { clock, one } = stage();
+test('should lapse when the holder was paused past the lifetime of its lease', async () => {
+  const { clock, one } = createFixture();
   await one.lease.tick(0);
-  clock.advance(LIFETIME);
+  clock.advance(LIFETIME_MILLISECONDS);
   expect(one.lease.epoch).toEqual(undefined);
 });
 
-test('should never have two holders at one moment, whatever pauses come', async () => {
-  const { api, clock, one, two } = stage();
-  for (let turn = 0; turn < 60; turn++) {
-    clock.advance(LIFETIME / 4);
-    const paused = Math.floor(turn / 8) % 2 === 0 ? one : two;
+test('should never have two holders at the same time when entries pause in turn', async () => {
+  const { api, clock, one, two } = createFixture();
+  for (let round = 0; round < 60; round++) {
+    clock.advance(LIFETIME_MILLISECONDS / 4);
+    const paused = Math.floor(round / 8) % 2 === 0 ? one : two;
     for (const entry of [one, two]) {
       if (entry === paused) continue;
-      await hear(api, entry);
+      await replicate(api, entry);
       await entry.lease.tick(0);
     }
     const holders = [one.lease.epoch, two.lease.epoch].filter((epoch) => epoch !== undefined);
@@ -104,44 +104,44 @@
 });
 
 test('should lapse during an outage of the object api and come back under a higher epoch', async () => {
-  const { api, clock, one } = stage();
+  const { api, clock, one } = createFixture();
   await one.lease.tick(0);
   api.writeFaults = Array.from({ length: 4 }, () => 'refuse' as const);
-  clock.advance(LIFETIME / 2);
+  clock.advance(LIFETIME_MILLISECONDS / 2);
   await one.lease.tick(0);
   expect(one.lease.epoch).toEqual(1);
-  clock.advance(LIFETIME);
+  clock.advance(LIFETIME_MILLISECONDS);
   expect(one.lease.epoch).toEqual(undefined);
   api.writeFaults = [];
-  clock.advance(LIFETIME);
+  clock.advance(LIFETIME_MILLISECONDS);
   await one.lease.tick(0);
-  clock.advance(LIFETIME + 1);
+  clock.advance(LIFETIME_MILLISECONDS + 1);
   await one.lease.tick(0);
   expect(one.lease.epoch).toEqual(2);
 });
 
 test('should hold the lease when the answer to its acquisition was lost', async () => {
-  const { api, one } = stage();
+  const { api, one } = createFixture();
   api.writeFaults = ['lose-answer'];
   await one.lease.tick(0);
   expect(one.lease.epoch).toEqual(1);
 });
 
-test('should hand a released lease on at once', async () => {
-  const { api, one, two } = stage();
+test('should acquire a released lease at once', async () => {
+  const { api, one, two } = createFixture();
   await one.lease.tick(0);
   await one.lease.release();
-  await hear(api, two);
+  await replicate(api, two);
   await two.lease.tick(0);
   expect(one.lease.epoch).toEqual(undefined);
   expect(two.lease.epoch).toEqual(2);
 });
 
-test('should let a later rank wait longer for a free lease', async () => {
-  const { clock, two } = stage();
+test('should wait longer for a free lease at a later rank', async () => {
+  const { clock, two } = createFixture();
   await two.lease.tick(2);
   expect(two.lease.epoch).toEqual(undefined);
-  clock.advance(LIFETIME / 2 + 1);
+  clock.advance(LIFETIME_MILLISECONDS / 2 + 1);
   await two.lease.tick(2);
   expect(two.lease.epoch).toEqual(1);
 });
--- a/tests/lossTable.spec.ts
+++ b/tests/lossTable.spec.ts
@@ -1,4 +1,4 @@
-/** The table of losses, from log lines. */
+/** `larklatch losses`: counts of request ends, from log lines. */
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
 import { expect } from 'earl';
@@ -19,7 +19,7 @@
     line('request.answered', 0.5, { firstMilliseconds: 450, pauseMilliseconds: 60, attempts: 2 }),
     line('request.answered', 1.2, { firstMilliseconds: 100, pauseMilliseconds: 350, route: 's' }),
     line('request.refused', 1.4),
-    'no line of ours\n',
+    'not a log line\n',
   ];
   const rows = await readLosses(Readable.from(log), 300);
   expect(rows.map(({ group }) => group)).toEqual(['second 0', 'second 1', 'route r', 'route s']);
--- a/tests/replica.spec.ts
+++ b/tests/replica.spec.ts
@@ -1,4 +1,4 @@
-/** The replica never goes back, whatever arrives in whatever order. */
+/** Replica: keeps the highest revision of each record, in whatever order records arrive. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import fc from 'fast-check';
@@ -9,21 +9,21 @@
   return { key, revision, value: deleted ? null : { revision }, deleted };
 }
 
-test('should refuse an older revision from a stale peer', () => {
+test('should ignore an older revision from a stale peer', () => {
   const replica = new Replica();
   replica.apply(record(5), 'api');
   expect(replica.apply(record(4), 'peer')).toEqual(false);
   expect(replica.liveRevision('configuration/a/b')).toEqual(5);
 });
 
-test('should not bring back a deleted object from a late watch', () => {
+test('should not restore a deleted object when a watch delivers an older revision', () => {
   const replica = new Replica();
   replica.apply(record(6, true), 'peer');
   replica.apply(record(5), 'api');
   expect(replica.value('configuration/a/b')).toEqual(undefined);
 });
 
-test('should delete what a listing lacks but keep what is newer than the listing', () => {
+test('should delete objects that a listing does not contain, unless they are newer than the listing', () => {
   const replica = new Replica();
   replica.apply(record(3, false, 'configuration/a/old'), 'api');
   replica.apply(record(9, false, 'configuration/a/new'), 'peer');
@@ -50,7 +50,7 @@
   );
 });
 
-test('should converge by digests with a peer that missed records', () => {
+test('should converge with a peer that missed records, by comparing digests', () => {
   const one = new Replica();
   const two = new Replica();
   for (let index = 1; index <= 200; index++) {
--- a/tests/resolveSpecification.spec.ts
+++ b/tests/resolveSpecification.spec.ts
@@ -1,4 +1,4 @@
-/** Templates and parameters: bad input names the field, the value and what is allowed. */
+/** Templates and parameters: an error names the invalid field, its value and the allowed values. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import fc from 'fast-check';
@@ -26,7 +26,7 @@
   return resolveSpecification(TEMPLATE, { template: 'chat', parameters });
 }
 
-test('should fill parameters and defaults', () => {
+test('should fill in parameters and defaults', () => {
   const specification = resolve({ version: 'v1', boxes: ['box-1'] })._unsafeUnwrap();
   expect(specification.model).toEqual('advisor');
   expect(specification.urgency).toEqual('time');
--- a/tests/servingMetrics.spec.ts
+++ b/tests/servingMetrics.spec.ts
@@ -1,4 +1,4 @@
-/** The figures that a gateway shows. */
+/** ServingMetrics: the metrics of a gateway. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { CountedStore } from '../src/records/countedStore.js';
@@ -8,7 +8,7 @@
 
 const NEVER = new AbortController().signal;
 
-test('should show times of requests and ages of load apart, by service', () => {
+test('should report request times and load ages by service', () => {
   const metrics = new ServingMetrics();
   metrics.recordRequest('a', 'answered', 100);
   metrics.recordLoadAge('a', 250);
--- a/tests/settings.spec.ts
+++ b/tests/settings.spec.ts
@@ -1,4 +1,4 @@
-/** Settings: flags go before variables, and a wrong one is named. */
+/** Settings: flags take precedence over environment variables, and errors name the invalid setting. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { agentSettingsSchema } from '../src/settings/agentSettings.js';
@@ -12,13 +12,13 @@
   originUrl: 'http://127.0.0.1:2',
 };
 
-test('should take defaults for what is not given', () => {
+test('should use defaults for settings that are not given', () => {
   const settings = parseSettings(agentSettingsSchema, GOOD, {})._unsafeUnwrap();
   expect(settings.backendKind).toEqual('model');
   expect(settings.httpPort).toEqual(0);
 });
 
-test('should take a flag before a variable', () => {
+test('should prefer a flag over an environment variable', () => {
   const environment = { LARKLATCH_DATA_CENTRE: 'split', LARKLATCH_BACKEND_SLOTS: '3' };
   const settings = parseSettings(agentSettingsSchema, GOOD, environment)._unsafeUnwrap();
   expect(settings.dataCentre).toEqual('zagreb');
@@ -39,7 +39,7 @@
 ];
 
 for (const { name, value, line } of WRONG) {
-  test(`should name a wrong ${name}`, () => {
+  test(`should name an invalid ${name}`, () => {
     const problems = parseSettings(agentSettingsSchema, { ...GOOD, [name]: value }, {})._unsafeUnwrapErr();
     const lines = problemLines(problems);
     expect(lines.length).toEqual(1);
