--- a/src/configuration/recordKeys.ts
+++ b/src/configuration/recordKeys.ts
@@ -28,7 +28,7 @@
   return customer && configuration ? { customer, configuration } : undefined;
 }
 
-/** Returns `customer.configuration`, the form in logs, rollout names and leases. */
+/** Returns `customer.configuration`, the short form in logs, rollout names and tickets. */
 export function shortName(name: ConfigurationName): string {
   return `${name.customer}.${name.configuration}`;
 }
--- a/src/configuration/template.ts
+++ b/src/configuration/template.ts
@@ -26,7 +26,7 @@
 ]);
 export type Parameter = z.infer<typeof parameterSchema>;
 
-/** Whether a rollout favours a short time to replicas or few bytes from the origin; see docs/OPERATIONS.md. */
+/** Whether a rollout minimises the time until replicas are ready or the bytes from the origin: docs/OPERATIONS.md. */
 export const urgencySchema = z.enum(['time', 'origin-bytes']);
 export type Urgency = z.infer<typeof urgencySchema>;
 
--- a/src/lease/leaseKeeper.ts
+++ b/src/lease/leaseKeeper.ts
@@ -54,7 +54,7 @@
 
   /**
    * Renews a held lease when a renewal is due, or acquires a free one. `rank` is the position of this entry among the
-   * candidates; entries with a higher number wait longer before they acquire.
+   * candidates, from 0; entries of a later rank wait longer before they acquire the lease.
    */
   async tick(rank: number): Promise<void> {
     if (this._writing) return;
@@ -75,7 +75,7 @@
     await this._put({ ...held.record, released: true }, held.revision);
   }
 
-  /** Whether this entry may acquire the lease. The delay grows with `rank`, so that entries do not all write at once. */
+  /** Whether this entry may acquire the lease. It waits longer at a later rank, so that entries do not all write. */
   private _isFree(rank: number): boolean {
     const { replica, key, clock, lifetimeMilliseconds } = this._options;
     const record = this._currentRecord();
--- a/src/rollout/coordinatorPool.ts
+++ b/src/rollout/coordinatorPool.ts
@@ -17,7 +17,7 @@
   holder: string;
   box: string;
   leaseMilliseconds: number;
-  /** Writer of the leases, which do not wait for other writes. */
+  /** Writes leases without queueing them behind other writes. */
   leaseWriter: ConditionalWriter;
   /** Entries that may coordinate: those that are live and not leaving. */
   entries: () => Box[];
@@ -36,7 +36,7 @@
 const STEP_INTERVAL_MILLISECONDS = 50;
 /** Step interval while nothing has changed and no lease is held. */
 const IDLE_STEP_INTERVAL_MILLISECONDS = 500;
-/** Leases that an entry holds at the same time. Each one costs a write per third of the lease lifetime. */
+/** Leases that an entry holds at the same time. Each one costs a renewal per third of the lease lifetime. */
 const MAX_LEASES = 8;
 /** How long an idle lease is kept before it is released. */
 const IDLE_LEASE_MILLISECONDS = 1_000;
--- a/src/rollout/drawGranter.ts
+++ b/src/rollout/drawGranter.ts
@@ -34,7 +34,7 @@
 
 /** How long to wait for replies from all boxes before the first draws are granted. */
 const FIRST_REPLIES_MILLISECONDS = 1_000;
-/** Age that the content of a report may have when it arrives. */
+/** Longest time between the state that a report describes and its arrival. */
 const MAX_REPORT_AGE_MILLISECONDS = 250;
 /** Time without progress after which the draws of a box are granted to another one, by urgency of the rollout. */
 const STALLED_MILLISECONDS: Record<Urgency, number> = { time: 3_000, 'origin-bytes': 15_000 };
@@ -100,7 +100,7 @@
     await Promise.all(sends);
   }
 
-  /** Drops a reservation that could not be written, before any grant was sent. The next step reserves again. */
+  /** Undoes a reservation that could not be written, so that its grants were not sent. The next step reserves again. */
   discardReservation(): void {
     this._budget = this._createBudget(this._writtenGrants);
     this._needsHoldings = true;
@@ -148,7 +148,7 @@
     for (const box of live) this._coverage.removeDraws(box.box, this._failuresOf(box));
   }
 
-  /** Returns the failed draws of a box, if its report is recent enough to include the last grant. */
+  /** Returns the failed draws of a box; none when its report may describe the state before the last grant. */
   private _failuresOf({ box, link, report }: RolloutBox): number[] {
     if (report?.rollout !== this.rollout) return [];
     const grantedAt = this._grantedAt.get(box) ?? Number.NEGATIVE_INFINITY;
--- a/src/rollout/needsCoordinator.ts
+++ b/src/rollout/needsCoordinator.ts
@@ -45,14 +45,14 @@
 function needsLedgerUpdate(
   wanted: WantedConfiguration,
   boxes: readonly RolloutBox[],
-  view: NeedsCoordinatorInput,
+  state: NeedsCoordinatorInput,
 ): boolean {
   const candidates = ledgerCandidates(boxes);
   if (candidates.length === 0) return false;
-  const table = view.ledgers.get(configurationKey('ledger', wanted.name));
+  const table = state.ledgers.get(configurationKey('ledger', wanted.name));
   if (!table) return true;
   const mustReplace = (owner: SlotOwner): boolean =>
-    isOwnerGone(owner, view.boxes, view.links) || mustHandOver(owner, boxes, view.links);
+    isOwnerGone(owner, state.boxes, state.links) || mustHandOver(owner, boxes, state.links);
   if (table.slots.some(mustReplace)) return true;
   return boxes.some((box) => box.live && !hasCurrentSlots(box, table.slots));
 }
