--- a/src/rollout/originBudget.ts
+++ b/src/rollout/originBudget.ts
@@ -2,7 +2,7 @@
 
 /** Bytes that one incarnation of an agent has downloaded, and bytes of its open draws. */
 export interface OriginUsage {
-  /** `box/incarnation`. */
+  /** The incarnation of the agent, as `box/incarnation`. */
   agent: string;
   originBytes: number;
   openBytes: number;
