--- a/src/backpressure/serverSignals.ts
+++ b/src/backpressure/serverSignals.ts
@@ -5,7 +5,7 @@
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import { placementHash } from '../utils/hash.js';
-import { Gathered } from '../utils/gathered.js';
+import { CoalescedCall } from '../utils/coalescedCall.js';
 import type { LimitShare } from './limitShare.js';
 import { ServerBackpressure } from './serverBackpressure.js';
 
@@ -45,7 +45,7 @@
   private readonly _byServer = new LRUCache<string, KnownServer>({ max: MAX_SERVERS });
   /** Servers with a notice to send. */
   private readonly _changed = new Set<string>();
-  private readonly _pendingChanges = new Gathered(
+  private readonly _pendingChanges = new CoalescedCall(
     () => BATCH_MILLISECONDS,
     () => this._emitChanges(),
   );
@@ -124,7 +124,7 @@
 
   private _onChange(server: string): void {
     this._changed.add(server);
-    this._pendingChanges.call();
+    this._pendingChanges.schedule();
   }
 
   private _emitChanges(): void {
--- a/src/serving/boxLinks.ts
+++ b/src/serving/boxLinks.ts
@@ -15,7 +15,7 @@
 import { Backoff } from '../utils/backoff.js';
 import { splitAddress } from '../utils/hostPort.js';
 import type { Random } from '../utils/random.js';
-import { Gathered } from '../utils/gathered.js';
+import { CoalescedCall } from '../utils/coalescedCall.js';
 import { errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
 
@@ -60,7 +60,7 @@
 export class BoxLinks {
   private readonly _options: BoxLinksOptions;
   private readonly _links = new Map<string, Link>();
-  private readonly _announcement = new Gathered(
+  private readonly _announcement = new CoalescedCall(
     () => BATCH_MILLISECONDS,
     () => {
       for (const link of this._links.values()) this._sendUpdates(link);
@@ -115,12 +115,12 @@
 
   /** Sends changes to the agents, batched with others that follow within a few milliseconds. */
   announce(): void {
-    this._announcement.call();
+    this._announcement.schedule();
   }
 
   /** Sends changes to the agents without waiting. */
   announceNow(): void {
-    this._announcement.now();
+    this._announcement.flush();
   }
 
   close(): void {
--- a/src/utils/gathered.ts
+++ b/src/utils/coalescedCall.ts
@@ -1,22 +1,22 @@
-/** Several calls within a short time become one. */
+/** Merges several calls within a short time into one. */
 
-export class Gathered {
+export class CoalescedCall {
   private readonly _run: () => void;
   private readonly _milliseconds: () => number;
   private _timer: NodeJS.Timeout | undefined;
 
-  /** `run` is called once, `milliseconds()` after the first of the calls that it stands for. */
+  /** `run` is called `milliseconds()` after the first `schedule`; further calls of it until then have no effect. */
   constructor(milliseconds: () => number, run: () => void) {
     this._milliseconds = milliseconds;
     this._run = run;
   }
 
-  call(): void {
-    this._timer ??= setTimeout(() => this.now(), this._milliseconds());
+  schedule(): void {
+    this._timer ??= setTimeout(() => this.flush(), this._milliseconds());
   }
 
-  /** Runs at once, also for calls that wait. */
-  now(): void {
+  /** Calls `run` now, in place of any scheduled call. */
+  flush(): void {
     this.cancel();
     this._run();
   }
