--- a/src/entry/rolloutStatusReader.ts
+++ b/src/entry/rolloutStatusReader.ts
@@ -152,7 +152,7 @@
   if (wanted.withdrawn) return [];
   if (!wanted.specification) return ['the configuration does not fit its template'];
   const reasons = expected.flatMap((member) => reasonsOf(member));
-  if (expected.length === 0) reasons.push('the box list contains none of the named boxes');
+  if (expected.length === 0) reasons.push('the platform lists none of the named boxes');
   if (record?.heldBack) reasons.push(record.heldBack);
   return record?.phase === 'complete' && record.version === wanted.specification.version ? [] : reasons;
 }
