--- a/src/entry/callerApi.ts
+++ b/src/entry/callerApi.ts
@@ -13,7 +13,7 @@
 import type { RequestRouter } from '../requests/requestRouter.js';
 import { issueTicket } from '../requests/ticket.js';
 import type { Specifications } from '../rollout/specifications.js';
-import type { EntryAddress } from '../routing/entryOrder.js';
+import type { EntryEndpoint } from '../routing/entryOrder.js';
 import type { RouteTable } from '../routing/routeTable.js';
 import type { Metrics } from '../telemetry/metrics.js';
 import type { Clock } from '../utils/clock.js';
@@ -34,7 +34,7 @@
   ledgers: ParsedRecords<LedgerRecord>;
   sharedKey: string;
   entriesKeepSeconds: number;
-  entriesFor: (dataCentre: string, asker: string) => EntryAddress[];
+  entriesFor: (dataCentre: string, asker: string) => EntryEndpoint[];
   dataCentre: string;
   clock: Clock;
   random: Random;
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -26,7 +26,7 @@
 import { parseLedger } from '../rollout/ledgerAssigner.js';
 import { parseRollout } from '../rollout/rolloutRecord.js';
 import { Specifications } from '../rollout/specifications.js';
-import type { EntryAddress } from '../routing/entryOrder.js';
+import type { EntryEndpoint } from '../routing/entryOrder.js';
 import { orderEntries } from '../routing/entryOrder.js';
 import { RouteTable } from '../routing/routeTable.js';
 import { agentSubset } from '../routing/agentSubset.js';
@@ -276,7 +276,7 @@
     });
   }
 
-  private _entriesFor(dataCentre: string, asker: string): EntryAddress[] {
+  private _entriesFor(dataCentre: string, asker: string): EntryEndpoint[] {
     return orderEntries(this._usableEntries(), dataCentre, asker);
   }
 
--- a/src/records/storeProbe.ts
+++ b/src/records/storeProbe.ts
@@ -80,8 +80,8 @@
     }
   }
 
-  private _onAnswer(askedAt: number, generation: number): void {
-    this._answeredAt = askedAt;
+  private _onAnswer(sentAt: number, generation: number): void {
+    this._answeredAt = sentAt;
     this._updateGeneration(generation);
     if (this._isLost) {
       this._isLost = false;
--- a/src/routing/backendChoice.ts
+++ b/src/routing/backendChoice.ts
@@ -72,17 +72,17 @@
   const one = candidates[first];
   const two = candidates[(first + 1 + random.integer(candidates.length - 1)) % candidates.length];
   const lessLoaded = utilizationOf(one, request.now) <= utilizationOf(two, request.now) ? one : two;
-  const affine = affineBackend(candidates, request.affinity);
+  const preferred = affinityBackend(candidates, request.affinity);
   if (
-    affine &&
-    utilizationOf(affine, request.now) <= utilizationOf(lessLoaded, request.now) + AFFINITY_TOLERANCE
+    preferred &&
+    utilizationOf(preferred, request.now) <= utilizationOf(lessLoaded, request.now) + AFFINITY_TOLERANCE
   ) {
-    return { backend: affine, reason: 'affinity' };
+    return { backend: preferred, reason: 'affinity' };
   }
   return { backend: lessLoaded, reason: 'less-loaded' };
 }
 
-function affineBackend(candidates: readonly Backend[], affinity: string): Backend | undefined {
+function affinityBackend(candidates: readonly Backend[], affinity: string): Backend | undefined {
   if (affinity === '') return undefined;
   return rendezvousOrder(affinity, candidates, (backend) => backend.box)[0];
 }
--- a/src/routing/entryOrder.ts
+++ b/src/routing/entryOrder.ts
@@ -3,7 +3,7 @@
 import { compareText, rendezvousOrder } from '../utils/rendezvous.js';
 
 /** Address of an entry as returned to callers. */
-export interface EntryAddress {
+export interface EntryEndpoint {
   dataCentre: string;
   url: string;
 }
@@ -12,7 +12,11 @@
  * Orders entries with the caller's data centre first. Within a data centre the order depends on `callerKey`, so that
  * callers spread over the entries.
  */
-export function orderEntries(entries: readonly Box[], dataCentre: string, callerKey: string): EntryAddress[] {
+export function orderEntries(
+  entries: readonly Box[],
+  dataCentre: string,
+  callerKey: string,
+): EntryEndpoint[] {
   const dataCentres = [...new Set(entries.map((entry) => entry.dataCentre))].sort(compareText);
   const otherDataCentres = rendezvousOrder(
     callerKey,
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -33,7 +33,7 @@
   private readonly _receiver: AnswerReceiver;
   private readonly _current: CurrentAttempt;
   private readonly _attempts: RequestAttempts;
-  private readonly _turn: SuspicionGate;
+  private readonly _suspicionGate: SuspicionGate;
   private readonly _handover: RequestHandover;
   private readonly _handoverDelay: number;
   private readonly _final: FinalAnswer;
@@ -55,7 +55,7 @@
     this._final = new FinalAnswer(request.exchange, (outcome, fields) => this._onEnded(outcome, fields));
     this._handoverDelay = handoverDelay(context.random.fraction());
     this._attempts = new RequestAttempts(context, request, () => this._relay?.begun === true);
-    this._turn = new SuspicionGate(context.suspicions, request, context.clock);
+    this._suspicionGate = new SuspicionGate(context.suspicions, request, context.clock);
     this._trace = new RequestTrace(request, context.log, context.metrics, context.clock);
     this._handover = new RequestHandover(context, request, this._attempts, this._trace, {
       callListener: (server) => this._listenerFor(server),
@@ -82,7 +82,7 @@
   /** Sends the request to the best available server. */
   private _attempt(): void {
     if (this._final.ended) return;
-    if (!this._turn.isOpen) return void this._awaitTurn();
+    if (!this._suspicionGate.isOpen) return void this._awaitPermission();
     const found = this._attempts.find();
     if (found.kind === 'none') return this._giveUp(noAttemptReasonOf(found)!);
     const { server } = found;
@@ -93,9 +93,9 @@
   }
 
   /** Waits for permission to run: copies of a request suspected of crashing servers run one at a time, if at all. */
-  private async _awaitTurn(): Promise<void> {
-    if (this._turn.isWaiting) return;
-    const outcome = await this._turn.wait();
+  private async _awaitPermission(): Promise<void> {
+    if (this._suspicionGate.isWaiting) return;
+    const outcome = await this._suspicionGate.wait();
     if (outcome === 'granted') this._attempt();
     else if (!this._final.ended) this._giveUp(outcome);
   }
@@ -139,7 +139,7 @@
     this._current.clear(server);
     if (this._receiver.isForwarding) {
       server.health.noteOutcome('succeeded');
-      this._turn.recordSuccess();
+      this._suspicionGate.recordSuccess();
       return this._final.endStream(server, answer.status);
     }
     this._onCompleteAnswer(server, answer);
@@ -152,7 +152,7 @@
     if (kind === 'not-run') return this._onRejected(server, status);
     this._mayHaveRun = true;
     server.health.noteOutcome(kind === 'failed' || kind === 'unclear' ? 'failed' : 'succeeded');
-    if (isSuccessfulRun(kind, status)) this._turn.recordSuccess();
+    if (isSuccessfulRun(kind, status)) this._suspicionGate.recordSuccess();
     if (kind !== 'answered' && this._attempts.repeatable && this._continueElsewhere()) return;
     if (kind === 'unclear') return this._final.refuse(OWN_STATUS.unknown, `status ${status} from server`);
     if (this._relay?.begun) return this._final.cut('stream could not be resumed');
@@ -184,7 +184,7 @@
 
   /** Handles a lost connection. A crash of the server is recorded before the request is sent anywhere else. */
   private async _afterDisconnect(server: TrackedServer, failure: CallFailure): Promise<void> {
-    if (await this._turn.onConnectionBroken(server.record)) server.health.noteUnreachable();
+    if (await this._suspicionGate.onConnectionBroken(server.record)) server.health.noteUnreachable();
     const hasContinued = this._current.call !== undefined || this._handover.inProgress;
     if (!hasContinued && !this._final.ended) this._continueAfter(failure);
   }
@@ -235,7 +235,8 @@
     if (this._isWaiting) return this._tryAgain();
     const { call } = this._current;
     if (!call) return;
-    if (!this._receiver.answer && this._attempts.mayBeginTooLate(call.server)) return this._takeBack(call);
+    if (!this._receiver.answer && this._attempts.mayBeginTooLate(call.server))
+      return this._cancelAttempt(call);
     if (this._handover.inProgress || !this._attempts.repeatable) return;
     const { switchingFor } = call.server;
     if (switchingFor === 0) this._retryIfStalled(call);
@@ -244,8 +245,8 @@
   }
 
   /** Takes the request back from its server, since no request may begin on an older version after the bound. */
-  private _takeBack({ server, sent }: BackendCall): void {
-    this._trace.takenBack(server);
+  private _cancelAttempt({ server, sent }: BackendCall): void {
+    this._trace.cancelled(server);
     this._current.abort('not-needed');
     this._afterFailure(server, { sent, reason: 'not begun before the bound of its version' });
   }
@@ -309,7 +310,7 @@
 
   private _onEnded(outcome: RequestOutcome, fields: EndFields): void {
     this._handover.cancel();
-    this._turn.release();
+    this._suspicionGate.release();
     clearTimeout(this._timeout);
     this._stopWatching();
     this._trace.ended(outcome, this._attempts.count, { ...fields, noAttempt: this._noAttempt }, this._relay);
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -51,20 +51,21 @@
   readonly suspicions: SuspicionTracker;
   readonly serverDecoder: ServerRecordDecoder;
   readonly relay: RecordRelay;
-  private readonly _suspicions: RecordReplica;
+  private readonly _suspicionReplica: RecordReplica;
   private readonly _state: RecordState;
-  private readonly _reader: StoreReader;
+  private readonly _storeReader: StoreReader;
   private readonly _sources: RecordSources;
 
   constructor(options: PlatformFollowersOptions) {
     const { platform, clock, log } = options;
     const { store, reader, unreadable } = platform;
     this.serverDecoder = new ServerRecordDecoder(reader, unreadable);
-    const weighServer: ClassifyChange = (before, after) => this.serverDecoder.weighChange(before, after);
-    const replicaOf = (kind: string, policy: RollbackPolicy, weigh?: ClassifyChange): RecordReplica =>
+    const classifyServer: ClassifyChange = (before, after) =>
+      this.serverDecoder.classifyChange(before, after);
+    const replicaOf = (kind: string, policy: RollbackPolicy, classify?: ClassifyChange): RecordReplica =>
       new RecordReplica(
         kind,
-        weigh,
+        classify,
         new RetainedRecords({ kind, policy, mayHaveExpired: () => this.serversMayBeMissing, clock, log }),
       );
     this.configuration = replicaOf(
@@ -76,7 +77,7 @@
     this.servers = replicaOf(
       reader.kinds.servers,
       new ServerRollbackPolicy((object) => this.serverDecoder.decode(object), options.heartbeatMilliseconds),
-      weighServer,
+      classifyServer,
     );
     this.versions = replicaOf(
       reader.kinds.versions,
@@ -84,19 +85,19 @@
         ({ name, value }) => reader.version(name, value).unwrapOr(undefined)?.version,
       ),
     );
-    this._suspicions = new RecordReplica(reader.kinds.suspicions);
+    this._suspicionReplica = new RecordReplica(reader.kinds.suspicions);
     this._state = new RecordState(
-      [this.configuration, this.servers, this.versions, this._suspicions],
+      [this.configuration, this.servers, this.versions, this._suspicionReplica],
       clock,
-      () => this._reader,
+      () => this._storeReader,
     );
     this.relay = new RecordRelay(this._state);
     const followers = this._state.replicas.map((replica) => this._followerOf(replica, options));
-    this._reader = new StoreReader({ followers, store, clock, log });
+    this._storeReader = new StoreReader({ followers, store, clock, log });
     this._sources = new RecordSources({
       ...options,
       state: this._state,
-      reader: this._reader,
+      reader: this._storeReader,
       store,
       relay: this.relay,
     });
@@ -133,7 +134,7 @@
 
   /** Whether this process reads the store itself. */
   get isReading(): boolean {
-    return this._reader.isReading;
+    return this._storeReader.isReading;
   }
 
   start(): void {
@@ -152,7 +153,7 @@
       ...options,
       ...platform,
       box: own.box,
-      replica: this._suspicions,
+      replica: this._suspicionReplica,
       isReading: () => this.isReading,
       isLive: (box) => ranking().some((source) => source.box === box),
     });
@@ -176,7 +177,7 @@
   /** Batching times for urgent and for minor changes. */
   private _batchTimes(replica: RecordReplica): [number, number] {
     if (replica === this.servers) return [BATCH_SERVERS_MILLISECONDS, BATCH_MINOR_MILLISECONDS];
-    const batch = replica === this._suspicions ? BATCH_SUSPICIONS_MILLISECONDS : BATCH_MILLISECONDS;
+    const batch = replica === this._suspicionReplica ? BATCH_SUSPICIONS_MILLISECONDS : BATCH_MILLISECONDS;
     return [batch, batch];
   }
 }
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -64,7 +64,7 @@
   }
 
   /** Logs that the request has not begun and may no longer begin on the version of `server`. */
-  takenBack(server: TrackedServer): void {
+  cancelled(server: TrackedServer): void {
     this._log.decision('request.taken-back', {
       request: this._id,
       server: server.record.id,
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -47,20 +47,20 @@
 }
 
 /** Cost of another data centre: the round trip, and traffic between data centres. */
-const OTHER_DATA_CENTRE_MILLISECONDS = 20;
+const OTHER_DATA_CENTRE_COST_MILLISECONDS = 20;
 /** Cost of a slow link: requests and events queue behind chunks. */
-const SLOW_LINK_MILLISECONDS = 400;
+const SLOW_LINK_COST_MILLISECONDS = 400;
 /** Cost of an older version shortly before its deadline: a delayed request could begin there too late. */
-const OUTDATED_MILLISECONDS = 60;
+const OUTDATED_COST_MILLISECONDS = 60;
 /** Cost of a server that is about to switch versions: half of its prompts have to be read again elsewhere. */
-const PREPARING_MILLISECONDS = 100;
+const PREPARING_COST_MILLISECONDS = 100;
 /** Cost of a failed attempt. */
-const FAILURE_MILLISECONDS = 1_500;
+const FAILURE_COST_MILLISECONDS = 1_500;
 /** Failure rate of a healthy server, which costs nothing. */
 const NORMAL_FAILURE_RATE = 0.12;
 /** Cost of the last free slot, after which the next request has to wait. The first slots cost almost nothing. */
-const LAST_SLOT_MILLISECONDS = 100;
-const CROWDING_POWER = 4;
+const LAST_SLOT_COST_MILLISECONDS = 100;
+const CROWDING_EXPONENT = 4;
 /** Number of servers that are sampled and compared, and how many of them are in the own data centre. */
 const SAMPLE_SIZE = 4;
 const OWN_DATA_CENTRE_SAMPLE = 3;
@@ -71,15 +71,15 @@
   const filled = Math.min(1, candidate.load / candidate.slots);
   const ahead = Math.max(0, candidate.load + 1 - candidate.slots);
   const waiting = (ahead / candidate.slots) * serviceMilliseconds;
-  const failing = Math.max(0, candidate.failureRate - NORMAL_FAILURE_RATE) * FAILURE_MILLISECONDS;
-  const distance = candidate.sameDataCentre ? 0 : OTHER_DATA_CENTRE_MILLISECONDS;
+  const failing = Math.max(0, candidate.failureRate - NORMAL_FAILURE_RATE) * FAILURE_COST_MILLISECONDS;
+  const distance = candidate.sameDataCentre ? 0 : OTHER_DATA_CENTRE_COST_MILLISECONDS;
   const reading = candidate.pendingPrompts * readMilliseconds;
-  const link = candidate.slowLink ? SLOW_LINK_MILLISECONDS : 0;
+  const link = candidate.slowLink ? SLOW_LINK_COST_MILLISECONDS : 0;
   const slow = Math.max(0, candidate.firstByteMilliseconds - service.typicalFirstByteMilliseconds);
-  const outdated = candidate.outdated ? OUTDATED_MILLISECONDS : 0;
-  const preparing = candidate.preparing ? PREPARING_MILLISECONDS : 0;
+  const outdated = candidate.outdated ? OUTDATED_COST_MILLISECONDS : 0;
+  const preparing = candidate.preparing ? PREPARING_COST_MILLISECONDS : 0;
   const busy = filled * service.batchSlowdown * serviceMilliseconds;
-  const crowded = filled ** CROWDING_POWER * LAST_SLOT_MILLISECONDS;
+  const crowded = filled ** CROWDING_EXPONENT * LAST_SLOT_COST_MILLISECONDS;
   return busy + crowded + reading + waiting + failing + slow + link + distance + outdated + preparing;
 }
 
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -5,7 +5,7 @@
 /** Properties of a server that its eligibility depends on. */
 export type VersionedServer = Pick<
   TrackedServer,
-  'version' | 'startsPromptly' | 'switching' | 'agentSilent' | 'suspicious' | 'slowLink'
+  'version' | 'startsPromptly' | 'switching' | 'agentSilent' | 'unresponsive' | 'slowLink'
 >;
 
 /**
@@ -34,5 +34,5 @@
 
 function mayBeginTooLate(server: VersionedServer, requirements: ServerRequirements): boolean {
   const isOutdated = server.version(requirements.model) < requirements.newestVersion;
-  return isOutdated && (server.agentSilent || server.suspicious || server.slowLink);
+  return isOutdated && (server.agentSilent || server.unresponsive || server.slowLink);
 }
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -279,7 +279,7 @@
       outdated:
         requirements.model !== '' && server.version(requirements.model) < requirements.preferredVersion,
       preparing: server.preparing,
-      avoided: health.avoided || server.suspicious || this._missing.has(record.id),
+      avoided: health.avoided || server.unresponsive || this._missing.has(record.id),
       failing: health.failing(load.outstanding),
     };
   }
--- a/src/serving/serverRecordDecoder.ts
+++ b/src/serving/serverRecordDecoder.ts
@@ -26,7 +26,7 @@
   }
 
   /** Rates how much a change affects server selection. Models are minor, since agents report them sooner. */
-  weighChange(before: StoredObject | undefined, after: StoredObject | undefined): ChangeUrgency {
+  classifyChange(before: StoredObject | undefined, after: StoredObject | undefined): ChangeUrgency {
     const old = before && this.decode(before);
     const next = after && this.decode(after);
     if (!old || !next) return old === next ? 'none' : 'urgent';
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -199,7 +199,7 @@
     return this._streams === 0 ? 0 : this._clock.now() - this._lastDataAt;
   }
 
-  get suspicious(): boolean {
+  get unresponsive(): boolean {
     return this.silentFor > SUSPICIOUS_SILENCE_MILLISECONDS;
   }
 
--- a/src/serving/versionGate.ts
+++ b/src/serving/versionGate.ts
@@ -10,7 +10,7 @@
 import type { Clock } from '../utils/clock.js';
 
 /** Time limits of a version change, in milliseconds. */
-export interface VersionBounds {
+export interface VersionTimeLimits {
   /** How long requests may still begin on older versions after a version was acknowledged. */
   switchMilliseconds: number;
   /** How long this process is exempt from that deadline after its start, or after it has regained the store. */
@@ -36,14 +36,14 @@
 
 /** Versions of a model only increase, but may become known in any order and from several sources. */
 export class VersionGate {
-  private readonly _bounds: VersionBounds;
+  private readonly _timeLimits: VersionTimeLimits;
   private readonly _clock: Clock;
   private readonly _startedAt: number;
   /** Known versions by model, in ascending order. */
   private readonly _known = new Map<string, KnownVersion[]>();
 
-  constructor(bounds: VersionBounds, clock: Clock) {
-    this._bounds = bounds;
+  constructor(timeLimits: VersionTimeLimits, clock: Clock) {
+    this._timeLimits = timeLimits;
     this._clock = clock;
     this._startedAt = clock.now();
   }
@@ -100,7 +100,7 @@
    */
   minVersionToSend(model: string, slow = false): number {
     const margin = slow ? SLOW_SEND_MARGIN_MILLISECONDS : LAST_SEND_MARGIN_MILLISECONDS;
-    return this._newestKnownFor(model, this._bounds.switchMilliseconds - margin);
+    return this._newestKnownFor(model, this._timeLimits.switchMilliseconds - margin);
   }
 
   /**
@@ -109,12 +109,12 @@
    */
   minVersionToBegin(model: string, slow = false): number {
     const margin = slow ? SLOW_CANCEL_MARGIN_MILLISECONDS : CANCEL_MARGIN_MILLISECONDS;
-    return this._newestKnownFor(model, this._bounds.switchMilliseconds - margin);
+    return this._newestKnownFor(model, this._timeLimits.switchMilliseconds - margin);
   }
 
   /** Versions below this should be avoided: a request could begin too late if its server becomes unreachable. */
   preferredMinVersion(model: string): number {
-    return this._newestKnownFor(model, this._bounds.switchMilliseconds - AVOIDANCE_MARGIN_MILLISECONDS);
+    return this._newestKnownFor(model, this._timeLimits.switchMilliseconds - AVOIDANCE_MARGIN_MILLISECONDS);
   }
 
   /** The newest version of a model; 0 when none is known. */
@@ -125,7 +125,8 @@
   /** The version of a model that every backend server should serve. */
   wanted(model: string): WantedVersion {
     const newest = this._known.get(model)?.at(-1);
-    if (!newest) return { model, version: FIRST_VERSION, knownMilliseconds: this._bounds.switchMilliseconds };
+    if (!newest)
+      return { model, version: FIRST_VERSION, knownMilliseconds: this._timeLimits.switchMilliseconds };
     return {
       model,
       version: newest.version,
@@ -135,7 +136,7 @@
 
   /** The earliest start of a deadline for a process that has been in contact since `contactSince`. */
   private _earliestDeadlineStart(contactSince: number): number {
-    const { switchMilliseconds, contactMilliseconds } = this._bounds;
+    const { switchMilliseconds, contactMilliseconds } = this._timeLimits;
     return contactSince - (switchMilliseconds - contactMilliseconds);
   }
 
--- a/tests/recordReplica.spec.ts
+++ b/tests/recordReplica.spec.ts
@@ -117,9 +117,9 @@
   const before = object('a', 1, record);
   const changed = (changes: Partial<BackendServerRecord>): StoredObject =>
     object('a', 2, { ...record, ...changes });
-  expect(decoded.weighChange(before, changed({}))).toEqual('none');
-  expect(decoded.weighChange(before, changed({ models: [{ name: 'm', version: 2 }] }))).toEqual('minor');
-  expect(decoded.weighChange(before, changed({ draining: true }))).toEqual('urgent');
-  expect(decoded.weighChange(before, undefined)).toEqual('urgent');
-  expect(decoded.weighChange(undefined, before)).toEqual('urgent');
+  expect(decoded.classifyChange(before, changed({}))).toEqual('none');
+  expect(decoded.classifyChange(before, changed({ models: [{ name: 'm', version: 2 }] }))).toEqual('minor');
+  expect(decoded.classifyChange(before, changed({ draining: true }))).toEqual('urgent');
+  expect(decoded.classifyChange(before, undefined)).toEqual('urgent');
+  expect(decoded.classifyChange(undefined, before)).toEqual('urgent');
 });
--- a/tests/serverEligibility.spec.ts
+++ b/tests/serverEligibility.spec.ts
@@ -14,7 +14,7 @@
     startsPromptly: true,
     switching: false,
     agentSilent: false,
-    suspicious: false,
+    unresponsive: false,
     slowLink: false,
   };
   return { name, version: () => version, ...healthy, ...changes };
@@ -38,7 +38,7 @@
 
 for (const [what, changes] of [
   ['whose agent is silent', { agentSilent: true }],
-  ['that is silent itself', { suspicious: true }],
+  ['that is silent itself', { unresponsive: true }],
   ['whose link is slow', { slowLink: true }],
 ] as const) {
   test(`should not use a server with an older version ${what} while there is another`, () => {
@@ -67,7 +67,7 @@
  */
 test('should not use an older version close to the deadline if requests may be delayed', () => {
   const late: Partial<ServerRequirements> = { preferredVersion: 2 };
-  for (const changes of [{ agentSilent: true }, { suspicious: true }, { slowLink: true }]) {
+  for (const changes of [{ agentSilent: true }, { unresponsive: true }, { slowLink: true }]) {
     expect(namesOf([server('frozen', 1, changes)], late)).toEqual([]);
     expect(namesOf([server('frozen', 1, changes), server('old', 1)], late)).toEqual(['old']);
     expect(namesOf([server('newest', 2, changes)], late)).toEqual(['newest']);
