--- a/src/backpressure/answerSignals.ts
+++ b/src/backpressure/answerSignals.ts
@@ -1,4 +1,4 @@
-/** Parses the backpressure headers of a backend server's response. No state, no I/O. */
+/** Parses the backpressure headers of a backend server's answer. Pure. */
 
 /** Header values by lower-case name. */
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
@@ -7,14 +7,14 @@
 export interface SignalNames {
   /** Requests per second that the server accepts from all entries together, as a decimal number. */
   serverLimit: string;
-  /** Set to 1 on every response of a server that is shutting down. */
+  /** Set to 1 on every answer of a server that is shutting down. */
   serverLeaving: string;
   /** On a rejection: seconds to wait, or the date before which this entry must not send to the server. */
   retryAfter: string;
 }
 
 export interface AnswerSignals {
-  /** Requests per second from all entries together; undefined when the response has no limit header. */
+  /** Requests per second from all entries together; undefined when the answer has no limit header. */
   limitPerSecond: number | undefined;
   leaving: boolean;
   /** How long this entry must not send to the server; 0 without a Retry-After. */
@@ -38,7 +38,7 @@
 export const MAX_RETRY_AFTER_MILLISECONDS = 600_000;
 const MAX_LOGGED_CHARACTERS = 40;
 
-/** Parses the headers of a response. `wallClock` returns Unix milliseconds and is used for date values. */
+/** Parses the headers of an answer. `wallClock` returns Unix milliseconds and is used for date values. */
 export function readSignals(
   status: number,
   headers: Headers,
--- a/src/backpressure/limitShare.ts
+++ b/src/backpressure/limitShare.ts
@@ -1,4 +1,4 @@
-/** Computes this entry's share of a backend server's request limit. No state, no I/O. */
+/** Computes this entry's share of a backend server's request limit. Pure. */
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 
--- a/src/backpressure/serverBackpressure.ts
+++ b/src/backpressure/serverBackpressure.ts
@@ -9,7 +9,10 @@
 
 /** How often the other entries are notified that a limit still applies. */
 const CONFIRM_INTERVAL_MILLISECONDS = 10_000;
-/** Without a notice for this long, no entry sends to the server, or those that do cannot notify the others. */
+/**
+ * After this long without a notice of a limit, an entry without a share of it may probe the server, because either no
+ * entry sends to the server, or those that do cannot notify the others.
+ */
 const STALE_NOTICE_MILLISECONDS = 15_000;
 
 export interface BackpressureOptions {
@@ -21,7 +24,7 @@
   share: (perSecond: number) => LimitShare;
   /** Position of this entry in the probe schedule, from 0 to 1 (exclusive). */
   phase: number;
-  /** Called when a response to this entry changes the shared state, or confirms a limit after a while. */
+  /** Called when an answer to this entry changes the shared state, or confirms a limit after a while. */
   onChange: () => void;
 }
 
@@ -29,11 +32,11 @@
 export interface SharedBackpressure {
   limitPerSecond: number | undefined;
   leaving: boolean;
-  /** Monotonic milliseconds of the response that carried it. */
+  /** Monotonic milliseconds of the answer that carried it. */
   heardAt: number;
 }
 
-/** Where a signal came from: a response to this entry, or another entry. */
+/** Where a signal came from: an answer to this entry, or another entry. */
 type SignalSource = 'answer' | 'entry';
 
 export class ServerBackpressure {
@@ -103,7 +106,7 @@
     return { limitPerSecond, leaving: this._isLeaving, heardAt: Math.max(heardAt, this._leavingHeardAt) };
   }
 
-  /** Applies the signals of a response to this entry. */
+  /** Applies the signals of an answer to this entry. */
   applySignals(signals: AnswerSignals): void {
     const { limitPerSecond, leaving, retryAfterMilliseconds, unreadable } = signals;
     const now = this._clock.now();
@@ -116,7 +119,7 @@
     if (hasLimitChanged || isNewlyLeaving || isConfirmed) this._notify(now);
   }
 
-  /** Applies a notice from another entry. State from a later response takes precedence. */
+  /** Applies a notice from another entry. State from a later answer takes precedence. */
   applyNotice({ limitPerSecond, leaving, heardAt }: SharedBackpressure): void {
     if (leaving) this._markLeaving(heardAt, 'entry');
     if (heardAt <= this._limit.heardAt) return;
@@ -161,7 +164,7 @@
     return hasChanged;
   }
 
-  /** Handles a response without a limit header; returns whether that ends a limit. */
+  /** Handles an answer without a limit header; returns whether that ends a limit. */
   private _noteNoLimit(): boolean {
     if (!this._limit.canEnd) return false;
     this._endLimit(this._clock.now(), 'answer');
--- a/src/backpressure/serverLimit.ts
+++ b/src/backpressure/serverLimit.ts
@@ -1,8 +1,8 @@
-/** Tracks the request limit that one backend server advertises in its responses. */
+/** Tracks the request limit that one backend server advertises in its answers. */
 import type { Clock } from '../utils/clock.js';
 
 /**
- * A response without a limit ends the limit only after this time since the last response with one, because responses
+ * An answer without a limit ends the limit only after this time since the last answer with one, because answers
  * can arrive out of order.
  */
 const MIN_AGE_TO_END_MILLISECONDS = 1_000;
@@ -10,14 +10,14 @@
 const DOUBLING_MILLISECONDS = 500;
 /** Duration of the ramp, after which the rate exceeds a server's usual load and is no longer limited. */
 const RAMP_MILLISECONDS = 3_000;
-/** Minimum requests per second whatever the limit is: only a response can show that the limit has ended. */
+/** Minimum requests per second whatever the limit is: only an answer can show that the limit has ended. */
 const MIN_PER_SECOND = 0.25;
 
 export class ServerLimit {
   private readonly _clock: Clock;
   /** Requests per second of the current limit, or of the ended one during the ramp. */
   private _perSecond: number | undefined;
-  /** Monotonic milliseconds of the latest response, received by any entry, that set or ended the limit. */
+  /** Monotonic milliseconds of the latest answer, received by any entry, that set or ended the limit. */
   private _heardAt = Number.NEGATIVE_INFINITY;
   /** Monotonic milliseconds of the end of the limit; undefined while it applies. */
   private _endedAt: number | undefined;
@@ -42,12 +42,12 @@
     return undefined;
   }
 
-  /** Monotonic milliseconds of the response that last set or ended the limit; -Infinity if there was none. */
+  /** Monotonic milliseconds of the answer that last set or ended the limit; -Infinity if there was none. */
   get heardAt(): number {
     return this._heardAt;
   }
 
-  /** Sets the limit from a response received at `heardAt`. Returns whether the limit changed. */
+  /** Sets the limit from an answer received at `heardAt`. Returns whether the limit changed. */
   update(perSecond: number, heardAt: number): boolean {
     const hasChanged = this.advertised !== perSecond;
     this._perSecond = perSecond;
@@ -56,12 +56,12 @@
     return hasChanged;
   }
 
-  /** Whether a response without a limit header ends the limit. */
+  /** Whether an answer without a limit header ends the limit. */
   get canEnd(): boolean {
     return this.advertised !== undefined && this._clock.now() - this._heardAt >= MIN_AGE_TO_END_MILLISECONDS;
   }
 
-  /** Ends the limit because of a response received at `heardAt`. */
+  /** Ends the limit because of an answer received at `heardAt`. */
   end(heardAt: number): void {
     if (this.advertised !== undefined) this._endedAt = this._clock.now();
     this._heardAt = heardAt;
--- a/src/backpressure/serverSignals.ts
+++ b/src/backpressure/serverSignals.ts
@@ -28,14 +28,14 @@
 
 /** Maximum number of servers whose state is kept. Ids are unique, so a server that is listed again is recognised. */
 const MAX_SERVERS = 10_000;
-/** Changes are batched for this long, because a limit can change with every response. */
+/** Changes are batched for this long, because a limit can change with every answer. */
 const BATCH_MILLISECONDS = 100;
 /** The end of a limit is reported to newly connected entries for this long. */
 const REPORT_ENDED_MILLISECONDS = 60_000;
 const HASH_RANGE = 2 ** 32;
 
 interface ServerSignalsEvents {
-  /** Responses to this entry have changed the shared state of servers. */
+  /** Answers to this entry have changed the shared state of servers. */
   change: [ServerNotice[]];
 }
 
--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -21,7 +21,7 @@
   milliseconds: number;
 }
 
-/** Kept until the request completes successfully at any entry, or nobody repeats it any more. */
+/** State of a suspected request, kept until it completes successfully at any entry or nobody repeats it any more. */
 export interface Suspicion {
   ends: readonly ServerExit[];
   trial?: Trial | undefined;
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -16,8 +16,8 @@
 import type { SuspicionCopies } from './suspicionCopies.js';
 
 /**
- * Computes the next state of a suspicion, undefined if there is none. Applied again when another entry has written in
- * the meantime.
+ * Computes the next state of a suspicion, undefined if there is none. It is called again when another entry has
+ * written in the meantime.
  */
 export type SuspicionChange = (suspicion: Suspicion | undefined) => Suspicion | undefined;
 
--- a/src/records/recordRelay.ts
+++ b/src/records/recordRelay.ts
@@ -1,5 +1,5 @@
 /**
- * Sends this process's copies to the entries that subscribe, and adopts the records that these retain
+ * Sends this process's copies to the entries that subscribe, and adopts the records that those entries retain
  * (`RetainedRecords`).
  */
 import { ControlConnection } from '../protocol/controlConnection.js';
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -39,7 +39,7 @@
 const SILENCE_TIMEOUT_MILLISECONDS = 1_000;
 /** Two intervals of probes, the timeout of a probe, and a stamp: a healthy reader confirms its copies more often. */
 const CONFIRMATION_TIMEOUT_MILLISECONDS = 1_300;
-/** Time within which a new source has to become current, and this process after it has started to read. */
+/** Time that a new source has to become current, or this process after it has started to read the store. */
 const GRACE_MILLISECONDS = 1_000;
 /** The choice to read the store must last for this time, because starting entries discover each other one by one. */
 const SETTLE_MILLISECONDS = 250;
@@ -203,7 +203,7 @@
     return this._options.clock.now() - confirmedAt <= CONFIRMATION_TIMEOUT_MILLISECONDS;
   }
 
-  /** Subscribes to the changes of one source, or of none while the own reading is current. */
+  /** Subscribes to the changes of one source, or of none while this process reads the store successfully. */
   private _selectPrimary(sources: readonly RecordSource[]): void {
     const { reader, log } = this._options;
     const isReader = reader.confirmedAt > Number.NEGATIVE_INFINITY;
@@ -215,8 +215,8 @@
   }
 
   /**
-   * Checks whether the copies have lacked a change of another source for too long. If so, the source of the copies
-   * doesn't work: the own reading, or the primary source.
+   * Checks whether the copies have lacked a change of another source for too long. If so, their own source doesn't
+   * work: this process lists the store again if it reads it, and otherwise changes its primary source.
    */
   private _checkLag(): void {
     const { state, clock, reader } = this._options;
--- a/src/records/storeReader.ts
+++ b/src/records/storeReader.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps copies up to date from the store itself, and knows when they were last the newest. Only a few entries read
- * the store.
+ * Keeps copies up to date from the store itself, and tracks when the store last confirmed that they are the newest.
+ * Only a few entries read the store.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -126,8 +126,9 @@
   }
 
   /**
-   * Returns the owner of the slot of the request's key. A request without a key gets a new one, in any slot whose
-   * owner takes requests.
+   * Returns the owner of the slot of the request's key, or `lost-epoch` if the key is a ticket of an earlier epoch,
+   * whose owner may have run the request. A request without a key gets a new one, in any slot whose owner takes
+   * requests.
    */
   private _ownerFor(
     request: CallerRequest,
--- a/src/routing/backendChoice.ts
+++ b/src/routing/backendChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the box for a request. Has no state; randomness is passed in. */
+/** Chooses the box for a request. Pure except for randomness. */
 import type { Random } from '../utils/random.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 import type { Backend } from './backend.js';
@@ -28,7 +28,7 @@
 
 /** Utilization (requests / capacity) at which the own data centre counts as full and others are considered. */
 const FULL_LOAD = 1.5;
-/** How much higher the utilization of the affine box may be before the request goes to a less loaded box. */
+/** How much higher the utilization of the affinity key's box may be before the request goes to a less loaded one. */
 const AFFINITY_TOLERANCE = 0.5;
 
 /** Above this number of boxes only a sample is examined, to bound the cost of a choice. */
@@ -36,8 +36,8 @@
 const SAMPLED_BOXES = 16;
 
 /**
- * Prefers this entry's data centre. Within a data centre, picks the affine box unless it is much busier, otherwise the
- * less loaded of two random boxes.
+ * Prefers this entry's data centre. Within a data centre, picks the box that the affinity key selects, unless it is
+ * much busier than the less loaded of two random boxes, which is picked otherwise.
  */
 export function chooseBackend(pool: BackendPool, request: ChoiceRequest, random: Random): Choice | undefined {
   const choice = chooseCandidate(candidatesOf(pool.sameDataCentre, request, random), request, random);
--- a/src/serving/agentReports.ts
+++ b/src/serving/agentReports.ts
@@ -20,7 +20,7 @@
 
 /**
  * A report starts with the complete list that follows a subscription, and ends with the subscription or the
- * connection. A report is invalid while its agent is silent for longer than the peer time-out allows, so that after
+ * connection. A report is invalid while its agent is silent for longer than the peer timeout allows, so that after
  * a pause of this process no report is used until its agent has been heard again.
  */
 export class AgentReports {
--- a/src/serving/agentSelection.ts
+++ b/src/serving/agentSelection.ts
@@ -1,4 +1,4 @@
-/** Selects the agents that an entry connects to, so that its cost does not grow with the fleet. No state, no I/O. */
+/** Selects the agents that an entry connects to, so that its cost does not grow with the fleet. Pure. */
 import type { AgentAddress } from '../protocol/boxMessages.js';
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import { orderAcrossDataCentres } from '../utils/dataCentreOrder.js';
--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -58,7 +58,7 @@
 const MAX_STREAM_SILENCE_MILLISECONDS = 900;
 
 /**
- * Streams of a server that is about to switch versions are handed over after a random delay from this range, so
+ * Streams of a server that has begun to switch versions are handed over after a random delay from this range, so
  * that they do not all reach the other servers at once. Most streams end during the delay, and their prompts are
  * not read again.
  */
--- a/src/serving/entryDirectory.ts
+++ b/src/serving/entryDirectory.ts
@@ -2,11 +2,11 @@
  * Tracks the live entries that callers may use, as reported by a few agents that every live entry connects to.
  *
  * An entry that disappears without notice is listed for at most the sum of these times:
- * 1. `noticedWithin` the peer time-out: the agents detect that the entry is silent;
- * 2. `LONGEST_GATHER_MILLISECONDS`: the agents batch their changes;
- * 3. only if an agent also falls silent before it reports the loss: another `noticedWithin`, after which its report
- *    is invalid; or, if no valid report is left, `REMEMBERED_MILLISECONDS` after the agent was last heard. These
- *    two overlap, so only the longer one counts.
+ * 1. `maximumDetectionMilliseconds` of the peer timeout, in which the agents detect that the entry is silent;
+ * 2. `MAX_BATCH_DELAY_MILLISECONDS`, for which the agents batch their changes;
+ * 3. only if an agent also falls silent before it reports the loss: `maximumDetectionMilliseconds` once more, after
+ *    which its report is invalid, or, if no valid report is left, `REMEMBERED_MILLISECONDS` after the agent was last
+ *    heard. These two overlap, so only the longer one counts.
  */
 import type { EntryAddress, EntryList } from '../protocol/boxMessages.js';
 import type { RecordSource } from '../records/sourceChoice.js';
@@ -106,7 +106,7 @@
     this._recompute();
   }
 
-  /** Live entries including this one, without leaving ones. Only this one without a valid or remembered report. */
+  /** Live entries, including this one, that are not leaving; only this one if no report is valid or remembered. */
   live(): readonly EntryAddress[] {
     this._refresh();
     return this._live;
@@ -133,7 +133,7 @@
   }
 
   /**
-   * Number of entries that share system-wide bounds. It does not fall when reports are lost, and is a high assumed
+   * Number of entries that share system-wide limits. It does not fall when reports are lost, and is a high assumed
    * number until the entries are known.
    */
   count(): number {
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -230,7 +230,7 @@
     return refused;
   }
 
-  /** Checks whether the server has stalled, is about to switch versions, or may begin the request too late. */
+  /** Checks whether the server has stalled, is switching versions, or may begin the request too late. */
   private _watch(): void {
     if (this._isWaiting) return this._tryAgain();
     const { call } = this._current;
@@ -244,7 +244,7 @@
       this._handover.begin(call.server, this._relay.lastEventId);
   }
 
-  /** Takes the request back from its server, since no request may begin on an older version after the bound. */
+  /** Cancels the attempt, since no request may begin on an older version after the version deadline. */
   private _cancelAttempt({ server, sent }: BackendCall): void {
     this._trace.cancelled(server);
     this._current.abort('not-needed');
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -184,7 +184,7 @@
     this._log.state('gateway.stopped', { running: this._running });
   }
 
-  /** Only logs the request: settings are fixed until a restart, so that no request in flight is interrupted. */
+  /** Only logs that a reload was asked for: settings change with a restart, so no request in flight is interrupted. */
   reload(): void {
     this._log.state('gateway.reload', { applied: 'nothing that holds while the process runs' });
   }
--- a/src/serving/linkProber.ts
+++ b/src/serving/linkProber.ts
@@ -1,6 +1,6 @@
 /**
  * Measures the round trip to boxes with servers of older versions, since a request that is delayed on the way could
- * begin on such a server after its version has expired.
+ * begin on such a server after the version deadline.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import { boxOfHost } from './agentAnnouncements.js';
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -69,7 +69,7 @@
     const { service, model } = this._request;
     const { gate, pool } = this._context;
     const preferredVersion = gate.preferredMinVersion(model);
-    // a stream handed over to an older version shortly before that version's bound would have to move again, and
+    // a stream handed over to an older version shortly before the version deadline would have to move again, and
     // might begin too late
     const lowestForHandover = isHandover ? preferredVersion : 0;
     const found = pool.find({
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Whether the request might begin only after the bound, the time after which none may begin on that version. */
+  /** Whether the request might begin on an older version only after the version deadline. */
   mayBeginTooLate(server: TrackedServer): boolean {
     const { model } = this._request;
     const mayBeDelayed = server.slowLink || server.agentSilent;
@@ -122,7 +122,7 @@
     this._noteNotRunAt(server);
   }
 
-  /** Uncounts an attempt that did not reach the server. Returns a reason when no other server should be tried. */
+  /** Records that an attempt did not reach its server. Returns a reason when no other server should be tried. */
   noteUnreachable(server: TrackedServer): NoAttemptReason | undefined {
     this._noteNotRunAt(server);
     this._count--;
--- a/src/serving/requestTrace.ts
+++ b/src/serving/requestTrace.ts
@@ -63,7 +63,7 @@
     });
   }
 
-  /** Logs that the request has not begun and may no longer begin on the version of `server`. */
+  /** Logs that the attempt was cancelled: the request has not begun, and may no longer begin on this version. */
   cancelled(server: TrackedServer): void {
     this._log.decision('request.taken-back', {
       request: this._id,
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Logs, once, that a stream stays at a server that is about to switch versions. */
+  /** Logs, once, that a stream stays at a server that is switching versions. */
   notHandedOver(server: TrackedServer, reason: string): void {
     if (this._hasLoggedNotHandedOver) return;
     this._hasLoggedNotHandedOver = true;
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -13,7 +13,7 @@
   pendingPrompts: number;
   /** Share of recent attempts that failed, from 0 to 1. */
   failureRate: number;
-  /** Recent time to the first byte of a response, in milliseconds. */
+  /** Recent time to the first byte of an answer, in milliseconds. */
   firstByteMilliseconds: number;
   /** Whether the link of its box is slow. */
   slowLink: boolean;
@@ -50,7 +50,7 @@
 const OTHER_DATA_CENTRE_COST_MILLISECONDS = 20;
 /** Cost of a slow link: requests and events queue behind chunks. */
 const SLOW_LINK_COST_MILLISECONDS = 400;
-/** Cost of an older version shortly before its deadline: a delayed request could begin there too late. */
+/** Cost of an older version shortly before the version deadline: a delayed request could begin there too late. */
 const OUTDATED_COST_MILLISECONDS = 60;
 /** Cost of a server that is about to switch versions: half of its prompts have to be read again elsewhere. */
 const PREPARING_COST_MILLISECONDS = 100;
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -1,4 +1,4 @@
-/** Selects the backend servers whose model version allows them to take a request. No state, no I/O. */
+/** Selects the backend servers whose model version allows them to take a request. Pure. */
 import type { ServerRequirements } from './serverRequirements.js';
 import type { TrackedServer } from './trackedServer.js';
 
@@ -11,9 +11,9 @@
 /**
  * Returns the servers that serve a version on which the request may begin and are not switching versions.
  *
- * A silent server of an older version may be frozen or unreachable, and begin the request only after the deadline
- * of its version; on a slow link the request may be delayed as much. Such a server is used only if there is no
- * other, and not at all close to the deadline, when a delay of unknown length cannot be accepted.
+ * A silent server of an older version may be frozen or unreachable, and begin the request only after the version
+ * deadline; on a slow link the request may be delayed as much. Such a server is used only if there is no other, and
+ * not at all close to the version deadline, when a delay of unknown length cannot be accepted.
  */
 export function eligibleServers<Server extends VersionedServer>(
   servers: readonly Server[],
--- a/src/serving/serverHealth.ts
+++ b/src/serving/serverHealth.ts
@@ -1,7 +1,10 @@
-/** Tracks the recent responses and failures of a backend server. */
+/** Tracks the recent answers and failures of a backend server. */
 import type { Clock } from '../utils/clock.js';
 
-/** Outcome of one attempt; `displaced` means that a different server answered at its address. */
+/**
+ * Outcome of one attempt. `displaced`: the answer says that the request was meant for another server, or for another
+ * version of the model.
+ */
 export type AttemptOutcome = 'succeeded' | 'failed' | 'rejected' | 'displaced' | 'silent';
 
 /** Half-life of the attempt counts and of the measured time. */
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -21,7 +21,7 @@
   clock: Clock;
   random: Random;
   log: EventLog;
-  /** Backpressure signals from the responses of servers. */
+  /** Backpressure signals from the answers of servers. */
   signals: ServerSignals;
   service: (name: string) => ServiceDescription | undefined;
   /** Number of entries that share the connections to each server. */
@@ -75,7 +75,8 @@
 /** Requests beyond the batch wait for one to end, several times the objective, and delay all later ones. */
 const MAX_ENGINE_FILL = 1;
 /**
- * Higher for streams that are handed over or broken off: they were admitted, and handovers block a version switch.
+ * Higher for streams that are handed over, or resumed after a server broke them off: they were admitted already, and
+ * a pending handover delays a version switch.
  */
 const MAX_CONTINUATION_FILL = 1.1;
 
--- a/src/serving/serverRecordDecoder.ts
+++ b/src/serving/serverRecordDecoder.ts
@@ -25,7 +25,7 @@
     return decoded.record;
   }
 
-  /** Rates how much a change affects server selection. Models are minor, since agents report them sooner. */
+  /** Classifies a change for server selection. A change of models is minor, since agents report it sooner. */
   classifyChange(before: StoredObject | undefined, after: StoredObject | undefined): ChangeUrgency {
     const old = before && this.decode(before);
     const next = after && this.decode(after);
--- a/src/serving/serverRequirements.ts
+++ b/src/serving/serverRequirements.ts
@@ -11,9 +11,9 @@
   preferredVersion: number;
   /** Newest version that has been announced. */
   newestVersion: number;
-  /** Target time to the response, or to the first event of a stream. */
+  /** Target time to the answer, or to the first event of a stream. */
   objectiveMilliseconds: number;
-  /** Whether the request continues from another server, which still runs it or broke off its response. */
+  /** Whether another server still runs the request, or broke off its answer, so that this one only continues it. */
   isContinuation: boolean;
   /** Ids of the servers that the request was already sent to. */
   tried: ReadonlySet<string>;
--- a/src/serving/servingConfiguration.ts
+++ b/src/serving/servingConfiguration.ts
@@ -1,6 +1,6 @@
 /** The operator's configuration for serving requests: routes, services, customers and limits. */
 
-/** Whether a request may run more than once, and whether its response is a stream. */
+/** Whether a request may run more than once, and whether its answer is a stream. */
 export type RequestKind = 'repeatable' | 'once' | 'stream';
 
 /** A service that a route sends requests to, with its share of them. */
@@ -18,7 +18,7 @@
   targets: readonly RouteTarget[];
   /** Maximum duration of a request. */
   timeoutMilliseconds: number;
-  /** Target time to the response, or to the first event of a stream. */
+  /** Target time to the answer, or to the first event of a stream. */
   objectiveMilliseconds: number;
   /** Maximum number of backend servers that one request is sent to. */
   attempts: number;
@@ -39,7 +39,7 @@
   readTokensPerSecond: number;
   /** Mean number of tokens in a prompt. */
   usualPromptTokens: number;
-  /** Mean number of tokens in a response. */
+  /** Mean number of tokens in an answer. */
   usualAnswerTokens: number;
 }
 
--- a/src/serving/sharingEntries.ts
+++ b/src/serving/sharingEntries.ts
@@ -1,9 +1,9 @@
-/** Counts the entries that share system-wide bounds, such as those on retries and connections. */
+/** Counts the entries that share system-wide limits, such as those on retries and connections. */
 import type { EntryAddress } from '../protocol/boxMessages.js';
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Assumed while the entries are unknown, so that entries that start together do not each take a whole bound. */
+/** Assumed while the entries are unknown, so that entries that start together do not each take a whole limit. */
 const ASSUMED_ENTRIES = 16;
 /**
  * How long an entry still counts after it is no longer listed. The first lists of newly subscribed agents lack
--- a/src/serving/streamHandover.ts
+++ b/src/serving/streamHandover.ts
@@ -25,7 +25,7 @@
 
 /**
  * Timeout for the first event of the second server. It is shorter than the margin that entries keep before the
- * bound of an older version.
+ * version deadline.
  */
 export const HANDOVER_TIMEOUT_MILLISECONDS = 600;
 const SUCCESS = 200;
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -8,15 +8,15 @@
 import type { BackendServerRecord } from './backendServerRecord.js';
 import { ServerHealth } from './serverHealth.js';
 
-/** A server with streams to send is suspicious and avoided when it is silent for longer than this. */
-const SUSPICIOUS_SILENCE_MILLISECONDS = 500;
+/** A server that has streams to send and is silent for longer than this is considered unresponsive, and avoided. */
+const UNRESPONSIVE_SILENCE_MILLISECONDS = 500;
 const STATUS_LIFETIME_MILLISECONDS = 2_000;
 /** Maximum time from when an agent observes its server until its status arrives here, on a link that is not slow. */
 const MAX_STATUS_DELAY_MILLISECONDS = 1_500;
 /** Agents send their status at least once per second; the rest is a margin for delays. */
 const AGENT_SILENCE_MILLISECONDS = 1_400;
 /** A longer time to the first byte means that requests wait, on the network or at the server. */
-const PROMPT_RESPONSE_MILLISECONDS = 350;
+const MAX_FIRST_BYTE_MILLISECONDS = 350;
 /**
  * A longer round trip to the box means that requests are delayed on the way. Chunks of a version delay a round trip
  * by 180 ms on a link that is not slow.
@@ -37,7 +37,7 @@
   readonly health: ServerHealth;
   readonly load = new BoxLoad();
   readonly connections: BackendConnections;
-  /** Limits and other signals from its responses. */
+  /** Limits and other signals from its answers. */
   readonly backpressure: ServerBackpressure;
   private readonly _clock: Clock;
   private readonly _versions = new Map<string, number>();
@@ -84,7 +84,7 @@
     this.host = hostOf(record.address);
   }
 
-  /** Whether the server is shutting down, by its record or by a response, since the record may be late or lost. */
+  /** Whether the server is shutting down, by its record or by an answer, since the record may be late or lost. */
   get isLeaving(): boolean {
     return this.record.draining || this.backpressure.isLeaving;
   }
@@ -172,11 +172,11 @@
 
   /** Whether a request that is sent now is expected to begin within a few hundred milliseconds. */
   get startsPromptly(): boolean {
-    const isPrompt = this.health.firstByteMilliseconds < PROMPT_RESPONSE_MILLISECONDS;
+    const isFast = this.health.firstByteMilliseconds < MAX_FIRST_BYTE_MILLISECONDS;
     const isFree =
       this.pendingPrompts < MANY_PENDING_PROMPTS && this.load.estimate(this._clock.now()) < this.record.slots;
     const isReachable = !this.agentSilent && !this.slowLink && !this.health.avoided;
-    return isReachable && isPrompt && isFree;
+    return isReachable && isFast && isFree;
   }
 
   /** Records that a stream has begun on the server; {@link TrackedServer.streamEnded} records its end. */
@@ -200,7 +200,7 @@
   }
 
   get unresponsive(): boolean {
-    return this.silentFor > SUSPICIOUS_SILENCE_MILLISECONDS;
+    return this.silentFor > UNRESPONSIVE_SILENCE_MILLISECONDS;
   }
 
   /** The last status of the agent, unless it is too old to be valid. */
--- a/src/serving/versionGate.ts
+++ b/src/serving/versionGate.ts
@@ -9,11 +9,11 @@
 } from '../protocol/versionMargins.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Time limits of a version change, in milliseconds. */
+/** Times that determine version deadlines, in milliseconds. */
 export interface VersionTimeLimits {
-  /** How long requests may still begin on older versions after a version was acknowledged. */
+  /** How long requests may still begin on older versions after a newer one was announced: the version deadline. */
   switchMilliseconds: number;
-  /** How long this process is exempt from that deadline after its start, or after it has regained the store. */
+  /** How long this process is exempt from version deadlines after its start, or after it has regained the store. */
   contactMilliseconds: number;
 }
 
@@ -21,12 +21,12 @@
 const FIRST_VERSION = 1;
 /** Maximum number of versions that are remembered for each model. */
 const MAX_REMEMBERED = 16;
-/** Number of versions of a model that are reported to others: several can be announced before the first deadline. */
+/** Number of versions of a model that are reported to others: several can be announced before a version deadline. */
 const MAX_REPORTED = 4;
 
 interface KnownVersion {
   version: number;
-  /** Start of the deadline for older versions, in monotonic milliseconds. */
+  /** Monotonic milliseconds from which the time until the version deadline is counted. */
   countedFrom: number;
   /** Earliest time at which any process is known to have heard of the version. */
   heardAt: number;
@@ -53,8 +53,8 @@
    * `lateMilliseconds` ago; infinite when nothing is known about the time since the start.
    *
    * For `contactMilliseconds` after its start, or after a longer time without the store, a process is exempt from
-   * the deadline. Otherwise it would consider the deadline passed, refuse all requests until servers have the newer
-   * version, and take back requests that it has just sent.
+   * version deadlines. Otherwise it would consider them passed, refuse all requests until servers have the newer
+   * version, and cancel requests that it has just sent.
    */
   noteTarget(model: string, version: number, lateMilliseconds: number): boolean {
     const now = this._clock.now();
@@ -69,8 +69,9 @@
 
   /**
    * Adds a version that some process has known for `heardMilliseconds`; returns whether it was unknown here. The
-   * deadline counts from then, even if this process hears of it late or hears of a newer version first, because its
-   * own source may have missed a version. The exemption described at {@link VersionGate.noteTarget} applies.
+   * time until the version deadline is counted from when that process heard of it, even if this process hears of it
+   * late or hears of a newer version first, because its own source may have missed a version. The exemption described
+   * at {@link VersionGate.noteTarget} applies.
    */
   noteHeard({ model, version, heardMilliseconds }: HeardVersion): boolean {
     const now = this._clock.now();
@@ -95,7 +96,7 @@
   }
 
   /**
-   * The lowest version to which a request may be sent now; 0 when any version may be used. Set `slow` if the
+   * The lowest version on which a server may be sent a request now; 0 when any version may be used. Set `slow` if the
    * request may take long to begin.
    */
   minVersionToSend(model: string, slow = false): number {
@@ -104,8 +105,8 @@
   }
 
   /**
-   * The lowest version on which requests that were already sent may still begin; others have to be taken back. Set
-   * `slow` if taking back may take long.
+   * The lowest version on which requests that were already sent may still begin; requests to servers of older
+   * versions have to be cancelled. Set `slow` if cancelling may take long.
    */
   minVersionToBegin(model: string, slow = false): number {
     const margin = slow ? SLOW_CANCEL_MARGIN_MILLISECONDS : CANCEL_MARGIN_MILLISECONDS;
@@ -122,7 +123,7 @@
     return this._known.get(model)?.at(-1)?.version ?? 0;
   }
 
-  /** The version of a model that every backend server should serve. */
+  /** The target version of a model, which every backend server should serve. */
   wanted(model: string): WantedVersion {
     const newest = this._known.get(model)?.at(-1);
     if (!newest)
@@ -134,7 +135,7 @@
     };
   }
 
-  /** The earliest start of a deadline for a process that has been in contact since `contactSince`. */
+  /** Lower bound for {@link KnownVersion.countedFrom} in a process that has been in contact since `contactSince`. */
   private _earliestDeadlineStart(contactSince: number): number {
     const { switchMilliseconds, contactMilliseconds } = this._timeLimits;
     return contactSince - (switchMilliseconds - contactMilliseconds);
