--- a/src/crashes/suspicionRestorer.ts
+++ b/src/crashes/suspicionRestorer.ts
@@ -23,7 +23,7 @@
  * usually only one of them has to write.
  */
 const RESTORE_MILLISECONDS = 400;
-/** The other entries restore by this time, in case all entries that read the store have just started. */
+/** The other entries restore by this time, in case all that read the store have just started and know no suspicions. */
 const RESTORE_BY_OTHERS_MILLISECONDS = 1_600;
 
 export class SuspicionRestorer {
--- a/src/records/lagDetector.ts
+++ b/src/records/lagDetector.ts
@@ -1,4 +1,4 @@
-/** Detects copies that have lacked a change of another source for too long. */
+/** Detects copies that have lacked for too long a change that another source has. */
 
 /** Readers delay minor changes by up to 500 ms, and stamps come every 300 ms; the rest is a margin. */
 const MAX_LAG_MILLISECONDS = 1_000;
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -1,6 +1,6 @@
 /**
- * This process's copy of all objects of one kind, fed by the store or by other entries. An update never replaces a
- * newer one. Records that a rollback of the store has lost may stay in force.
+ * This process's copy of all objects of one kind, updated from the store or by other entries. An older update never
+ * replaces a newer one. Records that a rollback of the store has lost may stay in force.
  */
 import { EventEmitter } from 'node:events';
 import type { RetainedRecord, RetainedRecords, ObservedVia } from './retainedRecords.js';
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -215,8 +215,8 @@
   }
 
   /**
-   * Checks whether the copies have lacked a change of another source for too long. If so, their own source doesn't
-   * work: this process lists the store again if it reads it, and otherwise changes its primary source.
+   * Checks whether the copies have lacked for too long a change that another source has. If so, their own source
+   * doesn't work: this process lists the store again if it reads it, and otherwise changes its primary source.
    */
   private _checkLag(): void {
     const { state, clock, reader } = this._options;
--- a/src/records/recordState.ts
+++ b/src/records/recordState.ts
@@ -102,7 +102,7 @@
     this.replica(kind)?.adoptRetained(revision, retained);
   }
 
-  /** Returns a stamp. `withChanges` says that its receiver has been sent all changes. */
+  /** Returns a message that tells how current the copies are. `withChanges`: its receivers have been sent all changes. */
   stamp(withChanges: boolean): RecordStamp {
     return {
       type: 'record-stamp',
--- a/src/records/retainedExchange.ts
+++ b/src/records/retainedExchange.ts
@@ -7,15 +7,15 @@
  * retain fewer records.
  */
 export class RetainedExchange {
-  private readonly _settled = new Map<string, string>();
+  private readonly _lastDifference = new Map<string, string>();
 
   /**
    * Returns the next step. `own` and `theirs` are the numbers of retained records of a kind in the same generation.
    */
   next(kind: string, own: number, theirs: number): RetainedStep {
     const difference = `${own} ${theirs}`;
-    if (own === theirs || this._settled.get(kind) === difference) return 'nothing';
-    this._settled.set(kind, difference);
+    if (own === theirs || this._lastDifference.get(kind) === difference) return 'nothing';
+    this._lastDifference.set(kind, difference);
     return own > theirs ? 'send' : 'request';
   }
 }
--- a/src/requests/fairQueue.ts
+++ b/src/requests/fairQueue.ts
@@ -29,7 +29,6 @@
   release(): void;
 }
 
-/** Options of a queue. */
 export interface FairQueueOptions {
   slots: number;
   /** Maximum number of queued requests per customer. */
--- a/src/requests/ledger.ts
+++ b/src/requests/ledger.ts
@@ -38,7 +38,6 @@
   ticketed: boolean;
 }
 
-/** Options of a ledger. */
 export interface LedgerOptions {
   clock: Clock;
   /** How long a caller may resend a key after first sending it. */
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -19,7 +19,6 @@
 import type { RetryBudget } from './retryBudget.js';
 import { readTicket } from './ticket.js';
 
-/** Options of a router. */
 export interface RequestRouterOptions {
   routes: RouteTable;
   client: AgentClient;
--- a/src/routing/backendChoice.ts
+++ b/src/routing/backendChoice.ts
@@ -9,7 +9,6 @@
   otherDataCentres: readonly Backend[];
 }
 
-/** Inputs of a choice. */
 export interface ChoiceRequest {
   /** Hash key of customer and prompt prefix, '' for none. Requests with the same key prefer the same box. */
   affinity: string;
--- a/src/serving/admittedRequest.ts
+++ b/src/serving/admittedRequest.ts
@@ -3,7 +3,6 @@
 import type { RetryAllowance } from './retryAllowance.js';
 import type { Route } from './servingConfiguration.js';
 
-/** An admitted request. */
 export interface AdmittedRequest {
   exchange: CallerExchange;
   route: Route;
--- a/src/serving/agentAnnouncements.ts
+++ b/src/serving/agentAnnouncements.ts
@@ -45,7 +45,7 @@
     return this._selection;
   }
 
-  /** Whether this entry sends requests to the server at `host`: if it has no agent, or its agent is selected. */
+  /** Whether this entry may send requests to the server at `host`: its box has no agent, or a selected one. */
   isRouted(host: string): boolean {
     const box = boxOfHost(host);
     return !this._serviceIndex().has(box) || this.selection().routed.has(box);
--- a/src/serving/agentSelection.ts
+++ b/src/serving/agentSelection.ts
@@ -14,7 +14,8 @@
 /** Number of agents in other data centres whose servers get requests when the own data centre is full. */
 const OTHER_DATA_CENTRE_AGENTS = 4;
 /**
- * Number of agents that report entries to each other: enough for redundancy, and more would repeat the same lists.
+ * Number of agents that tell entries which other entries exist: enough for redundancy, while more would repeat the
+ * same lists.
  */
 const DIRECTORY_AGENTS = 4;
 const DIRECTORY_KEY = 'entry-directory';
--- a/src/serving/backendConnections.ts
+++ b/src/serving/backendConnections.ts
@@ -53,7 +53,6 @@
   }
 }
 
-/** Options of a connection pool. */
 export interface ConnectionOptions {
   /** host:port. */
   address: string;
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -169,17 +169,17 @@
   /** Leaves the directory, waits for requests in flight, then closes. */
   async stop(): Promise<void> {
     if (this._own.leaving) return;
-    const drained = {
+    const drainingEntry = {
       clock: this._clock,
       drainMilliseconds: this._settings.drainMilliseconds,
       running: () => this._running,
       stopListening: async () => await this._callers.stopListening(),
     };
     this._entries.leave();
-    this._closesAt = drainDeadline(drained);
+    this._closesAt = drainDeadline(drainingEntry);
     this._log.state('gateway.leaving', { running: this._running, connections: this._callers.connections });
     this._links.announceNow();
-    await drainCallers(drained);
+    await drainCallers(drainingEntry);
     this.close();
     this._log.state('gateway.stopped', { running: this._running });
   }
--- a/src/serving/platformFollowers.ts
+++ b/src/serving/platformFollowers.ts
@@ -28,8 +28,8 @@
 }
 
 /**
- * A copy that has not been confirmed for this long is no longer considered current. A copy from another entry is
- * confirmed there every 500 ms and stamped every 300 ms, and a lost probe takes 600 ms.
+ * A copy that has not been confirmed for this long is no longer considered current. The source of a copy probes the
+ * store every 500 ms, tells the result to its listeners every 300 ms, and waits 600 ms for a probe that fails.
  */
 const STALE_COPY_MILLISECONDS = 1_700;
 /** Batches changes to limit store calls: many servers change together when they start, switch and leave. */
--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -16,7 +16,6 @@
 import type { RouteIndex } from './routeIndex.js';
 import type { CustomerKeys, Route } from './servingConfiguration.js';
 
-/** Options of the admission. */
 export interface AdmissionOptions {
   names: HeaderNames;
   configuration: ConfigurationHolder;
@@ -26,6 +25,7 @@
   retryLimit: RetryLimit;
   /** Whether no earlier process of this entry can have used its share of the retries. */
   isFirstStart: boolean;
+  /** Number of entries that share the limit on retries. */
   entries: () => number;
   isLeaving: () => boolean;
   /** Milliseconds until a draining entry closes all connections; infinite while it is not draining. */
--- a/src/serving/streamHandover.ts
+++ b/src/serving/streamHandover.ts
@@ -6,7 +6,6 @@
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Options of a handover. */
 export interface StreamHandoverOptions {
   server: TrackedServer;
   /** Request for the events after the last one sent to the caller. */
