--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -29,8 +29,8 @@
 
 /**
  * Number of server exits that shuts a request out; fewer may be chance. At least one of them has to happen during a
- * trial: several servers that exit at the same moment, as when a rack fails, say little about a request that ran on
- * all of them.
+ * trial: several servers that exit at the same moment, as when a rack fails, are weak evidence against a request that
+ * ran on all of them.
  */
 const EXITS_TO_SHUT_OUT = 3;
 /** Only the latest exits are kept: more would change no decision. */
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -54,8 +54,8 @@
 /** How long a request waits for its change to be written. Callers of harmless requests have to wait for it too. */
 const WRITE_WAIT_MILLISECONDS = 250;
 /**
- * A harmful request crashes its server soon after the server has started to run it. After this time a trial no longer
- * holds up the other callers of the same request, who may be many and whose requests may be harmless.
+ * A harmful request crashes its server soon after the server has started to run it. The other callers of the same
+ * request, who may be many and whose requests may be harmless, wait no longer than this for the end of a trial.
  */
 const MAX_TRIAL_MILLISECONDS = 3_000;
 /** A suspicion is removed when it hasn't changed for this time, because nobody has repeated the request. */
@@ -64,8 +64,8 @@
 const SHUT_OUT_TTL_MILLISECONDS = 24 * 3_600_000;
 const CLEANUP_INTERVAL_MILLISECONDS = 10_000;
 /**
- * With more suspicions than this, servers exit for another cause, such as failing racks, and the store is spared the
- * writes.
+ * With more suspicions than this, the servers probably exit for another cause, such as failing racks. No further
+ * requests become suspected then, which also limits the writes to the store.
  */
 const MAX_SUSPICIONS = 1_000;
 const MAX_PENDING = 200;
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -183,7 +183,7 @@
     return object.revision >= (this._storedOf(object.name)?.revision ?? 0);
   }
 
-  /** Remembers objects that a listing lacks as deleted, unless the store lacked them before. */
+  /** Remembers as deleted the objects that are missing from a listing, unless the store lacked them before. */
   private _rememberDeletions(objects: readonly StoredObject[]): void {
     const deleted = objects.filter(({ name }) => this._storedOf(name));
     for (const object of deleted) this._retained?.rememberDeletion(object, 'listing');
--- a/src/records/retainedRecords.ts
+++ b/src/records/retainedRecords.ts
@@ -69,7 +69,7 @@
     return this._retentions.has(name);
   }
 
-  /** Remembers that an object was deleted. An object that a listing lacks after an outage may only have expired. */
+  /** Remembers that an object was deleted. An object missing from a listing after an outage may have expired. */
   rememberDeletion(last: StoredObject, via: ObservedVia): void {
     const mayHaveExpired = via === 'listing' && this._options.mayHaveExpired();
     if (!mayHaveExpired) this._deleted.set(last.name, last);
--- a/src/serving/requestHandover.ts
+++ b/src/serving/requestHandover.ts
@@ -1,4 +1,4 @@
-/** Hands the stream of a request over: another server is asked for the rest while the first one goes on sending. */
+/** Hands over the stream of a request: asks another server for the rest while the first one goes on sending. */
 import type { AdmittedRequest } from './admittedRequest.js';
 import type { BackendCall, BackendCallListener, CallFailure } from './backendCall.js';
 import type { ForwardingContext } from './forwardingContext.js';
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -72,7 +72,7 @@
 const MAX_SHARERS = 3;
 /** Cost differences below this many prompts are ignored, since another entry may just have sent one. */
 const TIE_PROMPTS = 0.8;
-/** Requests beyond the batch wait for one to end, several times the objective, and delay all later ones. */
+/** A request beyond the batch waits for another to end, for several times its objective, and delays all later ones. */
 const MAX_ENGINE_FILL = 1;
 /**
  * Higher for streams that are handed over, or resumed after a server broke them off: they were admitted already, and
--- a/src/serving/serverRollbackPolicy.ts
+++ b/src/serving/serverRollbackPolicy.ts
@@ -39,7 +39,7 @@
     return this._decode(former) ? RENEWAL_HEARTBEATS * this._heartbeatMilliseconds : 0;
   }
 
-  /** An incarnation whose record was deleted has ended, or is draining without having said so. */
+  /** An incarnation whose record was deleted has ended, or is draining although its record did not say so. */
   deleted(last: StoredObject, stored: StoredObject): number {
     const former = this._decode(last);
     const current = this._decode(stored);
