--- a/src/serving/promptSize.ts
+++ b/src/serving/promptSize.ts
@@ -4,8 +4,8 @@
 const DEFAULT_SIZE = 1;
 
 /** Returns the size relative to `usualTokens`. The tokens header begins with the number of prompt tokens. */
-export function promptSize(tokensHeader: string | string[] | undefined, usualTokens: number): number {
+export function promptSize(tokensHeader: string | string[] | undefined, meanTokens: number): number {
   const tokens = Number.parseInt(String(tokensHeader ?? ''), 10);
-  if (!(tokens > 0) || usualTokens <= 0) return DEFAULT_SIZE;
-  return tokens / usualTokens;
+  if (!(tokens > 0) || meanTokens <= 0) return DEFAULT_SIZE;
+  return tokens / meanTokens;
 }
--- a/src/serving/requestAdmission.ts
+++ b/src/serving/requestAdmission.ts
@@ -149,7 +149,7 @@
       path,
       headers,
       body: body.length > 0 ? body : undefined,
-      promptSize: promptSize(request.headers[names.tokens], this._usualPromptTokens(service)),
+      promptSize: promptSize(request.headers[names.tokens], this._meanPromptTokens(service)),
       lastEventId: String(request.headers[names.lastEventId] ?? ''),
       retries,
       endsAt: arrivedAt + this._timeout(request, route),
@@ -157,8 +157,8 @@
   }
 
   /** Mean number of tokens of a prompt to a service, 0 when unknown. */
-  private _usualPromptTokens(service: string): number {
-    return this._options.configuration.index?.service(service)?.engine?.usualPromptTokens ?? 0;
+  private _meanPromptTokens(service: string): number {
+    return this._options.configuration.index?.service(service)?.engine?.meanPromptTokens ?? 0;
   }
 
   /** Maximum duration of a request: the caller's deadline, limited by the route's timeout. */
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -288,8 +288,8 @@
   private _cost({ service, isContinuation }: ServerRequirements): ServiceCost {
     const engine = this._options.service(service)?.engine;
     if (!engine) return PLAIN_COST;
-    const reading = engine.usualPromptTokens / (engine.readTokensPerSecond / 1000);
-    const writing = engine.usualAnswerTokens * engine.stepMilliseconds;
+    const reading = engine.meanPromptTokens / (engine.readTokensPerSecond / 1000);
+    const writing = engine.meanAnswerTokens * engine.stepMilliseconds;
     const typicalFirstByteMilliseconds =
       TYPICAL_FIRST_READS * reading + TYPICAL_FIRST_STEPS * engine.stepMilliseconds;
     return {
--- a/src/serving/servingConfiguration.ts
+++ b/src/serving/servingConfiguration.ts
@@ -38,9 +38,9 @@
   stepMilliseconds: number;
   readTokensPerSecond: number;
   /** Mean number of tokens in a prompt. */
-  usualPromptTokens: number;
+  meanPromptTokens: number;
   /** Mean number of tokens in an answer. */
-  usualAnswerTokens: number;
+  meanAnswerTokens: number;
 }
 
 /** Where model weights are read from. */
--- a/tests/serverPool.spec.ts
+++ b/tests/serverPool.spec.ts
@@ -19,8 +19,8 @@
     models: ['m'],
     stepMilliseconds: 11,
     readTokensPerSecond: 21_300,
-    usualPromptTokens: 900,
-    usualAnswerTokens: 80,
+    meanPromptTokens: 900,
+    meanAnswerTokens: 80,
   },
   origin: undefined,
 };
