--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -27,7 +27,7 @@
 /** Time in which half of the prompts that were queued at the last report have been read. */
 const PENDING_HALF_LIFE_MILLISECONDS = 120;
 
-/** Smaller than any prompt, in units of a usual prompt; lower values are rounding errors. */
+/** Smaller than any prompt, in units of a mean prompt; lower values are rounding errors. */
 const MIN_PROMPT = 1e-6;
 
 export class TrackedServer {
@@ -99,7 +99,7 @@
     this.load.report(status.running + status.queued, this._clock.now());
   }
 
-  /** Records that this process sent a request whose prompt has the size of `prompts` usual ones. */
+  /** Records that this process sent a request whose prompt has the size of `prompts` mean ones. */
   noteSent(prompts: number): void {
     this._ownPendingPrompts += prompts;
   }
@@ -112,7 +112,7 @@
   }
 
   /**
-   * Estimated size of the prompts that the server has not read yet, in units of a usual prompt, since one prompt may
+   * Estimated size of the prompts that the server has not read yet, in units of a mean prompt, since one prompt may
    * take sixty times as long as another. Other entries are assumed to have sent as much as this process, since they
    * select servers by the same reports, unless the agent reports more.
    */
