--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -99,7 +99,7 @@
     this.load.report(status.running + status.queued, this._clock.now());
   }
 
-  /** Records that this process sent a request whose prompt has the size of `prompts` mean ones. */
+  /** Records that this process sent a request; `prompts` is the size of its prompt in units of a mean prompt. */
   noteSent(prompts: number): void {
     this._ownPendingPrompts += prompts;
   }
