--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -99,14 +99,14 @@
     this.load.report(status.running + status.queued, this._clock.now());
   }
 
-  /** Records that this process sent a request; `prompts` is the size of its prompt in units of a mean prompt. */
-  noteSent(prompts: number): void {
-    this._ownPendingPrompts += prompts;
+  /** Records that this process sent a request; `promptSize` is in units of a mean prompt. */
+  noteSent(promptSize: number): void {
+    this._ownPendingPrompts += promptSize;
   }
 
   /** Records that a request sent by this process has returned its first event, or was given up. */
-  noteRead(prompts: number): void {
-    this._ownPendingPrompts -= prompts;
+  noteRead(promptSize: number): void {
+    this._ownPendingPrompts -= promptSize;
     // Remove the rounding error that remains after adding and subtracting fractions.
     if (this._ownPendingPrompts < MIN_PROMPT) this._ownPendingPrompts = 0;
   }
