--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -1,6 +1,6 @@
 /**
- * This process's copy of all objects of one kind, fed by the store or by other entries. An update never replaces a
- * newer one. Records that a rollback of the store has lost may stay in force.
+ * This process's copy of all objects of one kind, updated from the store or by other entries. An older update never
+ * replaces a newer one. Records that a rollback of the store has lost may stay in force.
  */
 import { EventEmitter } from 'node:events';
 import type { RetainedRecord, RetainedRecords, ObservedVia } from './retainedRecords.js';
@@ -183,7 +183,7 @@
     return object.revision >= (this._storedOf(object.name)?.revision ?? 0);
   }
 
-  /** Remembers objects that a listing lacks as deleted, unless the store lacked them before. */
+  /** Remembers as deleted the objects that are missing from a listing, unless the store lacked them before. */
   private _rememberDeletions(objects: readonly StoredObject[]): void {
     const deleted = objects.filter(({ name }) => this._storedOf(name));
     for (const object of deleted) this._retained?.rememberDeletion(object, 'listing');
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -19,7 +19,6 @@
 import type { RetryBudget } from './retryBudget.js';
 import { readTicket } from './ticket.js';
 
-/** Options of a router. */
 export interface RequestRouterOptions {
   routes: RouteTable;
   client: AgentClient;
@@ -126,8 +125,9 @@
   }
 
   /**
-   * Returns the owner of the slot of the request's key. A request without a key gets a new one, in any slot whose
-   * owner takes requests.
+   * Returns the owner of the slot of the request's key, or `lost-epoch` if the key is a ticket of an earlier epoch,
+   * whose owner may have run the request. A request without a key gets a new one, in any slot whose owner takes
+   * requests.
    */
   private _ownerFor(
     request: CallerRequest,
--- a/src/routing/backendChoice.ts
+++ b/src/routing/backendChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the box for a request. Has no state; randomness is passed in. */
+/** Chooses the box for a request. Pure except for randomness. */
 import type { Random } from '../utils/random.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 import type { Backend } from './backend.js';
@@ -9,7 +9,6 @@
   otherDataCentres: readonly Backend[];
 }
 
-/** Inputs of a choice. */
 export interface ChoiceRequest {
   /** Hash key of customer and prompt prefix, '' for none. Requests with the same key prefer the same box. */
   affinity: string;
@@ -28,7 +27,7 @@
 
 /** Utilization (requests / capacity) at which the own data centre counts as full and others are considered. */
 const FULL_LOAD = 1.5;
-/** How much higher the utilization of the affine box may be before the request goes to a less loaded box. */
+/** How much higher the utilization of the affinity key's box may be before the request goes to a less loaded one. */
 const AFFINITY_TOLERANCE = 0.5;
 
 /** Above this number of boxes only a sample is examined, to bound the cost of a choice. */
@@ -36,8 +35,8 @@
 const SAMPLED_BOXES = 16;
 
 /**
- * Prefers this entry's data centre. Within a data centre, picks the affine box unless it is much busier, otherwise the
- * less loaded of two random boxes.
+ * Prefers this entry's data centre. Within a data centre, picks the box that the affinity key selects, unless it is
+ * much busier than the less loaded of two random boxes, which is picked otherwise.
  */
 export function chooseBackend(pool: BackendPool, request: ChoiceRequest, random: Random): Choice | undefined {
   const choice = chooseCandidate(candidatesOf(pool.sameDataCentre, request, random), request, random);
@@ -72,17 +71,17 @@
   const one = candidates[first];
   const two = candidates[(first + 1 + random.integer(candidates.length - 1)) % candidates.length];
   const lessLoaded = utilizationOf(one, request.now) <= utilizationOf(two, request.now) ? one : two;
-  const affine = affineBackend(candidates, request.affinity);
+  const preferred = affinityBackend(candidates, request.affinity);
   if (
-    affine &&
-    utilizationOf(affine, request.now) <= utilizationOf(lessLoaded, request.now) + AFFINITY_TOLERANCE
+    preferred &&
+    utilizationOf(preferred, request.now) <= utilizationOf(lessLoaded, request.now) + AFFINITY_TOLERANCE
   ) {
-    return { backend: affine, reason: 'affinity' };
+    return { backend: preferred, reason: 'affinity' };
   }
   return { backend: lessLoaded, reason: 'less-loaded' };
 }
 
-function affineBackend(candidates: readonly Backend[], affinity: string): Backend | undefined {
+function affinityBackend(candidates: readonly Backend[], affinity: string): Backend | undefined {
   if (affinity === '') return undefined;
   return rendezvousOrder(affinity, candidates, (backend) => backend.box)[0];
 }
--- a/src/serving/gatewayDaemon.ts
+++ b/src/serving/gatewayDaemon.ts
@@ -169,22 +169,22 @@
   /** Leaves the directory, waits for requests in flight, then closes. */
   async stop(): Promise<void> {
     if (this._own.leaving) return;
-    const drained = {
+    const drainingEntry = {
       clock: this._clock,
       drainMilliseconds: this._settings.drainMilliseconds,
       running: () => this._running,
       stopListening: async () => await this._callers.stopListening(),
     };
     this._entries.leave();
-    this._closesAt = drainDeadline(drained);
+    this._closesAt = drainDeadline(drainingEntry);
     this._log.state('gateway.leaving', { running: this._running, connections: this._callers.connections });
     this._links.announceNow();
-    await drainCallers(drained);
+    await drainCallers(drainingEntry);
     this.close();
     this._log.state('gateway.stopped', { running: this._running });
   }
 
-  /** Only logs the request: settings are fixed until a restart, so that no request in flight is interrupted. */
+  /** Only logs that a reload was asked for: settings change with a restart, so no request in flight is interrupted. */
   reload(): void {
     this._log.state('gateway.reload', { applied: 'nothing that holds while the process runs' });
   }
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -1,19 +1,19 @@
-/** Selects the backend servers whose model version allows them to take a request. No state, no I/O. */
+/** Selects the backend servers whose model version allows them to take a request. Pure. */
 import type { ServerRequirements } from './serverRequirements.js';
 import type { TrackedServer } from './trackedServer.js';
 
 /** Properties of a server that its eligibility depends on. */
 export type VersionedServer = Pick<
   TrackedServer,
-  'version' | 'startsPromptly' | 'switching' | 'agentSilent' | 'suspicious' | 'slowLink'
+  'version' | 'startsPromptly' | 'switching' | 'agentSilent' | 'unresponsive' | 'slowLink'
 >;
 
 /**
  * Returns the servers that serve a version on which the request may begin and are not switching versions.
  *
- * A silent server of an older version may be frozen or unreachable, and begin the request only after the deadline
- * of its version; on a slow link the request may be delayed as much. Such a server is used only if there is no
- * other, and not at all close to the deadline, when a delay of unknown length cannot be accepted.
+ * A silent server of an older version may be frozen or unreachable, and begin the request only after the version
+ * deadline; on a slow link the request may be delayed as much. Such a server is used only if there is no other, and
+ * not at all close to the version deadline, when a delay of unknown length cannot be accepted.
  */
 export function eligibleServers<Server extends VersionedServer>(
   servers: readonly Server[],
@@ -34,5 +34,5 @@
 
 function mayBeginTooLate(server: VersionedServer, requirements: ServerRequirements): boolean {
   const isOutdated = server.version(requirements.model) < requirements.newestVersion;
-  return isOutdated && (server.agentSilent || server.suspicious || server.slowLink);
+  return isOutdated && (server.agentSilent || server.unresponsive || server.slowLink);
 }
--- a/src/serving/serverPool.ts
+++ b/src/serving/serverPool.ts
@@ -21,7 +21,7 @@
   clock: Clock;
   random: Random;
   log: EventLog;
-  /** Backpressure signals from the responses of servers. */
+  /** Backpressure signals from the answers of servers. */
   signals: ServerSignals;
   service: (name: string) => ServiceDescription | undefined;
   /** Number of entries that share the connections to each server. */
@@ -72,10 +72,11 @@
 const MAX_SHARERS = 3;
 /** Cost differences below this many prompts are ignored, since another entry may just have sent one. */
 const TIE_PROMPTS = 0.8;
-/** Requests beyond the batch wait for one to end, several times the objective, and delay all later ones. */
+/** A request beyond the batch waits for another to end, for several times its objective, and delays all later ones. */
 const MAX_ENGINE_FILL = 1;
 /**
- * Higher for streams that are handed over or broken off: they were admitted, and handovers block a version switch.
+ * Higher for streams that are handed over, or resumed after a server broke them off: they were admitted already, and
+ * a pending handover delays a version switch.
  */
 const MAX_CONTINUATION_FILL = 1.1;
 
@@ -279,7 +280,7 @@
       outdated:
         requirements.model !== '' && server.version(requirements.model) < requirements.preferredVersion,
       preparing: server.preparing,
-      avoided: health.avoided || server.suspicious || this._missing.has(record.id),
+      avoided: health.avoided || server.unresponsive || this._missing.has(record.id),
       failing: health.failing(load.outstanding),
     };
   }
@@ -287,8 +288,8 @@
   private _cost({ service, isContinuation }: ServerRequirements): ServiceCost {
     const engine = this._options.service(service)?.engine;
     if (!engine) return PLAIN_COST;
-    const reading = engine.usualPromptTokens / (engine.readTokensPerSecond / 1000);
-    const writing = engine.usualAnswerTokens * engine.stepMilliseconds;
+    const reading = engine.meanPromptTokens / (engine.readTokensPerSecond / 1000);
+    const writing = engine.meanAnswerTokens * engine.stepMilliseconds;
     const typicalFirstByteMilliseconds =
       TYPICAL_FIRST_READS * reading + TYPICAL_FIRST_STEPS * engine.stepMilliseconds;
     return {
--- a/src/serving/streamHandover.ts
+++ b/src/serving/streamHandover.ts
@@ -6,7 +6,6 @@
 import type { HeaderNames } from './headerNames.js';
 import type { TrackedServer } from './trackedServer.js';
 
-/** Options of a handover. */
 export interface StreamHandoverOptions {
   server: TrackedServer;
   /** Request for the events after the last one sent to the caller. */
@@ -25,7 +24,7 @@
 
 /**
  * Timeout for the first event of the second server. It is shorter than the margin that entries keep before the
- * bound of an older version.
+ * version deadline.
  */
 export const HANDOVER_TIMEOUT_MILLISECONDS = 600;
 const SUCCESS = 200;
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -8,15 +8,15 @@
 import type { BackendServerRecord } from './backendServerRecord.js';
 import { ServerHealth } from './serverHealth.js';
 
-/** A server with streams to send is suspicious and avoided when it is silent for longer than this. */
-const SUSPICIOUS_SILENCE_MILLISECONDS = 500;
+/** A server that has streams to send and is silent for longer than this is considered unresponsive, and avoided. */
+const UNRESPONSIVE_SILENCE_MILLISECONDS = 500;
 const STATUS_LIFETIME_MILLISECONDS = 2_000;
 /** Maximum time from when an agent observes its server until its status arrives here, on a link that is not slow. */
 const MAX_STATUS_DELAY_MILLISECONDS = 1_500;
 /** Agents send their status at least once per second; the rest is a margin for delays. */
 const AGENT_SILENCE_MILLISECONDS = 1_400;
 /** A longer time to the first byte means that requests wait, on the network or at the server. */
-const PROMPT_RESPONSE_MILLISECONDS = 350;
+const MAX_FIRST_BYTE_MILLISECONDS = 350;
 /**
  * A longer round trip to the box means that requests are delayed on the way. Chunks of a version delay a round trip
  * by 180 ms on a link that is not slow.
@@ -27,7 +27,7 @@
 /** Time in which half of the prompts that were queued at the last report have been read. */
 const PENDING_HALF_LIFE_MILLISECONDS = 120;
 
-/** Smaller than any prompt, in units of a usual prompt; lower values are rounding errors. */
+/** Smaller than any prompt, in units of a mean prompt; lower values are rounding errors. */
 const MIN_PROMPT = 1e-6;
 
 export class TrackedServer {
@@ -37,7 +37,7 @@
   readonly health: ServerHealth;
   readonly load = new BoxLoad();
   readonly connections: BackendConnections;
-  /** Limits and other signals from its responses. */
+  /** Limits and other signals from its answers. */
   readonly backpressure: ServerBackpressure;
   private readonly _clock: Clock;
   private readonly _versions = new Map<string, number>();
@@ -84,7 +84,7 @@
     this.host = hostOf(record.address);
   }
 
-  /** Whether the server is shutting down, by its record or by a response, since the record may be late or lost. */
+  /** Whether the server is shutting down, by its record or by an answer, since the record may be late or lost. */
   get isLeaving(): boolean {
     return this.record.draining || this.backpressure.isLeaving;
   }
@@ -99,20 +99,20 @@
     this.load.report(status.running + status.queued, this._clock.now());
   }
 
-  /** Records that this process sent a request whose prompt has the size of `prompts` usual ones. */
-  noteSent(prompts: number): void {
-    this._ownPendingPrompts += prompts;
+  /** Records that this process sent a request; `promptSize` is in units of a mean prompt. */
+  noteSent(promptSize: number): void {
+    this._ownPendingPrompts += promptSize;
   }
 
   /** Records that a request sent by this process has returned its first event, or was given up. */
-  noteRead(prompts: number): void {
-    this._ownPendingPrompts -= prompts;
+  noteRead(promptSize: number): void {
+    this._ownPendingPrompts -= promptSize;
     // Remove the rounding error that remains after adding and subtracting fractions.
     if (this._ownPendingPrompts < MIN_PROMPT) this._ownPendingPrompts = 0;
   }
 
   /**
-   * Estimated size of the prompts that the server has not read yet, in units of a usual prompt, since one prompt may
+   * Estimated size of the prompts that the server has not read yet, in units of a mean prompt, since one prompt may
    * take sixty times as long as another. Other entries are assumed to have sent as much as this process, since they
    * select servers by the same reports, unless the agent reports more.
    */
@@ -172,11 +172,11 @@
 
   /** Whether a request that is sent now is expected to begin within a few hundred milliseconds. */
   get startsPromptly(): boolean {
-    const isPrompt = this.health.firstByteMilliseconds < PROMPT_RESPONSE_MILLISECONDS;
+    const isFast = this.health.firstByteMilliseconds < MAX_FIRST_BYTE_MILLISECONDS;
     const isFree =
       this.pendingPrompts < MANY_PENDING_PROMPTS && this.load.estimate(this._clock.now()) < this.record.slots;
     const isReachable = !this.agentSilent && !this.slowLink && !this.health.avoided;
-    return isReachable && isPrompt && isFree;
+    return isReachable && isFast && isFree;
   }
 
   /** Records that a stream has begun on the server; {@link TrackedServer.streamEnded} records its end. */
@@ -199,8 +199,8 @@
     return this._streams === 0 ? 0 : this._clock.now() - this._lastDataAt;
   }
 
-  get suspicious(): boolean {
-    return this.silentFor > SUSPICIOUS_SILENCE_MILLISECONDS;
+  get unresponsive(): boolean {
+    return this.silentFor > UNRESPONSIVE_SILENCE_MILLISECONDS;
   }
 
   /** The last status of the agent, unless it is too old to be valid. */
