--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -1,7 +1,7 @@
 /** Faults and planned work that a soak draws from; each is applied from outside the processes. */
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
-import { SICKNESSES } from '../standins/platformRunnerFaults.js';
+import { RUNNER_FAULTS } from '../standins/platformRunnerFaults.js';
 import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
 import type { FaultKind } from './faultKinds.js';
 import { PLANNED_KINDS } from './faultKinds.js';
@@ -196,7 +196,7 @@
   /** What the server asks for in its answers meanwhile goes on. */
   private async _sicken(box: SoakBox, milliseconds: number): Promise<void> {
     const { runner } = box;
-    const sick = this._pick(SICKNESSES);
+    const sick = this._pick(RUNNER_FAULTS);
     runner.faults = { ...runner.faults, ...sick };
     await pause(milliseconds);
     const well = Object.fromEntries(Object.keys(sick).map((fault) => [fault, undefined]));
--- a/standins/platformOriginStandin.ts
+++ b/standins/platformOriginStandin.ts
@@ -12,9 +12,9 @@
   /** Never answers. */
   silent?: boolean;
   /** Share of pieces whose bytes are spoilt. */
-  spoiltShare?: number;
+  corruptShare?: number;
   /** Share of pieces that break off in the middle. */
-  brokenShare?: number;
+  truncatedShare?: number;
 }
 
 /** The link of the origin. */
@@ -95,7 +95,7 @@
 
   private async _sendPiece(version: number, piece: number, response: http.ServerResponse): Promise<void> {
     const bytes = versionChunk(this._shape, version, piece);
-    const { spoiltShare = 0, brokenShare = 0 } = this.faults;
+    const { corruptShare: spoiltShare = 0, truncatedShare: brokenShare = 0 } = this.faults;
     if (this._fraction() < spoiltShare) bytes[0] ^= 1;
     const isBroken = this._fraction() < brokenShare;
     const end = isBroken ? bytes.length >> 1 : bytes.length;
--- a/standins/platformRunnerFaults.ts
+++ b/standins/platformRunnerFaults.ts
@@ -3,13 +3,13 @@
 /** What a runner can be told to do wrong; shares are of requests. */
 export interface PlatformRunnerFaults {
   /** Runs them and resets the connection. */
-  lostShare?: number;
+  resetShare?: number;
   /** Answers them with an error of its own. */
-  failedShare?: number;
+  errorShare?: number;
   /** Breaks their answers off. */
-  brokenShare?: number;
+  truncatedShare?: number;
   /** Sends a second answer after the first. */
-  extraShare?: number;
+  extraAnswerShare?: number;
   /** Never answers anything. */
   silent?: boolean;
   /** Turns everything away. */
@@ -23,16 +23,16 @@
   /** Says in all answers to requests that it leaves. */
   leaving?: boolean;
   /** Loses the answers to orders that it carries out. */
-  lostOrders?: boolean;
+  lostOrderAnswers?: boolean;
 }
 
 /** Ways in which a runner is ill, one at a time. */
-export const SICKNESSES: readonly PlatformRunnerFaults[] = [
-  { lostShare: 0.2 },
-  { failedShare: 0.4 },
-  { brokenShare: 0.3 },
-  { extraShare: 0.3 },
+export const RUNNER_FAULTS: readonly PlatformRunnerFaults[] = [
+  { resetShare: 0.2 },
+  { errorShare: 0.4 },
+  { truncatedShare: 0.3 },
+  { extraAnswerShare: 0.3 },
   { silent: true },
   { shedding: true },
-  { lostOrders: true },
+  { lostOrderAnswers: true },
 ];
--- a/standins/platformRunnerStandin.ts
+++ b/standins/platformRunnerStandin.ts
@@ -155,7 +155,7 @@
     this._sequence++;
     this._starting = true;
     void this._start(weights, order.version);
-    if (this.faults.lostOrders) response.destroy();
+    if (this.faults.lostOrderAnswers) response.destroy();
     else sendJsonAnswer(response, 202, {});
   }
 
@@ -241,7 +241,12 @@
     url: URL,
     drawn: number,
   ): Promise<void> {
-    const { lostShare = 0, failedShare = 0, brokenShare = 0, extraShare = 0 } = this.faults;
+    const {
+      resetShare: lostShare = 0,
+      errorShare: failedShare = 0,
+      truncatedShare: brokenShare = 0,
+      extraAnswerShare: extraShare = 0,
+    } = this.faults;
     const own = { 'x-attempt-id': id, 'x-server-seal': sealOf(id) };
     const headers: http.OutgoingHttpHeaders = { ...own, ...this._speak(id, false) };
     if (this._options.weights) headers['x-weight-versions'] = String(this._version);
--- a/standins/platformStoreStandin.ts
+++ b/standins/platformStoreStandin.ts
@@ -11,7 +11,7 @@
   /** Never answers. */
   silent?: boolean;
   /** Answers with something that is no JSON. */
-  garbled?: boolean;
+  invalidJson?: boolean;
   /** Answers no write: it does every second one at once, and the others after this time if their conditions still hold. */
   lateWritesMilliseconds?: number;
 }
@@ -103,7 +103,7 @@
     this._tellEra(response);
     if (this.faults.silent) return;
     if (this.faults.status) return sendJsonAnswer(response, this.faults.status, {});
-    if (this.faults.garbled) return void response.writeHead(200).end('<html>');
+    if (this.faults.invalidJson) return void response.writeHead(200).end('<html>');
     if (this.answer !== undefined) return sendJsonAnswer(response, 200, this.answer);
     if (method !== 'GET') return this._takeWrite(request);
     const kind = LIST.exec(url.pathname)?.[1] ?? '';
--- a/tests/platformRunner.spec.ts
+++ b/tests/platformRunner.spec.ts
@@ -95,7 +95,7 @@
 
 test('should not know what came of an order whose answer is lost', async () => {
   await stageAll(2);
-  standin.faults = { lostOrders: true };
+  standin.faults = { lostOrderAnswers: true };
   expect(await runner.startVersion(SHAPE.model, 2, 0)).toEqual('unknown');
   await until(() => standin.version === 2);
 });
@@ -140,12 +140,12 @@
 }
 
 test('should hand spoilt bytes on, for the digest to tell', async () => {
-  originStandin.faults = { spoiltShare: 1 };
+  originStandin.faults = { corruptShare: 1 };
   const manifest = await origin.manifest('', SHAPE.model, '3');
   expect(sha256Hex(await readPiece(3, 0)) === manifest.chunks[0].digest).toEqual(false);
 });
 
 test('should fail when a piece breaks off', async () => {
-  originStandin.faults = { brokenShare: 1 };
+  originStandin.faults = { truncatedShare: 1 };
   await expect(readPiece(3, 0)).toBeRejected();
 });
