--- a/soak/fleetOptions.ts
+++ b/soak/fleetOptions.ts
@@ -1,7 +1,7 @@
 /** What a fleet of a soak is made from, and who hears what its servers see. */
 import type { Random } from '../src/utils/random.js';
 import type { OriginLink } from '../standins/platformOriginStandin.js';
-import type { Arrival, SpokenSignals } from '../standins/platformRunnerSignals.js';
+import type { Arrival, SentSignals } from '../standins/platformRunnerSignals.js';
 import type { Execution } from '../standins/platformRunnerOptions.js';
 import type { WeightsShape } from '../standins/weightsFixture.js';
 import type { ProcessRole } from './fleetProcess.js';
@@ -41,7 +41,7 @@
   /** A request has reached a server, whether it runs or not. */
   onArrival(arrival: Arrival): void;
   /** A server has said something of itself in an answer. */
-  onSpoken(spoken: SpokenSignals): void;
+  onSpoken(spoken: SentSignals): void;
   onUnwhole(runner: string, version: number): void;
   /** The request with this body has ended a server. */
   onCrash(body: string): void;
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -1,6 +1,6 @@
 /** Checks what callers and backend servers have seen against the promises of docs/PROMISES.md. */
 import type { Execution } from '../standins/platformRunnerOptions.js';
-import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
+import { CRASH_BODY } from '../standins/platformRunnerStandin.js';
 import type { Call } from './callerLog.js';
 import type { SignalChecks } from './signalChecks.js';
 
@@ -122,7 +122,7 @@
     this._checkOnce(execution.id);
     this._checkVersion(execution);
     this._checkLeaving(execution);
-    if (execution.body.startsWith(ENDING_BODY)) this._checkCrashing(execution);
+    if (execution.body.startsWith(CRASH_BODY)) this._checkCrashing(execution);
   }
 
   /** A server has ended under the request with this body. */
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -1,5 +1,5 @@
 /** Checks that the entries together heed what servers say of themselves in their answers: limits, leaves and Retry-After. */
-import type { Arrival, SpokenSignals } from '../standins/platformRunnerSignals.js';
+import type { Arrival, SentSignals } from '../standins/platformRunnerSignals.js';
 import type { BreachListener } from './promiseChecks.js';
 
 /** What the checks need of callers and faults; times in wall clock milliseconds. */
@@ -35,7 +35,7 @@
 export class SignalChecks {
   private readonly _arrivals = new Map<string, Arrival[]>();
   private readonly _leaves = new Map<string, number>();
-  private readonly _rejections: SpokenSignals[] = [];
+  private readonly _rejections: SentSignals[] = [];
   private readonly _limits: LimitTime[] = [];
 
   onArrival(arrival: Arrival): void {
@@ -45,7 +45,7 @@
   }
 
   /** A server has said something of itself in an answer. */
-  onSpoken(spoken: SpokenSignals): void {
+  onSpoken(spoken: SentSignals): void {
     const { runner, at, leaving, retryAfterMilliseconds } = spoken;
     if (leaving && !this._leaves.has(runner)) this._leaves.set(runner, at);
     if (retryAfterMilliseconds > 0) this._rejections.push(spoken);
@@ -106,7 +106,7 @@
   }
 
   private _checkRetryAfter(
-    { runner, id, at, retryAfterMilliseconds }: SpokenSignals,
+    { runner, id, at, retryAfterMilliseconds }: SentSignals,
     context: SignalContext,
     breach: BreachListener,
   ): void {
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -2,7 +2,7 @@
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import { RUNNER_FAULTS } from '../standins/platformRunnerFaults.js';
-import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
+import { CRASH_BODY } from '../standins/platformRunnerStandin.js';
 import type { FaultKind } from './faultKinds.js';
 import { PLANNED_KINDS } from './faultKinds.js';
 import type { FleetProcess } from './fleetProcess.js';
@@ -273,7 +273,7 @@
   /** Callers come again and again with a request that ends each server which runs it, to any entry. */
   private async _sendCrashing(): Promise<void> {
     const round = this._crashing++;
-    const body = `${ENDING_BODY} ${round}"}`;
+    const body = `${CRASH_BODY} ${round}"}`;
     for (let sent = 0; sent < CRASHING_SENDS; sent++) {
       const id = `crashing-${round}-${sent}`;
       this._checks.onAsked(id);
@@ -287,7 +287,7 @@
     this._checks.onNamed(this._fleet.nameWeights());
     for (let rotten = 0; rotten < milliseconds; rotten += ROT_MILLISECONDS) {
       for (const piece of box.runner.staged.keys()) {
-        if (this._random.fraction() < ROT_SHARE) box.runner.spoil(piece);
+        if (this._random.fraction() < ROT_SHARE) box.runner.corrupt(piece);
       }
       await pause(ROT_MILLISECONDS);
     }
--- a/soak/soakFleet.ts
+++ b/soak/soakFleet.ts
@@ -240,9 +240,9 @@
       version: service === MODEL_SERVICE ? version : 0,
       onExecution: (execution) => this._options.listener.onExecution(execution),
       onArrival: (arrival) => this._options.listener.onArrival(arrival),
-      onSpoken: (spoken) => this._options.listener.onSpoken(spoken),
+      onSignals: (spoken) => this._options.listener.onSpoken(spoken),
       onCrash: (runner, body) => void this._onCrash(runner, body),
-      onUnwhole: (runner, unwhole) => this._options.listener.onUnwhole(runner, unwhole),
+      onIncompleteVersion: (runner, unwhole) => this._options.listener.onUnwhole(runner, unwhole),
       fraction: () => this._options.random.fraction(),
       callMilliseconds: CALL_MILLISECONDS,
     });
--- a/standins/platformRunnerOptions.ts
+++ b/standins/platformRunnerOptions.ts
@@ -1,5 +1,5 @@
 /** How a runner of the platform's stand-in is made, and what hears of what it sees. */
-import type { Arrival, SpokenSignals } from './platformRunnerSignals.js';
+import type { Arrival, SentSignals } from './platformRunnerSignals.js';
 import type { PlatformRunnerStandin } from './platformRunnerStandin.js';
 import type { WeightsShape } from './weightsFixture.js';
 
@@ -31,11 +31,11 @@
   /** Hears of every request that arrives. */
   onArrival?: (arrival: Arrival) => void;
   /** Hears of every answer in which it says something of itself. */
-  onSpoken?: (spoken: SpokenSignals) => void;
+  onSignals?: (spoken: SentSignals) => void;
   /** Hears that a request ends the process, which is to be closed at once. */
   onCrash?: (runner: PlatformRunnerStandin, body: string) => void;
   /** Hears of a version that was taken though it was not whole. */
-  onUnwhole: (runner: string, version: number) => void;
+  onIncompleteVersion: (runner: string, version: number) => void;
   /** Draws from 0 up to 1. */
   fraction: () => number;
   /** Longest time of a call about pieces or an order; each takes a part of it, drawn by the runner's id. At once when absent. */
--- a/standins/platformRunnerSignals.ts
+++ b/standins/platformRunnerSignals.ts
@@ -11,7 +11,7 @@
 }
 
 /** What an answer says; `at` is when it was given. */
-export interface SpokenSignals extends Arrival {
+export interface SentSignals extends Arrival {
   limitPerSecond: number | undefined;
   leaving: boolean;
   retryAfterMilliseconds: number;
@@ -20,22 +20,22 @@
 const MILLISECONDS = 1_000;
 
 /** What a runner with these faults says in an answer that turns the request away or not. */
-export function spokenSignals(
+export function sentSignals(
   faults: PlatformRunnerFaults,
   answered: Omit<Arrival, 'at'>,
   turnsAway: boolean,
-): SpokenSignals {
+): SentSignals {
   const { limitPerSecond, leaving = false, retryAfterSeconds = 0 } = faults;
   const retryAfterMilliseconds = turnsAway ? retryAfterSeconds * MILLISECONDS : 0;
   return { ...answered, at: Date.now(), limitPerSecond, leaving, retryAfterMilliseconds };
 }
 
 /** Whether an answer says anything. */
-export function saysAnything({ limitPerSecond, leaving, retryAfterMilliseconds }: SpokenSignals): boolean {
+export function hasSignals({ limitPerSecond, leaving, retryAfterMilliseconds }: SentSignals): boolean {
   return limitPerSecond !== undefined || leaving || retryAfterMilliseconds > 0;
 }
 
-export function signalHeaders(spoken: SpokenSignals): http.OutgoingHttpHeaders {
+export function signalHeaders(spoken: SentSignals): http.OutgoingHttpHeaders {
   const headers: http.OutgoingHttpHeaders = {};
   if (spoken.limitPerSecond !== undefined) headers['server-limit'] = String(spoken.limitPerSecond);
   if (spoken.leaving) headers['server-leaving'] = '1';
--- a/standins/platformRunnerStandin.ts
+++ b/standins/platformRunnerStandin.ts
@@ -6,14 +6,14 @@
 import { pause } from '../src/utils/timers.js';
 import type { PlatformRunnerFaults } from './platformRunnerFaults.js';
 import type { PlatformRunnerOptions } from './platformRunnerOptions.js';
-import { saysAnything, signalHeaders, spokenSignals } from './platformRunnerSignals.js';
+import { hasSignals, signalHeaders, sentSignals } from './platformRunnerSignals.js';
 import { STREAM_EVENTS, eventText, sealOf } from './platformAnswers.js';
 import { sendJsonAnswer } from './standinServer.js';
 import type { WeightsShape } from './weightsFixture.js';
 import { versionDigests } from './weightsFixture.js';
 
 /** A request whose body begins so ends each runner that runs it. */
-export const ENDING_BODY = '{"prompt":"ends its runner';
+export const CRASH_BODY = '{"prompt":"ends its runner';
 /** How long the runner works on it before. */
 const ENDING_MILLISECONDS = 70;
 /** Requests that wait beyond the slots. */
@@ -75,7 +75,7 @@
   }
 
   /** Lets a staged piece turn bad. */
-  spoil(piece: number): void {
+  corrupt(piece: number): void {
     const bytes = this.staged.get(piece);
     if (!bytes) return;
     bytes[0] ^= 1;
@@ -169,7 +169,7 @@
       const isExcused = now - (this._spoiltAt.get(piece) ?? Number.NEGATIVE_INFINITY) < EXCUSED_MILLISECONDS;
       return bytes !== undefined && (isExcused || sha256Hex(bytes) === digest);
     });
-    if (!whole) this._options.onUnwhole(this.id, version);
+    if (!whole) this._options.onIncompleteVersion(this.id, version);
     while (this._active > 0) await pause(EVENT_MILLISECONDS);
     await pause(WARM_MILLISECONDS);
     this._version = version;
@@ -196,7 +196,7 @@
     const execution = { id, runner: this.id, service, customer, path: url.pathname, body, version };
     onExecution({ ...execution, at: Date.now() });
     try {
-      if (body.startsWith(ENDING_BODY)) return await this._crash(body);
+      if (body.startsWith(CRASH_BODY)) return await this._crash(body);
       await this._answer(request, response, id, url, fraction());
     } finally {
       this._active--;
@@ -229,8 +229,8 @@
 
   /** The headers of what it says of itself in the answer to a request. */
   private _speak(id: string, turnsAway: boolean): http.OutgoingHttpHeaders {
-    const spoken = spokenSignals(this.faults, { id, runner: this.id }, turnsAway);
-    if (saysAnything(spoken)) this._options.onSpoken?.(spoken);
+    const spoken = sentSignals(this.faults, { id, runner: this.id }, turnsAway);
+    if (hasSignals(spoken)) this._options.onSignals?.(spoken);
     return signalHeaders(spoken);
   }
 
--- a/tests/platformRunner.spec.ts
+++ b/tests/platformRunner.spec.ts
@@ -28,7 +28,7 @@
     weights: SHAPE,
     version: 1,
     onExecution: () => undefined,
-    onUnwhole: (_runner, version) => unwhole.push(version),
+    onIncompleteVersion: (_runner, version) => unwhole.push(version),
     fraction: () => 0,
   });
   const port = await freePort();
--- a/tests/signalChecks.spec.ts
+++ b/tests/signalChecks.spec.ts
@@ -3,12 +3,12 @@
 import { expect } from 'earl';
 import { SignalChecks } from '../soak/signalChecks.js';
 import type { SignalContext } from '../soak/signalChecks.js';
-import type { SpokenSignals } from '../standins/platformRunnerSignals.js';
+import type { SentSignals } from '../standins/platformRunnerSignals.js';
 
 const RUNNER = 'i-1';
 const NAMED_AT = 1_000;
 
-function spoken(changes: Partial<SpokenSignals>): SpokenSignals {
+function spoken(changes: Partial<SentSignals>): SentSignals {
   const silent = { limitPerSecond: undefined, leaving: false, retryAfterMilliseconds: 0 };
   return { id: 'first', runner: RUNNER, at: NAMED_AT, ...silent, ...changes };
 }
@@ -26,7 +26,7 @@
 
 /** Promises that are broken when requests arrive at these times by these entries. */
 function broken(
-  said: SpokenSignals,
+  said: SentSignals,
   arrivals: readonly (readonly [string, number])[],
   changes: Partial<SignalContext> = {},
 ): string[] {
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -6,7 +6,7 @@
 import type { FaultKind } from '../soak/faultKinds.js';
 import { FAULT_KINDS } from '../soak/faultKinds.js';
 import type { Execution } from '../standins/platformRunnerOptions.js';
-import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
+import { CRASH_BODY } from '../standins/platformRunnerStandin.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
 /** What the seed draws from is a part of it. */
@@ -148,7 +148,7 @@
 });
 
 test('should find a request that goes on ending servers, but not its runs until all know of it', () => {
-  const body = `${ENDING_BODY} 1"}`;
+  const body = `${CRASH_BODY} 1"}`;
   const breachesAfter = (runs: number, harmed = false): string[] => {
     const found = checks();
     for (let crash = 0; crash < 3; crash++) found.onCrash(body);
