--- a/bench/rolloutFaults.ts
+++ b/bench/rolloutFaults.ts
@@ -21,7 +21,7 @@
   const coordinator = await coordinatorOf(fleet, 'studio', 'advisor');
   await fleet.box(coordinator).child.end('SIGKILL');
   await pause(BOX_LIST_LAG_MILLISECONDS);
-  await Promise.all([...killed, coordinator].map((box) => fleet.unlist(box)));
+  await Promise.all([...killed, coordinator].map((box) => fleet.removeFromBoxList(box)));
   await pause(FROZEN_MILLISECONDS - BOX_LIST_LAG_MILLISECONDS);
   frozen.signal('SIGCONT');
   return killed;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -116,7 +116,7 @@
   console.log(`killing the agent of ${victim}`);
   await fleet.box(victim).child.end('SIGKILL');
   await pause(1_000);
-  await fleet.unlist(victim);
+  await fleet.removeFromBoxList(victim);
 }
 
 async function watchRollout(fleet: LocalFleet, customer: string, version: string): Promise<void> {
@@ -180,7 +180,7 @@
     plainBoxesPerDataCentre: 1,
     originBytesPerSecond: ORIGIN_BYTES_PER_SECOND,
     boxBytesPerSecond: BOX_BYTES_PER_SECOND,
-    damagingBoxes: withFaults ? [`${DATA_CENTRES[1]}-model-3`] : [],
+    corruptingBoxes: withFaults ? [`${DATA_CENTRES[1]}-model-3`] : [],
   });
   try {
     await prepare(fleet);
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -116,7 +116,7 @@
 
   private async _harm(kind: FaultKind, milliseconds: number): Promise<void> {
     const { store, origin, boxes, storeProxies } = this._fleet;
-    if (kind === 'forget-history') return store.forgetHistory();
+    if (kind === 'forget-history') return store.dropHistory();
     if (kind === 'replace-server') return await this._replace(this._pick(this._boxesOf(MODEL_SERVICE)));
     if (kind === 'crash-server') return await this._crash(this._pick(boxes), milliseconds);
     if (kind === 'restart-server') return await this._restart(this._pick(boxes));
--- a/standins/childProcess.ts
+++ b/standins/childProcess.ts
@@ -7,7 +7,7 @@
 export interface ChildOptions {
   /** Compiled script, relative to dist/. */
   script: string;
-  words: string[];
+  args: string[];
   environment?: Record<string, string>;
 }
 
@@ -31,7 +31,7 @@
   }
 
   /** Starts a child and waits until it listens. */
-  static async start({ script, words, environment }: ChildOptions): Promise<Child> {
+  static async start({ script, args: words, environment }: ChildOptions): Promise<Child> {
     const child = spawn(process.execPath, [`${root}${script}`, ...words], {
       stdio: ['ignore', 'pipe', 'inherit', 'ipc'],
       env: { ...process.env, ...environment },
--- a/standins/fleetSettings.ts
+++ b/standins/fleetSettings.ts
@@ -15,7 +15,7 @@
   agentSettings?: Record<string, string>;
   engine?: Record<string, unknown>;
   /** Boxes whose agent damages chunks that it sends. */
-  damagingBoxes?: readonly string[];
+  corruptingBoxes?: readonly string[];
 }
 
 const SHARED_KEY = 'shared-key-for-loopback';
@@ -32,11 +32,11 @@
 }
 
 /** Turns settings into variables of larklatch. */
-export function prefixed(settings: Record<string, string> = {}): Record<string, string> {
+export function withPrefix(settings: Record<string, string> = {}): Record<string, string> {
   return Object.fromEntries(Object.entries(settings).map(([name, value]) => [`LARKLATCH_${name}`, value]));
 }
 
 /** The numbers from 1 to `count`. */
-export function numbered(count: number): number[] {
+export function numbersUpTo(count: number): number[] {
   return Array.from({ length: count }, (_unused, index) => index + 1);
 }
--- a/standins/localFleet.ts
+++ b/standins/localFleet.ts
@@ -8,7 +8,7 @@
 import { pause } from '../src/utils/timers.js';
 import { Child } from './childProcess.js';
 import type { FleetOptions } from './fleetSettings.js';
-import { commonSettings, numbered, prefixed } from './fleetSettings.js';
+import { commonSettings, numbersUpTo, withPrefix } from './fleetSettings.js';
 import type { VersionRecipe } from './originStandin.js';
 
 /** A box of the fleet. */
@@ -83,7 +83,7 @@
   }
 
   /** Sends an operator's request to an entry. */
-  async operate(
+  async sendOperatorRequest(
     method: 'GET' | 'PUT' | 'DELETE',
     path: string,
     body?: unknown,
@@ -97,10 +97,10 @@
   /** Sends an operator's request and throws unless it is accepted. */
   async publish(path: string, body: unknown): Promise<void> {
     const changeId = randomUUID();
-    let answer = await this.operate('PUT', path, body, undefined, changeId);
+    let answer = await this.sendOperatorRequest('PUT', path, body, undefined, changeId);
     for (let attempt = 0; answer.status === 503 && attempt < PUBLISH_TRIES; attempt++) {
       await pause(PUBLISH_PAUSE_MILLISECONDS);
-      answer = await this.operate('PUT', path, body, undefined, changeId);
+      answer = await this.sendOperatorRequest('PUT', path, body, undefined, changeId);
     }
     if (answer.status !== 200) throw new Error(`${path}: ${answer.status} ${JSON.stringify(answer.body)}`);
   }
@@ -129,7 +129,12 @@
   }
 
   async rollout(customer: string, configuration: string, entry = this.entries()[0]): Promise<RolloutStatus> {
-    const answer = await this.operate('GET', `/v1/rollouts/${customer}/${configuration}`, undefined, entry);
+    const answer = await this.sendOperatorRequest(
+      'GET',
+      `/v1/rollouts/${customer}/${configuration}`,
+      undefined,
+      entry,
+    );
     return answer.body as RolloutStatus;
   }
 
@@ -170,14 +175,14 @@
   }
 
   /** Changes a box's state in the box list; its process is not told. */
-  async listAs(name: string, state: Box['state']): Promise<void> {
+  async setBoxState(name: string, state: Box['state']): Promise<void> {
     const { boxes } = await this.read<{ boxes: Box[] }>(`${this.boxListUrl}/boxes`);
     const box = boxes.find((each) => each.box === name);
     await this._send('PUT', `${this.boxListUrl}/boxes/${name}`, { ...box, state });
   }
 
   /** Takes a box off the box list. */
-  async unlist(name: string): Promise<void> {
+  async removeFromBoxList(name: string): Promise<void> {
     await this._send('DELETE', `${this.boxListUrl}/boxes/${name}`);
   }
 
@@ -209,7 +214,7 @@
   }
 
   private async _standin(kind: string, options: object): Promise<string[]> {
-    const child = await Child.start({ script: 'standins/main.js', words: [kind, JSON.stringify(options)] });
+    const child = await Child.start({ script: 'standins/main.js', args: [kind, JSON.stringify(options)] });
     this._standins.push(child);
     return child.ready['urls'] as string[];
   }
@@ -219,7 +224,7 @@
     const { engine } = this._options;
     const engines = modelBoxes > 0 ? await this._standin('engine', { ...engine, count: modelBoxes }) : [];
     const plain = plainBoxes > 0 ? await this._standin('plain', { count: plainBoxes }) : [];
-    const entries = numbered(this._options.entriesPerDataCentre).map((index) =>
+    const entries = numbersUpTo(this._options.entriesPerDataCentre).map((index) =>
       this._startEntry(`${dataCentre}-entry-${index}`, dataCentre),
     );
     const models = engines.map((url, index) =>
@@ -234,7 +239,7 @@
   private async _startEntry(name: string, dataCentre: string): Promise<FleetBox> {
     const child = await Child.start({
       script: 'src/cli/main.js',
-      words: ['entry'],
+      args: ['entry'],
       environment: {
         ...commonSettings(name, dataCentre, this.originUrl),
         LARKLATCH_OBJECT_API_URL: this.objectApiUrl,
@@ -242,23 +247,23 @@
         LARKLATCH_OPERATOR_KEY: OPERATOR_KEY,
         LARKLATCH_LEASE_MILLISECONDS: '3000',
         LARKLATCH_BOX_LIST_MILLISECONDS: '200',
-        ...prefixed(this._options.entrySettings),
+        ...withPrefix(this._options.entrySettings),
       },
     });
     return await this._list(name, dataCentre, 'entry', child, '');
   }
 
   private async _startAgent(name: string, dataCentre: string, backendUrl: string): Promise<FleetBox> {
-    const damaging = this._options.damagingBoxes?.includes(name) ?? false;
+    const damaging = this._options.corruptingBoxes?.includes(name) ?? false;
     const child = await Child.start({
       script: damaging ? 'standins/faultyAgent.js' : 'src/cli/main.js',
-      words: damaging ? [] : ['agent'],
+      args: damaging ? [] : ['agent'],
       environment: {
         ...commonSettings(name, dataCentre, this.originUrl),
         LARKLATCH_BACKEND_URL: backendUrl,
         LARKLATCH_BACKEND_KIND: name.includes('-plain-') ? 'plain' : 'model',
         LARKLATCH_WEIGHT_BYTES_PER_SECOND: String(Math.round(this._options.boxBytesPerSecond ?? 0)),
-        ...prefixed(this._options.agentSettings),
+        ...withPrefix(this._options.agentSettings),
       },
     });
     return await this._list(name, dataCentre, 'agent', child, backendUrl);
--- a/standins/platformStoreStandin.ts
+++ b/standins/platformStoreStandin.ts
@@ -86,12 +86,12 @@
   }
 
   /** Watches that wait now are never answered, as after a cut that lost their answers. */
-  deafenWatches(): void {
+  abandonWatches(): void {
     this._watchers.clear();
   }
 
   /** Forgets what changed so far, so that older watches are answered with 410. */
-  forgetHistory(): void {
+  dropHistory(): void {
     this._forgottenUpTo = this._revision;
   }
 
@@ -129,7 +129,7 @@
     const { metadata, spec } = writtenSchema.parse(body ?? {});
     const [, kind, named] = OBJECT.exec(url.pathname) ?? LIST.exec(url.pathname) ?? [];
     const name = named ?? metadata.name;
-    const known = this.held(kind, name);
+    const known = this.get(kind, name);
     if (method === 'POST') {
       if (known) return answer(response, 409, toWire(known));
     } else {
@@ -149,7 +149,7 @@
   }
 
   /** An object as it is held now. */
-  held(kind: string, name: string): HeldObject | undefined {
+  get(kind: string, name: string): HeldObject | undefined {
     return this._objects.find((object) => object.kind === kind && object.name === name && !object.gone);
   }
 
--- a/tests/fleetRequests.spec.ts
+++ b/tests/fleetRequests.spec.ts
@@ -87,7 +87,7 @@
   const duringStop = Array.from({ length: 24 }, () => randomUUID());
   for (const key of duringStop) expect((await notice(fleet, key)).status).toEqual(200);
   expect(await ended).toEqual(0);
-  await fleet.unlist(leaving);
+  await fleet.removeFromBoxList(leaving);
   const later = Array.from({ length: 24 }, () => randomUUID());
   for (const key of later) expect((await notice(fleet, key)).status).toEqual(200);
   for (const key of keys) {
@@ -223,11 +223,11 @@
   const { fleet } = context;
   const box = fleet.modelBoxes()[1];
   const load = keepAsking([0, 1]);
-  await fleet.listAs(box, 'leaving');
+  await fleet.setBoxState(box, 'leaving');
   await fleet.until('the box gets no more work', async () => (await runsWhileOthersWork(box)) === 0);
   expect(await runsWhileOthersWork(box)).toEqual(0);
   expect(await load.stop()).toEqual([]);
-  await fleet.listAs(box, 'live');
+  await fleet.setBoxState(box, 'live');
 });
 
 test('should cut nothing when an entry is stopped as planned', async () => {
--- a/tests/fleetRollout.spec.ts
+++ b/tests/fleetRollout.spec.ts
@@ -107,7 +107,12 @@
   const { blobDigest } = await fleet.publishVersion(recipe);
   const body = { template: 'chat', parameters: { version, boxes: fleet.modelBoxes() } };
   await fleet.until('the change is accepted', async () => {
-    const answer = await fleet.operate('PUT', '/v1/configurations/korrigan/judge', body, fleet.box(entry));
+    const answer = await fleet.sendOperatorRequest(
+      'PUT',
+      '/v1/configurations/korrigan/judge',
+      body,
+      fleet.box(entry),
+    );
     return answer.status === 200;
   });
   return blobDigest;
@@ -144,7 +149,7 @@
   await untilUnderWay('v10');
   const victim = fleet.modelBoxes()[1];
   await fleet.box(victim).child.end('SIGKILL');
-  await fleet.unlist(victim);
+  await fleet.removeFromBoxList(victim);
   await fleet.untilComplete('korrigan', 'judge', 'v10');
   await expectServed('v10', digest);
   await fleet.restart(victim);
@@ -163,7 +168,7 @@
 
 test('should take a withdrawn configuration off every box', async () => {
   const { fleet } = context;
-  const answer = await fleet.operate('DELETE', '/v1/configurations/korrigan/judge');
+  const answer = await fleet.sendOperatorRequest('DELETE', '/v1/configurations/korrigan/judge');
   expect(answer.status).toEqual(200);
   await fleet.until(
     'withdrawn',
--- a/tests/platformStore.spec.ts
+++ b/tests/platformStore.spec.ts
@@ -87,7 +87,7 @@
 
 test('should report that history was lost', async () => {
   standin.put('servers', 'a', 1);
-  standin.forgetHistory();
+  standin.dropHistory();
   expect(await store.watch('servers', 0, 1_000, NEVER)).toEqual({ kind: 'history-lost' });
 });
 
@@ -137,7 +137,7 @@
   standin.put('config', 'main', 1);
   await until(() => !follower.reachable);
   standin.remove('servers', 'a');
-  standin.forgetHistory();
+  standin.dropHistory();
   expect(replica.objects.size).toEqual(2);
   standin.faults = {};
   await until(() => follower.reachable);
@@ -159,7 +159,7 @@
   const started = readerOf(follower);
   started.start();
   await until(() => standin.calls.some((call) => call.includes('watch=')));
-  standin.deafenWatches();
+  standin.abandonWatches();
   standin.put('servers', 'b', 2);
   standin.faults = { silent: true };
   await until(() => started.confirmedAt === Number.NEGATIVE_INFINITY);
@@ -190,7 +190,7 @@
   await until(() => replica.objects.size === 1);
   started.stop();
   standin.remove('servers', 'a');
-  standin.forgetHistory();
+  standin.dropHistory();
   started.start();
   await until(() => replica.objects.size === 0);
 });
@@ -287,9 +287,9 @@
   const object = { kind: 'own', name: 'a' };
   expect(await store.put({ ...object, revision: 0 }, { x: 1 })).toEqual({ kind: 'done', revision: 1 });
   expect(await store.put({ ...object, revision: 1 }, { x: 2 })).toEqual({ kind: 'done', revision: 2 });
-  expect(standin.held('own', 'a')?.spec).toEqual({ x: 2 });
+  expect(standin.get('own', 'a')?.spec).toEqual({ x: 2 });
   expect(await store.remove({ ...object, revision: 2 })).toEqual({ kind: 'done', revision: 3 });
-  expect(standin.held('own', 'a')).toEqual(undefined);
+  expect(standin.get('own', 'a')).toEqual(undefined);
 });
 
 test('should return the current object when another client has written it', async () => {
--- a/tests/storeGeneration.spec.ts
+++ b/tests/storeGeneration.spec.ts
@@ -101,5 +101,5 @@
   const known = { kind: 'servers', name: 'a', revision: objects[0].revision };
   await expect(store.put(known, 2)).toBeRejectedWith('former generation');
   await expect(store.remove(known)).toBeRejectedWith('former generation');
-  expect(standin.held('servers', 'a')?.spec).toEqual(1);
+  expect(standin.get('servers', 'a')?.spec).toEqual(1);
 });
