--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -294,7 +294,7 @@
   }
 
   private _originFaults(): SoakFleet['origin']['faults'] {
-    return this._pick([{ status: 503 }, { silent: true }, { spoiltShare: 0.3 }, { brokenShare: 0.3 }]);
+    return this._pick([{ status: 503 }, { silent: true }, { corruptShare: 0.3 }, { truncatedShare: 0.3 }]);
   }
 
   private _boxesOf(service: typeof MODEL_SERVICE | typeof PLAIN_SERVICE): SoakBox[] {
--- a/tests/platformStore.spec.ts
+++ b/tests/platformStore.spec.ts
@@ -94,7 +94,7 @@
 for (const [what, faults] of [
   ['a store that is busy', { status: 503 }],
   ['a store that limits calls', { status: 429 }],
-  ['an answer that is not JSON', { garbled: true }],
+  ['an answer that is not JSON', { invalidJson: true }],
 ] as const) {
   test(`should fail with the name of the step on ${what}`, async () => {
     standin.faults = { ...faults };
