--- a/bench/controlBench.ts
+++ b/bench/controlBench.ts
@@ -76,7 +76,7 @@
     await fleet.until(
       'all complete',
       async () => {
-        const { rollouts } = (await fleet.sendOperatorRequest('GET', '/v1/rollouts')).body as {
+        const { rollouts } = (await fleet.sendAsOperator('GET', '/v1/rollouts')).body as {
           rollouts: { phase: string }[];
         };
         return (
--- a/bench/requestBench.ts
+++ b/bench/requestBench.ts
@@ -76,13 +76,13 @@
   for (let change = 0; change < CHANGES; change++) {
     const path = '/v1/customers/changing';
     const start = performance.now();
-    const answer = await fleet.sendOperatorRequest('PUT', path, {
+    const answer = await fleet.sendAsOperator('PUT', path, {
       keyDigests: [String(change % 10).repeat(64)],
     });
     const { revision } = answer.body as { revision: number };
     await fleet.until('in force everywhere', async () => {
       const answers = await Promise.all(
-        fleet.entries().map((entry) => fleet.sendOperatorRequest('GET', path, undefined, entry)),
+        fleet.entries().map((entry) => fleet.sendAsOperator('GET', path, undefined, entry)),
       );
       return answers.every((each) => each.headers['etag'] === `"${revision}"`);
     });
--- a/standins/localFleet.ts
+++ b/standins/localFleet.ts
@@ -83,7 +83,7 @@
   }
 
   /** Sends an operator's request to an entry. */
-  async sendOperatorRequest(
+  async sendAsOperator(
     method: 'GET' | 'PUT' | 'DELETE',
     path: string,
     body?: unknown,
@@ -97,10 +97,10 @@
   /** Sends an operator's request and throws unless it is accepted. */
   async publish(path: string, body: unknown): Promise<void> {
     const changeId = randomUUID();
-    let answer = await this.sendOperatorRequest('PUT', path, body, undefined, changeId);
+    let answer = await this.sendAsOperator('PUT', path, body, undefined, changeId);
     for (let attempt = 0; answer.status === 503 && attempt < PUBLISH_TRIES; attempt++) {
       await pause(PUBLISH_PAUSE_MILLISECONDS);
-      answer = await this.sendOperatorRequest('PUT', path, body, undefined, changeId);
+      answer = await this.sendAsOperator('PUT', path, body, undefined, changeId);
     }
     if (answer.status !== 200) throw new Error(`${path}: ${answer.status} ${JSON.stringify(answer.body)}`);
   }
@@ -129,7 +129,7 @@
   }
 
   async rollout(customer: string, configuration: string, entry = this.entries()[0]): Promise<RolloutStatus> {
-    const answer = await this.sendOperatorRequest(
+    const answer = await this.sendAsOperator(
       'GET',
       `/v1/rollouts/${customer}/${configuration}`,
       undefined,
--- a/tests/fleetConfiguration.spec.ts
+++ b/tests/fleetConfiguration.spec.ts
@@ -29,7 +29,7 @@
   const { fleet } = context;
   return await Promise.all(
     fleet.entries().map(async (entry) => {
-      const answer = await fleet.sendOperatorRequest('GET', PATH, undefined, entry);
+      const answer = await fleet.sendAsOperator('GET', PATH, undefined, entry);
       return answer.status === 200
         ? (answer.body as { parameters: { version: string } }).parameters.version
         : `${answer.status}`;
@@ -96,7 +96,7 @@
   const { fleet } = context;
   const frozen = fleet.entries()[2];
   frozen.child.signal('SIGSTOP');
-  const answer = await fleet.sendOperatorRequest('DELETE', PATH);
+  const answer = await fleet.sendAsOperator('DELETE', PATH);
   frozen.child.signal('SIGCONT');
   expect(answer.status).toEqual(200);
   await untilEverywhere('404');
@@ -104,7 +104,7 @@
 
 test('should name the field of a wrong configuration', async () => {
   const { fleet } = context;
-  const answer = await fleet.sendOperatorRequest('PUT', PATH, {
+  const answer = await fleet.sendAsOperator('PUT', PATH, {
     template: 'chat',
     parameters: { version: 'v 1', boxes: ['x'] },
   });
@@ -115,7 +115,7 @@
 test('should refuse a template that would break a configuration built on it', async () => {
   const { fleet } = context;
   await fleet.publish(PATH, body('v7'));
-  const answer = await fleet.sendOperatorRequest('PUT', '/v1/templates/chat', {
+  const answer = await fleet.sendAsOperator('PUT', '/v1/templates/chat', {
     parameters: {},
     rollout: { model: 'judge' },
   });
--- a/tests/fleetRollout.spec.ts
+++ b/tests/fleetRollout.spec.ts
@@ -107,7 +107,7 @@
   const { blobDigest } = await fleet.publishVersion(recipe);
   const body = { template: 'chat', parameters: { version, boxes: fleet.modelBoxes() } };
   await fleet.until('the change is accepted', async () => {
-    const answer = await fleet.sendOperatorRequest(
+    const answer = await fleet.sendAsOperator(
       'PUT',
       '/v1/configurations/korrigan/judge',
       body,
@@ -168,7 +168,7 @@
 
 test('should take a withdrawn configuration off every box', async () => {
   const { fleet } = context;
-  const answer = await fleet.sendOperatorRequest('DELETE', '/v1/configurations/korrigan/judge');
+  const answer = await fleet.sendAsOperator('DELETE', '/v1/configurations/korrigan/judge');
   expect(answer.status).toEqual(200);
   await fleet.until(
     'withdrawn',
