--- a/standins/boxListStandin.ts
+++ b/standins/boxListStandin.ts
@@ -1,16 +1,17 @@
-/** Stand-in for the box list: boxes are put and removed over HTTP and show up after a lag. */
+/** Stand-in for the box list. Boxes are added and removed over HTTP; a change becomes visible after a delay. */
 import type { Box } from '../src/external/boxList.js';
 import { StandinServer, sendJsonAnswer } from './standinServer.js';
 import type { StandinRequest } from './standinServer.js';
 
-/** Ways in which the box list can fail. */
+/** Faults that can be injected. */
 export interface BoxListFaults {
+  /** `down` closes the connection of each read without an answer. */
   availability: 'up' | 'down';
-  /** How long a change takes to show, in milliseconds. */
+  /** Delay until a change is visible. */
   lagMilliseconds: number;
 }
 
-/** Holds boxes in memory. `PUT /boxes/{box}` and `DELETE /boxes/{box}` change them. */
+/** Stores boxes in memory. `PUT /boxes/{box}` and `DELETE /boxes/{box}` change them. */
 export class BoxListStandin extends StandinServer<BoxListFaults> {
   private readonly _boxes = new Map<string, Box>();
   private _revision = 0;
@@ -21,8 +22,8 @@
 
   protected override handle({ method, url, body, response }: StandinRequest): void {
     const box = url.pathname.slice('/boxes/'.length);
-    if (method === 'PUT') this._later(() => this._boxes.set(box, body as Box));
-    if (method === 'DELETE') this._later(() => this._boxes.delete(box));
+    if (method === 'PUT') this._applyAfterLag(() => this._boxes.set(box, body as Box));
+    if (method === 'DELETE') this._applyAfterLag(() => this._boxes.delete(box));
     if (method === 'GET' && this.faults.availability === 'down') {
       response.destroy();
       return;
@@ -30,7 +31,7 @@
     sendJsonAnswer(response, 200, { revision: this._revision, boxes: [...this._boxes.values()] });
   }
 
-  private _later(change: () => void): void {
+  private _applyAfterLag(change: () => void): void {
     const apply = (): void => {
       change();
       this._revision++;
--- a/standins/childProcess.ts
+++ b/standins/childProcess.ts
@@ -1,11 +1,11 @@
-/** One process of a local fleet. */
+/** Starts and stops the processes of a local fleet. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import readline from 'node:readline';
 
-/** How a child is started. */
+/** Options for starting a child process. */
 export interface ChildOptions {
-  /** Compiled script, relative to dist/. */
+  /** Path of the compiled script, relative to dist/. */
   script: string;
   args: string[];
   environment?: Record<string, string>;
@@ -14,14 +14,14 @@
 const START_TIMEOUT_MILLISECONDS = 20_000;
 const root = new URL('../', import.meta.url).pathname;
 
-/** Children that still run; none outlives this process. */
+/** Running children; they are killed when this process exits. */
 const started = new Set<ChildProcess>();
 process.once('exit', () => started.forEach((child) => child.kill('SIGKILL')));
 for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(1));
 
-/** A child that prints one JSON line once it listens. */
+/** A child process that prints a line of JSON when it starts to listen. */
 export class Child {
-  /** The parsed first line. */
+  /** The parsed first line of its output. */
   readonly ready: Record<string, unknown>;
   private readonly _process: ChildProcess;
 
@@ -30,9 +30,9 @@
     this.ready = ready;
   }
 
-  /** Starts a child and waits until it listens. */
-  static async start({ script, args: words, environment }: ChildOptions): Promise<Child> {
-    const child = spawn(process.execPath, [`${root}${script}`, ...words], {
+  /** Starts a child process and waits until it listens. */
+  static async start({ script, args, environment }: ChildOptions): Promise<Child> {
+    const child = spawn(process.execPath, [`${root}${script}`, ...args], {
       stdio: ['ignore', 'pipe', 'inherit', 'ipc'],
       env: { ...process.env, ...environment },
     });
@@ -53,7 +53,7 @@
     if (this.running) this._process.kill(name);
   }
 
-  /** Sends a signal and waits for the end; returns the exit code, or null after a signal. */
+  /** Sends a signal and waits until the process exits. Returns the exit code; null if a signal terminated the process. */
   async end(name: NodeJS.Signals = 'SIGKILL'): Promise<number | null> {
     if (!this.running) return this._process.exitCode;
     const ended = new Promise<number | null>((resolve) =>
@@ -69,10 +69,10 @@
   const lines = readline.createInterface({ input: child.stdout! });
   return await new Promise((resolve, reject) => {
     const timer = setTimeout(
-      () => reject(new Error(`${script} did not listen in time`)),
+      () => reject(new Error(`${script} did not start to listen in time`)),
       START_TIMEOUT_MILLISECONDS,
     );
-    child.once('exit', (code) => reject(new Error(`${script} ended with ${code} before it listened`)));
+    child.once('exit', (code) => reject(new Error(`${script} exited with code ${code} before it listened`)));
     lines.once('line', (line) => {
       clearTimeout(timer);
       resolve(JSON.parse(line) as Record<string, unknown>);
--- a/standins/engineStandin.ts
+++ b/standins/engineStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine: OpenAI-style chat with streams, and load, activate and unload orders. */
+/** Stand-in for a model engine: an OpenAI-style chat API with streaming, and orders to load, activate and unload versions. */
 import { createHash } from 'node:crypto';
 import type http from 'node:http';
 import { request as httpRequest } from 'undici';
@@ -7,19 +7,23 @@
 import { StandinServer, sendJsonAnswer } from './standinServer.js';
 import type { StandinRequest } from './standinServer.js';
 
-/** Ways in which the engine can fail. */
+/** Faults that can be injected. */
 export interface EngineFaults {
-  /** `refuse` answers 503 before running; `lose-answer` runs and cuts; `stall` runs and never answers. */
+  /**
+   * `refuse` answers 503 without running the request; `lose-answer` runs it and closes the connection; `stall` runs it
+   * and never answers.
+   */
   requests: 'ok' | 'refuse' | 'lose-answer' | 'stall';
-  /** Cuts streams after this many tokens; 0 for never. */
+  /** Closes the connection of a stream after this many tokens; 0 for never. */
   cutStreamAfterTokens: number;
   orders: 'ok' | 'refuse';
 }
 
-/** How the engine behaves when nothing fails. */
+/** Properties of the engine. */
 export interface EngineOptions {
+  /** Whether orders with an epoch lower than that of an earlier order are rejected (fencing). */
   checksFences: boolean;
-  /** Requests that run at once; the rest wait inside the engine. */
+  /** Number of requests that run concurrently. Further requests wait in the engine's queue. */
   slots: number;
   firstTokenMilliseconds: number;
   tokenMilliseconds: number;
@@ -42,14 +46,14 @@
 
 interface LoadedModel {
   active: string;
-  /** SHA-256 of all bytes of each loaded version. */
+  /** SHA-256 of the data of each loaded version. */
   digests: Record<string, string>;
   epoch: number;
 }
 
 const DEFAULT_TOKENS = 4;
 
-/** Runs requests on the version that is active when they arrive. */
+/** Runs a request on the version that it names if that is loaded, otherwise on the version active on its arrival. */
 export class EngineStandin extends StandinServer<EngineFaults> {
   private readonly _options: EngineOptions;
   private readonly _models = new Map<string, LoadedModel>();
@@ -68,15 +72,15 @@
     if (url.pathname === '/healthz') return sendJsonAnswer(response, 200, {});
     if (url.pathname === '/_runs') return sendJsonAnswer(response, 200, this._log.runs);
     if (url.pathname === '/_state') return sendJsonAnswer(response, 200, this._state());
-    if (url.pathname.startsWith('/orders/')) return await this._order(request);
-    await this._chat(request);
+    if (url.pathname.startsWith('/orders/')) return await this._handleOrder(request);
+    await this._handleChat(request);
   }
 
   private _state(): unknown {
     return { models: Object.fromEntries(this._models), running: this._running, cancelled: this._cancelled };
   }
 
-  private async _order({ url, body, response }: StandinRequest): Promise<void> {
+  private async _handleOrder({ url, body, response }: StandinRequest): Promise<void> {
     const order = body as Order;
     const key = `${order.customer}/${order.model}`;
     const model = this._models.get(key) ?? { active: '', digests: {}, epoch: 0 };
@@ -96,7 +100,7 @@
     sendJsonAnswer(response, 200, model);
   }
 
-  private async _chat(request: StandinRequest): Promise<void> {
+  private async _handleChat(request: StandinRequest): Promise<void> {
     const chat = request.body as ChatBody;
     const customer = String(request.headers['larklatch-customer'] ?? '');
     const version = this._versionFor(request, `${customer}/${chat.model}`);
@@ -114,7 +118,7 @@
     }
   }
 
-  /** The version that the request names, if it is loaded, else the active one. */
+  /** Returns the version that the request names if it is loaded, otherwise the active one. */
   private _versionFor(request: StandinRequest, model: string): string | undefined {
     const named = String(request.headers['larklatch-version'] ?? '');
     const loaded = this._models.get(model);
@@ -128,11 +132,11 @@
       response.destroy();
       return;
     }
-    if (chat.stream) await this._stream(response, chat, text);
-    else await this._whole(response, chat, text);
+    if (chat.stream) await this._sendStream(response, chat, text);
+    else await this._sendAnswer(response, chat, text);
   }
 
-  private async _whole(response: http.ServerResponse, chat: ChatBody, text: string): Promise<void> {
+  private async _sendAnswer(response: http.ServerResponse, chat: ChatBody, text: string): Promise<void> {
     await pause(this._options.tokenMilliseconds * tokensOf(chat));
     if (response.destroyed) this._cancelled++;
     sendJsonAnswer(response, 200, {
@@ -141,7 +145,7 @@
     });
   }
 
-  private async _stream(response: http.ServerResponse, chat: ChatBody, text: string): Promise<void> {
+  private async _sendStream(response: http.ServerResponse, chat: ChatBody, text: string): Promise<void> {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     const tokens = tokensOf(chat);
     for (let token = 0; token < tokens; token++) {
--- a/standins/faultyAgent.ts
+++ b/standins/faultyAgent.ts
@@ -1,4 +1,7 @@
-/** An agent that damages every tenth chunk it sends: `node dist/standins/faultyAgent.js` with an agent's variables. */
+/**
+ * An agent that corrupts every tenth chunk it sends. Run `node dist/standins/faultyAgent.js` with the environment
+ * variables of an agent.
+ */
 import type http from 'node:http';
 import { AgentDaemon } from '../src/agent/agentDaemon.js';
 import { checkSettings, runUntilStopped } from '../src/cli/daemonCommand.js';
@@ -8,23 +11,24 @@
 import type { UploadRequest } from '../src/weights/uploadQueue.js';
 import { UploadQueue } from '../src/weights/uploadQueue.js';
 
-const DAMAGED_EVERY = 10;
+/** One of this many chunks is corrupted. */
+const CORRUPTION_INTERVAL = 10;
 
-class DamagingUploadQueue extends UploadQueue {
+class CorruptingUploadQueue extends UploadQueue {
   private _sent = 0;
 
   override async send(response: http.ServerResponse, data: Buffer, request: UploadRequest): Promise<void> {
     this._sent++;
-    if (this._sent % DAMAGED_EVERY !== 0) return await super.send(response, data, request);
-    const damaged = Buffer.from(data);
-    damaged[damaged.length >> 1] ^= 0xff;
-    await super.send(response, damaged, request);
+    if (this._sent % CORRUPTION_INTERVAL !== 0) return await super.send(response, data, request);
+    const corrupted = Buffer.from(data);
+    corrupted[corrupted.length >> 1] ^= 0xff;
+    await super.send(response, corrupted, request);
   }
 }
 
 const settings = checkSettings(agentSettingsSchema, {});
 enableLogs(settings.log);
-const uploads = new DamagingUploadQueue(
+const uploads = new CorruptingUploadQueue(
   new RateLimiter(settings.weightBytesPerSecond),
   settings.stallMilliseconds,
 );
--- a/standins/fleetSettings.ts
+++ b/standins/fleetSettings.ts
@@ -1,26 +1,27 @@
-/** Settings of the processes of a local fleet. */
+/** Options of a local fleet, and the environment variables of its processes. */
 
-/** Size and rates of a fleet. */
+/** Options of a local fleet. */
 export interface FleetOptions {
   dataCentres: readonly string[];
   entriesPerDataCentre: number;
   modelBoxesPerDataCentre: number;
   plainBoxesPerDataCentre?: number;
-  /** Rate of the origin's link; 0 for unlimited. */
+  /** Bandwidth of the origin's link; 0 for unlimited. */
   originBytesPerSecond?: number;
-  /** Rate of each box's link, each way; 0 for unlimited. */
+  /** Bandwidth of each box's link in each direction; 0 for unlimited. */
   boxBytesPerSecond?: number;
-  /** More settings, by variable name without the prefix. */
+  /** Additional environment variables of entries and agents. Names are without the prefix `LARKLATCH_`. */
   entrySettings?: Record<string, string>;
   agentSettings?: Record<string, string>;
+  /** Options of the engine stand-ins. */
   engine?: Record<string, unknown>;
-  /** Boxes whose agent damages chunks that it sends. */
+  /** Names of boxes whose agents corrupt chunks that they send. */
   corruptingBoxes?: readonly string[];
 }
 
 const SHARED_KEY = 'shared-key-for-loopback';
 
-/** What entries and agents of a fleet are both given. */
+/** Returns the environment variables that entries and agents have in common. */
 export function commonSettings(box: string, dataCentre: string, originUrl: string): Record<string, string> {
   return {
     LARKLATCH_BOX: box,
@@ -31,12 +32,12 @@
   };
 }
 
-/** Turns settings into variables of larklatch. */
+/** Adds the prefix `LARKLATCH_` to the names of environment variables. */
 export function withPrefix(settings: Record<string, string> = {}): Record<string, string> {
   return Object.fromEntries(Object.entries(settings).map(([name, value]) => [`LARKLATCH_${name}`, value]));
 }
 
-/** The numbers from 1 to `count`. */
+/** Returns the numbers from 1 to `count`. */
 export function numbersUpTo(count: number): number[] {
   return Array.from({ length: count }, (_unused, index) => index + 1);
 }
--- a/standins/localFleet.ts
+++ b/standins/localFleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of real processes on loopback: stand-ins, entries and agents. Shared by demo, bench and tests. */
+/** A fleet of real processes on loopback: stand-ins, entries and agents. Used by demo, bench and tests. */
 import { randomUUID } from 'node:crypto';
 import type { Box } from '../src/external/boxList.js';
 import { sendJson } from '../src/external/httpClient.js';
@@ -11,18 +11,18 @@
 import { commonSettings, numbersUpTo, withPrefix } from './fleetSettings.js';
 import type { VersionRecipe } from './originStandin.js';
 
-/** A box of the fleet. */
+/** A box, represented by one process of the fleet. */
 export interface FleetBox {
   name: string;
   dataCentre: string;
   role: Box['role'];
   child: Child;
   httpUrl: string;
-  /** The backend server's URL, of agents. */
+  /** URL of the agent's backend server; empty for entries. */
   backendUrl: string;
 }
 
-/** A published version. */
+/** Digest and size of a published version. */
 export interface PublishedVersion {
   blobDigest: string;
   totalBytes: number;
@@ -31,13 +31,13 @@
 export const OPERATOR_KEY = 'operator-key-for-loopback';
 const TIMEOUT_MILLISECONDS = 15_000;
 const POLL_MILLISECONDS = 20;
-/** How often, and how far apart, a change is sent again that was refused for the time being. */
-const PUBLISH_TRIES = 20;
-const PUBLISH_PAUSE_MILLISECONDS = 500;
-/** Peers that every entry has, however many there are. */
-const LEAST_PEERS = 3;
+/** How often a change is retried while the entry answers 503. */
+const PUBLISH_RETRIES = 20;
+const PUBLISH_RETRY_MILLISECONDS = 500;
+/** An entry has at least this many peers if there are as many other entries. */
+const MIN_PEERS = 3;
 
-/** Started with {@link LocalFleet.start}; must be stopped. */
+/** Created by {@link LocalFleet.start}. Call {@link LocalFleet.stop} when done. */
 export class LocalFleet {
   readonly boxes = new Map<string, FleetBox>();
   objectApiUrl = '';
@@ -53,9 +53,9 @@
   static async start(options: FleetOptions): Promise<LocalFleet> {
     const fleet = new LocalFleet(options);
     try {
-      await fleet._startPlatform();
+      await fleet._startSharedStandins();
       await Promise.all(options.dataCentres.map((dataCentre) => fleet._startDataCentre(dataCentre)));
-      await fleet._untilReady();
+      await fleet._waitUntilReady();
     } catch (error) {
       await fleet.stop();
       throw error;
@@ -73,16 +73,16 @@
     return box;
   }
 
-  /** Names of the agents in front of engines, in order. */
+  /** Returns the names of the boxes with an engine, sorted. */
   modelBoxes(): string[] {
-    return this._named('model');
+    return this._agentNames('model');
   }
 
   plainBoxes(): string[] {
-    return this._named('plain');
+    return this._agentNames('plain');
   }
 
-  /** Sends an operator's request to an entry. */
+  /** Sends a request with the operator key to an entry. */
   async sendAsOperator(
     method: 'GET' | 'PUT' | 'DELETE',
     path: string,
@@ -94,12 +94,12 @@
     return await this._send(method, `${entry.httpUrl}${path}`, body, headers);
   }
 
-  /** Sends an operator's request and throws unless it is accepted. */
+  /** Sends a change with the operator key. Retries it after status 503; throws if it is not accepted. */
   async publish(path: string, body: unknown): Promise<void> {
     const changeId = randomUUID();
     let answer = await this.sendAsOperator('PUT', path, body, undefined, changeId);
-    for (let attempt = 0; answer.status === 503 && attempt < PUBLISH_TRIES; attempt++) {
-      await pause(PUBLISH_PAUSE_MILLISECONDS);
+    for (let attempt = 0; answer.status === 503 && attempt < PUBLISH_RETRIES; attempt++) {
+      await pause(PUBLISH_RETRY_MILLISECONDS);
       answer = await this.sendAsOperator('PUT', path, body, undefined, changeId);
     }
     if (answer.status !== 200) throw new Error(`${path}: ${answer.status} ${JSON.stringify(answer.body)}`);
@@ -114,7 +114,7 @@
     return answer.body as PublishedVersion;
   }
 
-  /** Sets faults of a stand-in by its URL. */
+  /** Injects faults into the stand-in at `url`. */
   async setFaults(url: string, faults: object): Promise<void> {
     await this._send('POST', `${url}/_faults`, faults);
   }
@@ -128,17 +128,12 @@
     return (await this._send('GET', url)).body as T;
   }
 
-  async rollout(customer: string, configuration: string, entry = this.entries()[0]): Promise<RolloutStatus> {
-    const answer = await this.sendAsOperator(
-      'GET',
-      `/v1/rollouts/${customer}/${configuration}`,
-      undefined,
-      entry,
-    );
+  async rollout(customer: string, name: string, entry = this.entries()[0]): Promise<RolloutStatus> {
+    const answer = await this.sendAsOperator('GET', `/v1/rollouts/${customer}/${name}`, undefined, entry);
     return answer.body as RolloutStatus;
   }
 
-  /** Polls until `condition` holds and returns its value. */
+  /** Polls until `condition` returns a value other than false and undefined; errors count as false. */
   async until<T>(
     what: string,
     condition: () => Promise<T | undefined | false>,
@@ -150,7 +145,7 @@
       if (value !== undefined && value !== false) return value;
       await pause(POLL_MILLISECONDS);
     }
-    throw new Error(`not in time: ${what}`);
+    throw new Error(`timed out waiting for: ${what}`);
   }
 
   async untilComplete(
@@ -174,19 +169,19 @@
     );
   }
 
-  /** Changes a box's state in the box list; its process is not told. */
+  /** Changes a box's state in the box list, without notifying its process. */
   async setBoxState(name: string, state: Box['state']): Promise<void> {
     const { boxes } = await this.read<{ boxes: Box[] }>(`${this.boxListUrl}/boxes`);
     const box = boxes.find((each) => each.box === name);
     await this._send('PUT', `${this.boxListUrl}/boxes/${name}`, { ...box, state });
   }
 
-  /** Takes a box off the box list. */
+  /** Removes a box from the box list. */
   async removeFromBoxList(name: string): Promise<void> {
     await this._send('DELETE', `${this.boxListUrl}/boxes/${name}`);
   }
 
-  /** Starts the agent or entry of a box anew, empty, and lists it. */
+  /** Restarts the agent or entry of a box without its state, and updates the box list. */
   async restart(name: string): Promise<FleetBox> {
     const old = this.box(name);
     await old.child.end();
@@ -194,18 +189,18 @@
     return await this._startAgent(name, old.dataCentre, old.backendUrl);
   }
 
-  /** Ends every process. */
+  /** Kills all processes. */
   async stop(): Promise<void> {
     const children = [...this.boxes.values()].map((box) => box.child);
     await Promise.all([...children, ...this._standins].map((child) => child.end()));
   }
 
-  private _named(part: string): string[] {
+  private _agentNames(part: string): string[] {
     const names = [...this.boxes.values()].filter((box) => box.role === 'agent').map((box) => box.name);
     return names.filter((name) => name.includes(`-${part}-`)).sort();
   }
 
-  private async _startPlatform(): Promise<void> {
+  private async _startSharedStandins(): Promise<void> {
     this.objectApiUrl = (await this._standin('object-api', {}))[0];
     this.boxListUrl = (await this._standin('box-list', {}))[0];
     this.originUrl = (
@@ -250,14 +245,14 @@
         ...withPrefix(this._options.entrySettings),
       },
     });
-    return await this._list(name, dataCentre, 'entry', child, '');
+    return await this._addBox(name, dataCentre, 'entry', child, '');
   }
 
   private async _startAgent(name: string, dataCentre: string, backendUrl: string): Promise<FleetBox> {
-    const damaging = this._options.corruptingBoxes?.includes(name) ?? false;
+    const corrupting = this._options.corruptingBoxes?.includes(name) ?? false;
     const child = await Child.start({
-      script: damaging ? 'standins/faultyAgent.js' : 'src/cli/main.js',
-      args: damaging ? [] : ['agent'],
+      script: corrupting ? 'standins/faultyAgent.js' : 'src/cli/main.js',
+      args: corrupting ? [] : ['agent'],
       environment: {
         ...commonSettings(name, dataCentre, this.originUrl),
         LARKLATCH_BACKEND_URL: backendUrl,
@@ -266,10 +261,10 @@
         ...withPrefix(this._options.agentSettings),
       },
     });
-    return await this._list(name, dataCentre, 'agent', child, backendUrl);
+    return await this._addBox(name, dataCentre, 'agent', child, backendUrl);
   }
 
-  private async _list(
+  private async _addBox(
     name: string,
     dataCentre: string,
     role: Box['role'],
@@ -277,8 +272,8 @@
     backendUrl: string,
   ): Promise<FleetBox> {
     const { httpPort, controlPort } = child.ready as { httpPort: number; controlPort: number };
-    const place = { box: name, role, dataCentre, address: '127.0.0.1' };
-    const box: Box = { ...place, httpPort, controlPort, state: 'live' };
+    const location = { box: name, role, dataCentre, address: '127.0.0.1' };
+    const box: Box = { ...location, httpPort, controlPort, state: 'live' };
     await this._send('PUT', `${this.boxListUrl}/boxes/${name}`, box);
     const fleetBox: FleetBox = {
       name,
@@ -292,7 +287,7 @@
     return fleetBox;
   }
 
-  private async _untilReady(): Promise<void> {
+  private async _waitUntilReady(): Promise<void> {
     const wanted = this.entries().length;
     for (const entry of this.entries()) {
       await this.until(
@@ -301,7 +296,7 @@
       );
       await this.until(`${entry.name} connected`, async () => {
         const text = await (await fetch(`${entry.httpUrl}/metrics`)).text();
-        return Number(/^larklatch_entry_peers (\d+)$/m.exec(text)?.[1]) >= Math.min(wanted - 1, LEAST_PEERS);
+        return Number(/^larklatch_entry_peers (\d+)$/m.exec(text)?.[1]) >= Math.min(wanted - 1, MIN_PEERS);
       });
     }
   }
--- a/standins/main.ts
+++ b/standins/main.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process: `node dist/standins/main.js KIND [JSON options]`. Prints its URLs as JSON. */
+/** Runs stand-ins of one kind: `node dist/standins/main.js KIND [JSON options]`. Prints their URLs as JSON. */
 import { BoxListStandin } from './boxListStandin.js';
 import type { EngineOptions } from './engineStandin.js';
 import { EngineStandin } from './engineStandin.js';
@@ -10,7 +10,7 @@
   port?: number;
   bytesPerSecond?: number;
   delayMilliseconds?: number;
-  /** How many stand-ins of the kind the process runs. */
+  /** Number of stand-ins in this process; 1 by default. */
   count?: number;
 }
 
@@ -27,7 +27,7 @@
       tokenMilliseconds: options.tokenMilliseconds ?? 2,
     });
   }
-  throw new Error(`unknown stand-in ${kind}: object-api, box-list, origin, engine or plain`);
+  throw new Error(`unknown stand-in ${kind}; allowed: object-api, box-list, origin, engine, plain`);
 }
 
 const options = JSON.parse(process.argv[3] ?? '{}') as StandinOptions;
--- a/standins/objectApiStandin.ts
+++ b/standins/objectApiStandin.ts
@@ -1,15 +1,15 @@
-/** Stand-in for the object API: global revisions, conditional writes, long-poll watches, call limits and outages. */
+/** Stand-in for the object API: global revisions, conditional writes, long-polling watches, rate limits and outages. */
 import { pause } from '../src/utils/timers.js';
 import { StandinServer, sendJsonAnswer } from './standinServer.js';
 import type { StandinRequest } from './standinServer.js';
 
-/** Ways in which the API can fail. */
+/** Faults that can be injected. */
 export interface ObjectApiFaults {
-  /** `down` cuts every call without an answer. */
+  /** `down` closes the connection of every call without an answer. */
   availability: 'up' | 'down';
-  /** Milliseconds added to each call. */
+  /** Delay added to each call. */
   slowMilliseconds: number;
-  /** How many of the next writes take effect and lose their answer. */
+  /** Number of writes, from the next one on, that are executed but whose connection is closed without an answer. */
   loseWriteAnswers: number;
 }
 
@@ -27,10 +27,10 @@
 
 const WRITES_PER_SECOND = 100;
 const READS_PER_SECOND = 2_000;
-const KEPT_CHANGES = 1_000;
-const MAXIMUM_VALUE_BYTES = 1_000_000;
+const MAX_CHANGES = 1_000;
+const MAX_VALUE_BYTES = 1_000_000;
 
-/** Holds objects in memory. */
+/** Stores objects in memory. */
 export class ObjectApiStandin extends StandinServer<ObjectApiFaults> {
   private readonly _objects = new Map<string, StoredObject>();
   private readonly _changes: Change[] = [];
@@ -52,7 +52,7 @@
       request.response.destroy();
       return;
     }
-    if (this._overLimit(request.method !== 'GET'))
+    if (this._isOverLimit(request.method !== 'GET'))
       return sendJsonAnswer(request.response, 429, { error: 'limit' });
     await this._route(request);
   }
@@ -66,7 +66,7 @@
     this._write(key, request);
   }
 
-  private _overLimit(isWrite: boolean): boolean {
+  private _isOverLimit(isWrite: boolean): boolean {
     const second = Math.floor(performance.now() / 1000);
     if (second !== this._second) {
       this._second = second;
@@ -96,7 +96,7 @@
     const current = this._objects.get(key)?.revision ?? 0;
     if (Number(headers['if-match']) !== current) return sendJsonAnswer(response, 412, { revision: current });
     const value = method === 'DELETE' ? null : (body as { value: unknown }).value;
-    if (JSON.stringify(value).length > MAXIMUM_VALUE_BYTES)
+    if (JSON.stringify(value).length > MAX_VALUE_BYTES)
       return sendJsonAnswer(response, 413, { error: 'too large' });
     this._apply(key, value, method === 'DELETE');
     if (this.faults.loseWriteAnswers > 0) {
@@ -112,8 +112,8 @@
     if (deleted) this._objects.delete(key);
     else this._objects.set(key, { revision, value });
     this._changes.push({ key, revision, value, deleted });
-    if (this._changes.length > KEPT_CHANGES) this._changes.shift();
-    for (const wake of this._watchers) wake();
+    if (this._changes.length > MAX_CHANGES) this._changes.shift();
+    for (const resume of this._watchers) resume();
   }
 
   private async _watch({ url, response }: StandinRequest): Promise<void> {
@@ -121,7 +121,7 @@
     const until = performance.now() + Number(url.searchParams.get('wait'));
     this._counts.watching++;
     while (this._revision <= after && performance.now() < until && !response.destroyed) {
-      await this._nextChange(until - performance.now());
+      await this._waitForChange(until - performance.now());
     }
     this._counts.watching--;
     if (this.faults.availability === 'down') {
@@ -133,7 +133,7 @@
     sendJsonAnswer(response, 200, { revision: this._revision, changes, truncated });
   }
 
-  private async _nextChange(milliseconds: number): Promise<void> {
+  private async _waitForChange(milliseconds: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const wake = (): void => {
         clearTimeout(timer);
--- a/standins/originStandin.ts
+++ b/standins/originStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the origin of weights (and the weight store): versions made from a seed, on a link of limited rate. */
+/** Stand-in for the origin of weights and for the weight store: generated versions, sent over a link of limited bandwidth. */
 import { createCipheriv } from 'node:crypto';
 import type http from 'node:http';
 import { untilDrained } from '../src/utils/backpressure.js';
@@ -8,16 +8,16 @@
 import { StandinServer, sendJsonAnswer } from './standinServer.js';
 import type { StandinRequest } from './standinServer.js';
 
-/** Ways in which the origin can fail. */
+/** Faults that can be injected. */
 export interface OriginFaults {
   availability: 'up' | 'refusing';
-  /** Share of reads whose bytes are damaged. */
+  /** Share of reads with corrupt data. */
   corruptShare: number;
-  /** Share of reads that stop half way and hang. */
+  /** Share of reads that send half of the data and then hang. */
   stallShare: number;
 }
 
-/** A version to publish: `changedShare` of its chunks differ from those of version `base`. */
+/** A version to generate and publish. `changedShare` of its chunks differ from those of the version `base`. */
 export interface VersionRecipe {
   customer: string;
   model: string;
@@ -43,7 +43,7 @@
   private readonly _random = new SeededRandom(7);
   private _bytesSent = 0;
 
-  /** `bytesPerSecond` is the rate of the origin's link; 0 for unlimited. */
+  /** `bytesPerSecond` is the bandwidth of the origin's link; 0 for unlimited. */
   constructor(bytesPerSecond: number) {
     super({ availability: 'up', corruptShare: 0, stallShare: 0 });
     this._limiter = new RateLimiter(bytesPerSecond);
@@ -85,8 +85,8 @@
 
   private async _sendRange(stored: StoredVersion, { headers, response }: StandinRequest): Promise<void> {
     const match = /^bytes=(\d+)-(\d+)$/.exec(headers.range ?? '');
-    if (!match) return sendJsonAnswer(response, 416, { error: 'a range is needed' });
-    const data = this._damaged(stored.data.subarray(Number(match[1]), Number(match[2]) + 1));
+    if (!match) return sendJsonAnswer(response, 416, { error: 'a Range header is required' });
+    const data = this._corruptSome(stored.data.subarray(Number(match[1]), Number(match[2]) + 1));
     response.writeHead(206, { 'content-length': data.length });
     const sendable = this._random.fraction() < this.faults.stallShare ? data.length >> 1 : data.length;
     for (let start = 0; start < sendable && !response.destroyed; start += PIECE_BYTES) {
@@ -98,7 +98,7 @@
     if (sendable === data.length) response.end();
   }
 
-  private _damaged(data: Buffer): Buffer {
+  private _corruptSome(data: Buffer): Buffer {
     if (this._random.fraction() >= this.faults.corruptShare) return data;
     const copy = Buffer.from(data);
     copy[copy.length >> 1] ^= 0xff;
--- a/standins/plainServiceStandin.ts
+++ b/standins/plainServiceStandin.ts
@@ -1,15 +1,16 @@
-/** Stand-in for a plain service: echoes what it is asked and logs what it ran. */
+/** Stand-in for a service without a model: echoes requests and logs the ones that it ran. */
 import { pause } from '../src/utils/timers.js';
 import { RunLog, runFromHeaders } from './runLog.js';
 import { StandinServer, sendJsonAnswer } from './standinServer.js';
 import type { StandinRequest } from './standinServer.js';
 
-/** Ways in which the service can fail. */
+/** Faults that can be injected. */
 export interface PlainServiceFaults {
+  /** As in `EngineFaults`. */
   requests: 'ok' | 'refuse' | 'lose-answer' | 'stall';
 }
 
-/** Answers every path after `delayMilliseconds`. */
+/** Answers requests to all paths after `delayMilliseconds`. */
 export class PlainServiceStandin extends StandinServer<PlainServiceFaults> {
   private readonly _delayMilliseconds: number;
   private readonly _log = new RunLog();
--- a/standins/runLog.ts
+++ b/standins/runLog.ts
@@ -1,17 +1,17 @@
-/** What a backend server stand-in really ran, for audits. */
+/** Log of the requests that a backend server stand-in ran, for checks by tests. */
 
-/** One run of a request. */
+/** One execution of a request. */
 export interface Run {
   requestId: string;
   customer: string;
   idempotencyKey: string;
   version: string;
   content: string;
-  /** Milliseconds of the wall clock. */
+  /** Start time, in Unix milliseconds. */
   at: number;
 }
 
-/** Counts runs per request and per idempotency key. */
+/** All runs in order of their start. */
 export class RunLog {
   readonly runs: Run[] = [];
 
@@ -20,7 +20,7 @@
   }
 }
 
-/** Reads the identity of a request from the headers that an agent forwards. */
+/** Creates a run from the headers that identify the request. */
 export function runFromHeaders(
   headers: Record<string, string | string[] | undefined>,
   version: string,
--- a/standins/scriptedBackend.ts
+++ b/standins/scriptedBackend.ts
@@ -1,8 +1,8 @@
-/** A backend server that answers each request as the test says, down to single bytes. */
+/** A backend server whose answers are written byte by byte by the test, so that they can also be invalid. */
 import net from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** A request as it arrived. */
+/** A request as received. */
 export interface ArrivedRequest {
   method: string;
   path: string;
@@ -12,17 +12,17 @@
   socket: Socket;
 }
 
-/** Answers one request by writing to its socket. */
+/** Answers a request by writing to its socket. */
 export type Script = (request: ArrivedRequest) => void;
 
 const HEAD_END = '\r\n\r\n';
 
 export class ScriptedBackend {
   readonly arrived: ArrivedRequest[] = [];
-  /** Connections that were opened, and those that were closed. */
+  /** Number of connections that were opened, and of those that were closed again. */
   opened = 0;
   closed = 0;
-  /** Connections that ended with a reset. */
+  /** Number of connections that failed, usually by a reset. */
   resets = 0;
   private readonly _server: net.Server;
   private readonly _sockets = new Set<Socket>();
@@ -33,12 +33,13 @@
     this._server = net.createServer((socket) => this._accept(socket));
   }
 
-  /** Starts listening, at a free port unless one is named, and returns host:port. */
+  /** Starts listening, on a free port by default. Returns host:port. */
   async listen(host = '127.0.0.1', port = 0): Promise<string> {
     await new Promise<void>((resolve) => this._server.listen(port, host, resolve));
     return `${host}:${(this._server.address() as AddressInfo).port}`;
   }
 
+  /** Replaces the script for further requests. */
   answerWith(script: Script): void {
     this._script = script;
   }
@@ -59,11 +60,12 @@
     let text = '';
     socket.on('data', (bytes) => {
       text += bytes.toString('latin1');
-      text = this._take(text, socket);
+      text = this._handleRequests(text, socket);
     });
   }
 
-  private _take(text: string, socket: Socket): string {
+  /** Runs the script for each complete request in `text`; returns the rest. */
+  private _handleRequests(text: string, socket: Socket): string {
     const headEnd = text.indexOf(HEAD_END);
     if (headEnd < 0) return text;
     const [first, ...lines] = text.slice(0, headEnd).split('\r\n');
@@ -76,11 +78,11 @@
     const request = { method, path, headers, body: text.slice(headEnd + HEAD_END.length, end), socket };
     this.arrived.push(request);
     this._script(request);
-    return this._take(text.slice(end), socket);
+    return this._handleRequests(text.slice(end), socket);
   }
 }
 
-/** What an answer holds; the request's id and a proof are added unless the test says otherwise. */
+/** Parts of an answer. By default it has the request's id and a seal; null omits the seal. */
 export interface ScriptedAnswer {
   status?: number;
   headers?: Record<string, string>;
@@ -89,7 +91,7 @@
   seal?: string | null;
 }
 
-/** The bytes of a whole answer. */
+/** Returns a complete answer as text. */
 export function answerBytes(request: ArrivedRequest, answer: ScriptedAnswer = {}): string {
   const { status = 200, headers = {}, body = 'body', id, seal = 'seal' } = answer;
   const all: Record<string, string> = {
@@ -102,23 +104,23 @@
   return `HTTP/1.1 ${status} Status\r\n${lines.join('\r\n')}\r\n\r\n${body}`;
 }
 
-/** Answers at once with a whole answer. */
+/** Returns a script that sends a complete answer immediately. */
 export function answers(answer: ScriptedAnswer = {}): Script {
   return (request) => void request.socket.write(answerBytes(request, answer));
 }
 
-/** One chunk of a chunked body. */
+/** Encodes one chunk of a chunked body. */
 export function chunkOf(text: string): string {
   return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
 
-/** The head of a chunked stream. */
+/** Returns the head of a chunked event stream. */
 export function streamHead(request: ArrivedRequest, seal = 'seal'): string {
   const headers = { 'transfer-encoding': 'chunked', 'content-type': 'text/event-stream' };
   return answerBytes(request, { headers, body: '', seal });
 }
 
-/** Events with these ids. */
+/** Returns server-sent events with these ids. */
 export function events(...ids: number[]): string {
   return ids.map((id) => `id: ${id}\ndata: event ${id}\n\n`).join('');
 }
--- a/standins/standinServer.ts
+++ b/standins/standinServer.ts
@@ -1,8 +1,8 @@
-/** What all stand-ins share: an HTTP server on loopback, JSON answers and switchable faults. */
+/** Base class of the stand-ins: an HTTP server on loopback with JSON answers and fault injection. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** A request with its body read. */
+/** A request with its parsed body. */
 export interface StandinRequest {
   method: string;
   url: URL;
@@ -11,7 +11,7 @@
   response: http.ServerResponse;
 }
 
-/** A stand-in for a system outside larklatch. `POST /_faults` replaces the named faults. */
+/** A stand-in for an external system. `POST /_faults` sets the faults in its body and leaves the others unchanged. */
 export abstract class StandinServer<Faults extends object> {
   faults: Faults;
   private readonly _server = http.createServer((request, response) => void this._serve(request, response));
@@ -27,18 +27,18 @@
     return this.url;
   }
 
-  /** The base URL, once it listens. */
+  /** The base URL. Valid while the server listens. */
   get url(): string {
     return `http://127.0.0.1:${(this._server.address() as AddressInfo).port}`;
   }
 
-  /** Stops listening and cuts every connection. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this._server.close();
     this.cutConnections();
   }
 
-  /** Cuts every connection and goes on listening. */
+  /** Closes all connections but continues to listen. */
   cutConnections(): void {
     this._server.closeAllConnections();
   }
--- a/standins/weightsFixture.ts
+++ b/standins/weightsFixture.ts
@@ -1,8 +1,8 @@
-/** The bytes of made-up model versions, the same at every stand-in. */
+/** Generated weights of model versions, the same in all stand-ins. */
 import { createCipheriv } from 'node:crypto';
 import { sha256Hex } from '../src/utils/hash.js';
 
-/** How a model's versions are cut. */
+/** Number and size of the chunks of each version of a model. */
 export interface WeightsShape {
   model: string;
   chunks: number;
@@ -11,7 +11,7 @@
 
 const KEY_BYTES = 16;
 
-/** The bytes of one chunk: others for every version. */
+/** Returns the data of a chunk. It is different for each version. */
 export function versionChunk(shape: WeightsShape, version: number, chunk: number): Buffer {
   const key = Buffer.from(sha256Hex(`${shape.model}/${version}/${chunk}`), 'hex').subarray(0, KEY_BYTES);
   return createCipheriv('aes-128-ctr', key, Buffer.alloc(KEY_BYTES)).update(Buffer.alloc(shape.chunkBytes));
@@ -19,7 +19,7 @@
 
 const digestsByVersion = new Map<string, string[]>();
 
-/** SHA-256 of each chunk, in hex. */
+/** Returns the SHA-256 digest of each chunk, in hex. */
 export function versionDigests(shape: WeightsShape, version: number): string[] {
   const key = `${shape.model}/${shape.chunks}/${shape.chunkBytes}/${version}`;
   let digests = digestsByVersion.get(key);
