--- a/standins/childProcess.ts
+++ b/standins/childProcess.ts
@@ -53,7 +53,7 @@
     if (this.running) this._process.kill(name);
   }
 
-  /** Sends a signal and waits until the process exits. Returns the exit code; null if a signal terminated the process. */
+  /** Sends a signal and waits for the process to exit. Returns the exit code; null if a signal terminated it. */
   async end(name: NodeJS.Signals = 'SIGKILL'): Promise<number | null> {
     if (!this.running) return this._process.exitCode;
     const ended = new Promise<number | null>((resolve) =>
--- a/standins/engineStandin.ts
+++ b/standins/engineStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine: an OpenAI-style chat API with streaming, and orders to load, activate and unload versions. */
+/** Stand-in for a model engine: OpenAI-style chat with streaming, and orders to load, activate and unload versions. */
 import { createHash } from 'node:crypto';
 import type http from 'node:http';
 import { request as httpRequest } from 'undici';
--- a/standins/originStandin.ts
+++ b/standins/originStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the origin of weights and for the weight store: generated versions, sent over a link of limited bandwidth. */
+/** Stand-in for the origin of weights and the weight store: generated versions, and a link of limited bandwidth. */
 import { createCipheriv } from 'node:crypto';
 import type http from 'node:http';
 import { untilDrained } from '../src/utils/backpressure.js';
--- a/standins/platformOriginStandin.ts
+++ b/standins/platformOriginStandin.ts
@@ -1,51 +1,52 @@
-/** A stand-in for the platform's origin of weights: digests and pieces of made-up versions. */
+/** Stand-in for the platform's origin of weights: digests and pieces of generated versions. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { RateLimiter } from '../src/utils/rateLimiter.js';
 import type { WeightsShape } from './weightsFixture.js';
 import { versionChunk, versionDigests } from './weightsFixture.js';
 
-/** What the origin can be told to do wrong. */
+/** Faults that can be injected. */
 export interface PlatformOriginFaults {
   /** Answers every call with this status. */
   status?: number;
   /** Never answers. */
   silent?: boolean;
-  /** Share of pieces whose bytes are spoilt. */
+  /** Share of pieces with corrupt data. */
   corruptShare?: number;
-  /** Share of pieces that break off in the middle. */
+  /** Share of pieces whose connection is closed half way. */
   truncatedShare?: number;
 }
 
-/** The link of the origin. */
+/** Limits of the origin's network link. */
 export interface OriginLink {
-  /** 0 for no bound. */
+  /** 0 for unlimited. */
   bytesPerSecond: number;
-  /** Connections beyond this are reset. */
+  /** Further connections are reset. */
   maximumConnections: number;
 }
 
-const OPEN_LINK: OriginLink = { bytesPerSecond: 0, maximumConnections: 1_000 };
+const DEFAULT_LINK: OriginLink = { bytesPerSecond: 0, maximumConnections: 1_000 };
 const BLOCK_BYTES = 4_096;
 
+/** Serves `/manifest/{model}` and `/piece/{model}` over HTTP. */
 export class PlatformOriginStandin {
   faults: PlatformOriginFaults = {};
-  /** Bytes of pieces that were sent. */
+  /** Number of bytes of pieces sent so far. */
   bytesSent = 0;
   private readonly _shape: WeightsShape;
   private readonly _fraction: () => number;
   private readonly _limiter: RateLimiter;
   private _connections = 0;
-  /** Connections that were reset. */
+  /** Number of connections that were reset due to the limit. */
   resets = 0;
   private readonly _server = http.createServer((request, response) => this._serve(request, response));
 
-  /** `fraction` draws from 0 up to 1. */
-  constructor(shape: WeightsShape, fraction: () => number = () => 1, link: OriginLink = OPEN_LINK) {
+  /** `fraction` returns a random number from 0 to 1. */
+  constructor(shape: WeightsShape, fraction: () => number = () => 1, link: OriginLink = DEFAULT_LINK) {
     this._shape = shape;
     this._fraction = fraction;
     this._limiter = new RateLimiter(link.bytesPerSecond);
-    // a connection whose other end is gone without a word stays, and counts
+    // no idle timeout: a connection whose peer disappeared without closing it stays open and counts
     this._server.keepAliveTimeout = 0;
     this._server.on('connection', (socket) => {
       if (this._connections >= link.maximumConnections) {
@@ -58,7 +59,7 @@
     });
   }
 
-  /** Connections that are open, also those whose other end says nothing any more. */
+  /** Number of open connections, including those whose peer no longer responds. */
   get connections(): number {
     return this._connections;
   }
@@ -95,10 +96,10 @@
 
   private async _sendPiece(version: number, piece: number, response: http.ServerResponse): Promise<void> {
     const bytes = versionChunk(this._shape, version, piece);
-    const { corruptShare: spoiltShare = 0, truncatedShare: brokenShare = 0 } = this.faults;
-    if (this._fraction() < spoiltShare) bytes[0] ^= 1;
-    const isBroken = this._fraction() < brokenShare;
-    const end = isBroken ? bytes.length >> 1 : bytes.length;
+    const { corruptShare = 0, truncatedShare = 0 } = this.faults;
+    if (this._fraction() < corruptShare) bytes[0] ^= 1;
+    const isTruncated = this._fraction() < truncatedShare;
+    const end = isTruncated ? bytes.length >> 1 : bytes.length;
     response.writeHead(200, { 'content-length': bytes.length });
     for (let start = 0; start < end && !response.destroyed; start += BLOCK_BYTES) {
       const block = bytes.subarray(start, Math.min(end, start + BLOCK_BYTES));
@@ -106,7 +107,7 @@
       this.bytesSent += block.length;
       response.write(block);
     }
-    if (isBroken) response.destroy();
+    if (isTruncated) response.destroy();
     else response.end();
   }
 }
--- a/standins/platformRunnerFaults.ts
+++ b/standins/platformRunnerFaults.ts
@@ -1,32 +1,32 @@
-/** What a runner of the platform's stand-in does wrong. */
+/** Faults of the runner stand-in. */
 
-/** What a runner can be told to do wrong; shares are of requests. */
+/** Faults that can be injected. Each share is the fraction of requests that are affected. */
 export interface PlatformRunnerFaults {
-  /** Runs them and resets the connection. */
+  /** Runs the request, then closes the connection without an answer. */
   resetShare?: number;
-  /** Answers them with an error of its own. */
+  /** Runs the request, then answers with status 500. */
   errorShare?: number;
-  /** Breaks their answers off. */
+  /** Closes the connection in the middle of the answer. */
   truncatedShare?: number;
-  /** Sends a second answer after the first. */
+  /** Sends a second, unrequested answer after the first. */
   extraAnswerShare?: number;
-  /** Never answers anything. */
+  /** Never answers, not even reports and orders. */
   silent?: boolean;
-  /** Turns everything away. */
+  /** Rejects all requests with status 503. */
   shedding?: boolean;
-  /** Turns this share of requests away. */
+  /** Rejects this share of requests with status 503. */
   sheddingShare?: number;
-  /** Seconds of Retry-After where it turns a request away. */
+  /** Value of the Retry-After header of rejections, in seconds. */
   retryAfterSeconds?: number;
-  /** Names a limit of so many requests a second in all answers to requests. */
+  /** Sends this limit, in requests per second, with all answers to requests. */
   limitPerSecond?: number;
-  /** Says in all answers to requests that it leaves. */
+  /** Announces in all answers to requests that it is leaving. */
   leaving?: boolean;
-  /** Loses the answers to orders that it carries out. */
+  /** Executes orders, but closes the connection without an answer. */
   lostOrderAnswers?: boolean;
 }
 
-/** Ways in which a runner is ill, one at a time. */
+/** Faults that are injected one at a time. */
 export const RUNNER_FAULTS: readonly PlatformRunnerFaults[] = [
   { resetShare: 0.2 },
   { errorShare: 0.4 },
--- a/standins/platformRunnerOptions.ts
+++ b/standins/platformRunnerOptions.ts
@@ -1,9 +1,9 @@
-/** How a runner of the platform's stand-in is made, and what hears of what it sees. */
+/** Options and callbacks of the runner stand-in. */
 import type { Arrival, SentSignals } from './platformRunnerSignals.js';
 import type { PlatformRunnerStandin } from './platformRunnerStandin.js';
 import type { WeightsShape } from './weightsFixture.js';
 
-/** One request that a runner has begun to work on. */
+/** A request that a runner has started to run. */
 export interface Execution {
   id: string;
   runner: string;
@@ -11,33 +11,36 @@
   customer: string;
   path: string;
   body: string;
-  /** Version of the model, 0 for services without one. */
+  /** Version of the model; 0 for a service without a model. */
   version: number;
-  /** Wall clock, in milliseconds. */
+  /** Start time, in Unix milliseconds. */
   at: number;
 }
 
-/** How a runner is made. */
+/** Options of a runner. */
 export interface PlatformRunnerOptions {
   id: string;
   service: string;
   slots: number;
   /** Undefined for a service without a model. */
   weights: WeightsShape | undefined;
-  /** The version that it holds at first, 0 for none. */
+  /** The version that it serves at first; 0 for none. */
   version: number;
-  /** Hears of every request that begins. */
+  /** Called when a request starts to run. */
   onExecution: (execution: Execution) => void;
-  /** Hears of every request that arrives. */
+  /** Called when a request arrives. */
   onArrival?: (arrival: Arrival) => void;
-  /** Hears of every answer in which it says something of itself. */
-  onSignals?: (spoken: SentSignals) => void;
-  /** Hears that a request ends the process, which is to be closed at once. */
+  /** Called when an answer with a backpressure header is sent. */
+  onSignals?: (signals: SentSignals) => void;
+  /** Called when a request has crashed the runner. The runner is already closed. */
   onCrash?: (runner: PlatformRunnerStandin, body: string) => void;
-  /** Hears of a version that was taken though it was not whole. */
+  /** Called when the runner loads a version although chunks of it are missing or corrupt. */
   onIncompleteVersion: (runner: string, version: number) => void;
-  /** Draws from 0 up to 1. */
+  /** Returns a random number from 0 to 1. */
   fraction: () => number;
-  /** Longest time of a call about pieces or an order; each takes a part of it, drawn by the runner's id. At once when absent. */
+  /**
+   * Maximum delay of orders and calls for staged pieces; 0 by default. The delay of each call is random, seeded by the
+   * runner's id.
+   */
   callMilliseconds?: number;
 }
--- a/standins/platformRunnerSignals.ts
+++ b/standins/platformRunnerSignals.ts
@@ -1,45 +1,46 @@
-/** What a runner of the platform's stand-in says of itself in the heads of its answers. */
+/** Backpressure headers of the runner stand-in. */
 import type http from 'node:http';
 import type { PlatformRunnerFaults } from './platformRunnerFaults.js';
 
-/** A request that has reached a runner, whether it runs or not. */
+/** A request that a runner received, whether or not it runs. */
 export interface Arrival {
   id: string;
   runner: string;
-  /** Wall clock, in milliseconds. */
+  /** Unix milliseconds. */
   at: number;
 }
 
-/** What an answer says; `at` is when it was given. */
+/** Backpressure signals of an answer. `at` is the time of the answer. */
 export interface SentSignals extends Arrival {
   limitPerSecond: number | undefined;
   leaving: boolean;
   retryAfterMilliseconds: number;
 }
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a runner with these faults says in an answer that turns the request away or not. */
+/** Returns the signals that a runner with these faults sends in an answer. */
 export function sentSignals(
   faults: PlatformRunnerFaults,
-  answered: Omit<Arrival, 'at'>,
-  turnsAway: boolean,
+  request: Omit<Arrival, 'at'>,
+  isRejected: boolean,
 ): SentSignals {
   const { limitPerSecond, leaving = false, retryAfterSeconds = 0 } = faults;
-  const retryAfterMilliseconds = turnsAway ? retryAfterSeconds * MILLISECONDS : 0;
-  return { ...answered, at: Date.now(), limitPerSecond, leaving, retryAfterMilliseconds };
+  const retryAfterMilliseconds = isRejected ? retryAfterSeconds * MILLISECONDS_PER_SECOND : 0;
+  return { ...request, at: Date.now(), limitPerSecond, leaving, retryAfterMilliseconds };
 }
 
-/** Whether an answer says anything. */
+/** Returns whether an answer has any backpressure header. */
 export function hasSignals({ limitPerSecond, leaving, retryAfterMilliseconds }: SentSignals): boolean {
   return limitPerSecond !== undefined || leaving || retryAfterMilliseconds > 0;
 }
 
-export function signalHeaders(spoken: SentSignals): http.OutgoingHttpHeaders {
+/** Returns the headers that carry the signals. */
+export function signalHeaders(signals: SentSignals): http.OutgoingHttpHeaders {
   const headers: http.OutgoingHttpHeaders = {};
-  if (spoken.limitPerSecond !== undefined) headers['server-limit'] = String(spoken.limitPerSecond);
-  if (spoken.leaving) headers['server-leaving'] = '1';
-  if (spoken.retryAfterMilliseconds > 0)
-    headers['retry-after'] = String(spoken.retryAfterMilliseconds / MILLISECONDS);
+  if (signals.limitPerSecond !== undefined) headers['server-limit'] = String(signals.limitPerSecond);
+  if (signals.leaving) headers['server-leaving'] = '1';
+  if (signals.retryAfterMilliseconds > 0)
+    headers['retry-after'] = String(signals.retryAfterMilliseconds / MILLISECONDS_PER_SECOND);
   return headers;
 }
--- a/standins/platformRunnerStandin.ts
+++ b/standins/platformRunnerStandin.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a runner of the platform: requests, reports, orders and staged pieces, over its published calls. */
+/** Stand-in for a runner of the platform: serves requests, reports, orders and staged pieces over the runner's HTTP API. */
 import http from 'node:http';
 import { readBody } from '../src/utils/httpBody.js';
 import { placementHash, sha256Hex } from '../src/utils/hash.js';
@@ -12,26 +12,30 @@
 import type { WeightsShape } from './weightsFixture.js';
 import { versionDigests } from './weightsFixture.js';
 
-/** A request whose body begins so ends each runner that runs it. */
+/** A request whose body starts with this crashes the runner that runs it. */
 export const CRASH_BODY = '{"prompt":"ends its runner';
-/** How long the runner works on it before. */
-const ENDING_MILLISECONDS = 70;
-/** Requests that wait beyond the slots. */
-const QUEUE = 16;
-const WARM_MILLISECONDS = 60;
+/** Time from the start of such a request to the crash. */
+const CRASH_DELAY_MILLISECONDS = 70;
+/** Requests that can wait for a slot. */
+const MAX_QUEUED = 16;
+/** Time to load a version. */
+const LOAD_MILLISECONDS = 60;
 const EVENT_MILLISECONDS = 15;
-const PLAIN_MILLISECONDS = 10;
-const EXCUSED_MILLISECONDS = 3_000;
+const ANSWER_MILLISECONDS = 10;
+/** A corruption that is more recent than this is not reported, since an agent cannot have detected it yet. */
+const CORRUPTION_GRACE_MILLISECONDS = 3_000;
 const LATEST = Number.MAX_SAFE_INTEGER;
-const MISDIRECTED = 421;
-const UNAVAILABLE = 503;
+const MISDIRECTED_STATUS = 421;
+const UNAVAILABLE_STATUS = 503;
 
+/** Loads whatever is staged when ordered to; reports versions that it loads although they are incomplete. */
 export class PlatformRunnerStandin {
   faults: PlatformRunnerFaults = {};
   readonly id: string;
+  /** Staged pieces by number. */
   readonly staged = new Map<number, Buffer>();
-  /** When pieces turned bad that lay whole before, in wall clock milliseconds. */
-  private readonly _spoiltAt = new Map<number, number>();
+  /** When a staged piece was corrupted, in Unix milliseconds, by piece. */
+  private readonly _corruptedAt = new Map<number, number>();
   private readonly _options: PlatformRunnerOptions;
   private readonly _server = http.createServer((request, response) => void this._serve(request, response));
   private readonly _waiting: (() => void)[] = [];
@@ -51,7 +55,7 @@
     this._server.keepAliveTimeout = 5_000;
   }
 
-  /** The version in service, 0 for none. */
+  /** The version that it serves; 0 for none. */
   get version(): number {
     return this._version;
   }
@@ -68,21 +72,21 @@
     return this._server.listening;
   }
 
-  /** Ends at once, as in a crash. */
+  /** Closes the server and all connections immediately, as in a crash. */
   close(): void {
     this._server.close();
     this._server.closeAllConnections();
   }
 
-  /** Lets a staged piece turn bad. */
+  /** Corrupts a staged piece. */
   corrupt(piece: number): void {
     const bytes = this.staged.get(piece);
     if (!bytes) return;
     bytes[0] ^= 1;
-    this._spoiltAt.set(piece, Date.now());
+    this._corruptedAt.set(piece, Date.now());
   }
 
-  /** What it writes of itself into the platform's store. */
+  /** Returns the record that the runner writes to the platform's store. */
   record(address: string, zone: string, state: 'ready' | 'draining' = 'ready'): unknown {
     const { service, slots, weights } = this._options;
     const { _sequence: seq_no, _startedAt: born } = this;
@@ -98,7 +102,7 @@
     const [, call] = url.pathname.split('/');
     const piece = url.searchParams.get('item_count');
     if (call === 'report') return sendJsonAnswer(response, 200, this._report());
-    if (call === 'order' || call.startsWith('stage-')) await this._takeTime();
+    if (call === 'order' || call.startsWith('stage-')) await this._delayCall();
     if (call === 'order') return this._order(JSON.parse(body.toString()) as OrderBody, response);
     if (call === 'stage-put') return this._put(Number(piece), body, response);
     if (call === 'stage-get') return this._get(piece, response);
@@ -106,7 +110,7 @@
     await this._run(request, response, url, body.toString());
   }
 
-  private async _takeTime(): Promise<void> {
+  private async _delayCall(): Promise<void> {
     const { callMilliseconds = 0 } = this._options;
     if (callMilliseconds > 0) await pause(this._callTimes.fraction() * callMilliseconds);
   }
@@ -134,7 +138,7 @@
 
   private _put(piece: number, body: Buffer, response: http.ServerResponse): void {
     this.staged.set(piece, body);
-    this._spoiltAt.delete(piece);
+    this._corruptedAt.delete(piece);
     response.writeHead(200).end();
   }
 
@@ -159,19 +163,19 @@
     else sendJsonAnswer(response, 202, {});
   }
 
-  /** Takes what lies staged now, serves it once what runs has ended. */
+  /** Loads the pieces that are staged now; serves them when the running requests have ended. */
   private async _start(weights: WeightsShape, version: number): Promise<void> {
     const digests = versionDigests(weights, version);
     const now = Date.now();
-    const whole = digests.every((digest, piece) => {
+    const isComplete = digests.every((digest, piece) => {
       const bytes = this.staged.get(piece);
-      // nobody can notice what turned bad a moment ago
-      const isExcused = now - (this._spoiltAt.get(piece) ?? Number.NEGATIVE_INFINITY) < EXCUSED_MILLISECONDS;
-      return bytes !== undefined && (isExcused || sha256Hex(bytes) === digest);
+      const isRecentlyCorrupted =
+        now - (this._corruptedAt.get(piece) ?? Number.NEGATIVE_INFINITY) < CORRUPTION_GRACE_MILLISECONDS;
+      return bytes !== undefined && (isRecentlyCorrupted || sha256Hex(bytes) === digest);
     });
-    if (!whole) this._options.onIncompleteVersion(this.id, version);
+    if (!isComplete) this._options.onIncompleteVersion(this.id, version);
     while (this._active > 0) await pause(EVENT_MILLISECONDS);
-    await pause(WARM_MILLISECONDS);
+    await pause(LOAD_MILLISECONDS);
     this._version = version;
     this._starting = false;
   }
@@ -186,8 +190,8 @@
     const { headers } = request;
     const id = String(headers['x-attempt-id'] ?? '');
     this._options.onArrival?.({ id, runner: this.id, at: Date.now() });
-    const refusal = this._refusal(headers);
-    if (refusal) return this._turnAway(response, refusal, id);
+    const rejection = this._rejectionStatus(headers);
+    if (rejection) return this._reject(response, rejection, id);
     if (this._active >= slots) await new Promise<void>((resume) => this._waiting.push(resume));
     if (response.destroyed) return this._waiting.shift()?.();
     this._active++;
@@ -205,33 +209,34 @@
   }
 
   private async _crash(body: string): Promise<void> {
-    await pause(ENDING_MILLISECONDS);
+    await pause(CRASH_DELAY_MILLISECONDS);
     this.close();
     this._options.onCrash?.(this, body);
   }
 
-  /** The status by which a request is turned away, 0 when it is let in. */
-  private _refusal(headers: http.IncomingHttpHeaders): number {
+  /** Returns the status with which to reject a request; 0 to accept it. */
+  private _rejectionStatus(headers: http.IncomingHttpHeaders): number {
     const target = headers['x-target-instance'] ?? this.id;
     const expected = Number(headers['x-expected-version'] ?? this._version);
-    if (target !== this.id) return MISDIRECTED;
-    if (this._options.weights && (this._version === 0 || expected !== this._version)) return MISDIRECTED;
-    const isFull = this._active + this._waiting.length >= this._options.slots + QUEUE;
+    if (target !== this.id) return MISDIRECTED_STATUS;
+    if (this._options.weights && (this._version === 0 || expected !== this._version))
+      return MISDIRECTED_STATUS;
+    const isFull = this._active + this._waiting.length >= this._options.slots + MAX_QUEUED;
     const { sheddingShare = 0 } = this.faults;
     const isShed = this.faults.shedding || (sheddingShare > 0 && this._options.fraction() < sheddingShare);
-    return this._starting || isFull || isShed ? UNAVAILABLE : 0;
+    return this._starting || isFull || isShed ? UNAVAILABLE_STATUS : 0;
   }
 
-  private _turnAway(response: http.ServerResponse, status: number, id: string): void {
+  private _reject(response: http.ServerResponse, status: number, id: string): void {
     const own = { 'x-not-executed': '1', 'x-attempt-id': id, 'content-length': 0 };
-    response.writeHead(status, { ...own, ...this._speak(id, status === UNAVAILABLE) }).end();
+    response.writeHead(status, { ...own, ...this._signalHeaders(id, status === UNAVAILABLE_STATUS) }).end();
   }
 
-  /** The headers of what it says of itself in the answer to a request. */
-  private _speak(id: string, turnsAway: boolean): http.OutgoingHttpHeaders {
-    const spoken = sentSignals(this.faults, { id, runner: this.id }, turnsAway);
-    if (hasSignals(spoken)) this._options.onSignals?.(spoken);
-    return signalHeaders(spoken);
+  /** Returns the backpressure headers of an answer, and reports them. */
+  private _signalHeaders(id: string, isRejected: boolean): http.OutgoingHttpHeaders {
+    const signals = sentSignals(this.faults, { id, runner: this.id }, isRejected);
+    if (hasSignals(signals)) this._options.onSignals?.(signals);
+    return signalHeaders(signals);
   }
 
   private async _answer(
@@ -239,27 +244,22 @@
     response: http.ServerResponse,
     id: string,
     url: URL,
-    drawn: number,
+    random: number,
   ): Promise<void> {
-    const {
-      resetShare: lostShare = 0,
-      errorShare: failedShare = 0,
-      truncatedShare: brokenShare = 0,
-      extraAnswerShare: extraShare = 0,
-    } = this.faults;
+    const { resetShare = 0, errorShare = 0, truncatedShare = 0, extraAnswerShare = 0 } = this.faults;
     const own = { 'x-attempt-id': id, 'x-server-seal': sealOf(id) };
-    const headers: http.OutgoingHttpHeaders = { ...own, ...this._speak(id, false) };
+    const headers: http.OutgoingHttpHeaders = { ...own, ...this._signalHeaders(id, false) };
     if (this._options.weights) headers['x-weight-versions'] = String(this._version);
-    if (drawn < lostShare) return void response.destroy();
-    if (drawn < lostShare + failedShare) return void response.writeHead(500, headers).end('failed');
-    const isBroken = drawn < lostShare + failedShare + brokenShare;
-    if (url.searchParams.has('stream')) return this._stream(request, response, id, headers, isBroken);
-    await pause(PLAIN_MILLISECONDS);
+    if (random < resetShare) return void response.destroy();
+    if (random < resetShare + errorShare) return void response.writeHead(500, headers).end('failed');
+    const isTruncated = random < resetShare + errorShare + truncatedShare;
+    if (url.searchParams.has('stream')) return this._stream(request, response, id, headers, isTruncated);
+    await pause(ANSWER_MILLISECONDS);
     const body = `answer of ${id}`;
     response.writeHead(200, { ...headers, 'content-length': body.length });
-    if (isBroken) return void response.write(body.slice(0, 3), () => response.destroy());
+    if (isTruncated) return void response.write(body.slice(0, 3), () => response.destroy());
     response.end(body);
-    if (drawn < lostShare + failedShare + brokenShare + extraShare)
+    if (random < resetShare + errorShare + truncatedShare + extraAnswerShare)
       request.socket.write(
         `HTTP/1.1 200 OK\r\nx-attempt-id: ${id}\r\nx-server-seal: s\r\ncontent-length: 2\r\n\r\nno`,
       );
@@ -270,10 +270,10 @@
     response: http.ServerResponse,
     id: string,
     headers: http.OutgoingHttpHeaders,
-    isBroken: boolean,
+    isTruncated: boolean,
   ): Promise<void> {
     const first = Number(request.headers['last-event-id'] ?? 0) + 1;
-    const last = isBroken ? first + 1 : LATEST;
+    const last = isTruncated ? first + 1 : LATEST;
     response.writeHead(200, { ...headers, 'content-type': 'text/event-stream' });
     for (let event = first; event <= STREAM_EVENTS && !response.destroyed; event++) {
       await pause(EVENT_MILLISECONDS);
