--- a/standins/platformRunnerFaults.ts
+++ b/standins/platformRunnerFaults.ts
@@ -3,7 +3,7 @@
 /** Faults that can be injected. Each share is the fraction of requests that are affected. */
 export interface PlatformRunnerFaults {
   /** Runs the request, then closes the connection without an answer. */
-  resetShare?: number;
+  lostAnswerShare?: number;
   /** Runs the request, then answers with status 500. */
   errorShare?: number;
   /** Closes the connection in the middle of the answer. */
@@ -28,7 +28,7 @@
 
 /** Faults that are injected one at a time. */
 export const RUNNER_FAULTS: readonly PlatformRunnerFaults[] = [
-  { resetShare: 0.2 },
+  { lostAnswerShare: 0.2 },
   { errorShare: 0.4 },
   { truncatedShare: 0.3 },
   { extraAnswerShare: 0.3 },
--- a/standins/platformRunnerStandin.ts
+++ b/standins/platformRunnerStandin.ts
@@ -246,7 +246,12 @@
     url: URL,
     random: number,
   ): Promise<void> {
-    const { resetShare = 0, errorShare = 0, truncatedShare = 0, extraAnswerShare = 0 } = this.faults;
+    const {
+      lostAnswerShare: resetShare = 0,
+      errorShare = 0,
+      truncatedShare = 0,
+      extraAnswerShare = 0,
+    } = this.faults;
     const own = { 'x-attempt-id': id, 'x-server-seal': sealOf(id) };
     const headers: http.OutgoingHttpHeaders = { ...own, ...this._signalHeaders(id, false) };
     if (this._options.weights) headers['x-weight-versions'] = String(this._version);
