--- a/standins/objectApiStandin.ts
+++ b/standins/objectApiStandin.ts
@@ -135,13 +135,13 @@
 
   private async _waitForChange(milliseconds: number): Promise<void> {
     await new Promise<void>((resolve) => {
-      const wake = (): void => {
+      const resume = (): void => {
         clearTimeout(timer);
-        this._watchers.delete(wake);
+        this._watchers.delete(resume);
         resolve();
       };
-      const timer = setTimeout(wake, Math.min(milliseconds, 1_000));
-      this._watchers.add(wake);
+      const timer = setTimeout(resume, Math.min(milliseconds, 1_000));
+      this._watchers.add(resume);
     });
   }
 }
--- a/standins/originStandin.ts
+++ b/standins/originStandin.ts
@@ -36,7 +36,10 @@
 
 const PIECE_BYTES = 64 * 1024;
 
-/** Serves `/weights/{customer}/{model}/{version}/manifest|data`; `POST /_versions` publishes a {@link VersionRecipe}. */
+/**
+ * Serves `/weights/{customer}/{model}/{version}/manifest` and `/data`. `POST /_versions` publishes a
+ * {@link VersionRecipe}.
+ */
 export class OriginStandin extends StandinServer<OriginFaults> {
   private readonly _versions = new Map<string, StoredVersion>();
   private readonly _limiter: RateLimiter;
--- a/standins/platformRunnerStandin.ts
+++ b/standins/platformRunnerStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a runner of the platform: serves requests, reports, orders and staged pieces over the runner's HTTP API. */
+/** Stand-in for a runner of the platform: requests, reports, orders and staged pieces over the runner's HTTP API. */
 import http from 'node:http';
 import { readBody } from '../src/utils/httpBody.js';
 import { placementHash, sha256Hex } from '../src/utils/hash.js';
@@ -24,7 +24,7 @@
 const ANSWER_MILLISECONDS = 10;
 /** A corruption that is more recent than this is not reported, since an agent cannot have detected it yet. */
 const CORRUPTION_GRACE_MILLISECONDS = 3_000;
-const LATEST = Number.MAX_SAFE_INTEGER;
+const NO_EVENT = Number.MAX_SAFE_INTEGER;
 const MISDIRECTED_STATUS = 421;
 const UNAVAILABLE_STATUS = 503;
 
@@ -246,25 +246,20 @@
     url: URL,
     random: number,
   ): Promise<void> {
-    const {
-      lostAnswerShare: resetShare = 0,
-      errorShare = 0,
-      truncatedShare = 0,
-      extraAnswerShare = 0,
-    } = this.faults;
+    const { lostAnswerShare = 0, errorShare = 0, truncatedShare = 0, extraAnswerShare = 0 } = this.faults;
     const own = { 'x-attempt-id': id, 'x-server-seal': sealOf(id) };
     const headers: http.OutgoingHttpHeaders = { ...own, ...this._signalHeaders(id, false) };
     if (this._options.weights) headers['x-weight-versions'] = String(this._version);
-    if (random < resetShare) return void response.destroy();
-    if (random < resetShare + errorShare) return void response.writeHead(500, headers).end('failed');
-    const isTruncated = random < resetShare + errorShare + truncatedShare;
+    if (random < lostAnswerShare) return void response.destroy();
+    if (random < lostAnswerShare + errorShare) return void response.writeHead(500, headers).end('failed');
+    const isTruncated = random < lostAnswerShare + errorShare + truncatedShare;
     if (url.searchParams.has('stream')) return this._stream(request, response, id, headers, isTruncated);
     await pause(ANSWER_MILLISECONDS);
     const body = `answer of ${id}`;
     response.writeHead(200, { ...headers, 'content-length': body.length });
     if (isTruncated) return void response.write(body.slice(0, 3), () => response.destroy());
     response.end(body);
-    if (random < resetShare + errorShare + truncatedShare + extraAnswerShare)
+    if (random < lostAnswerShare + errorShare + truncatedShare + extraAnswerShare)
       request.socket.write(
         `HTTP/1.1 200 OK\r\nx-attempt-id: ${id}\r\nx-server-seal: s\r\ncontent-length: 2\r\n\r\nno`,
       );
@@ -278,12 +273,12 @@
     isTruncated: boolean,
   ): Promise<void> {
     const first = Number(request.headers['last-event-id'] ?? 0) + 1;
-    const last = isTruncated ? first + 1 : LATEST;
+    const truncatedEvent = isTruncated ? first + 1 : NO_EVENT;
     response.writeHead(200, { ...headers, 'content-type': 'text/event-stream' });
     for (let event = first; event <= STREAM_EVENTS && !response.destroyed; event++) {
       await pause(EVENT_MILLISECONDS);
       const text = eventText(id, event);
-      if (event >= last)
+      if (event >= truncatedEvent)
         return void response.write(text.slice(0, text.length >> 1), () => response.destroy());
       response.write(text);
     }
--- a/tests/originConnections.spec.ts
+++ b/tests/originConnections.spec.ts
@@ -1,11 +1,11 @@
 /**
- * After the second of three losses of power no box got a version any more, and nothing that a model serves was answered until the
- * day ended. A box that loses its power says nothing, so that its connections stay open at the origin and count; each box held two for
- * chunks and one for manifests, nine boxes 27, and the origin resets what is above 48. From then on every call ended alike, 376 times:
+ * A box that loses power does not close its connections, so they stay open at the origin and count towards its limit
+ * of 48. Each box used to keep three connections open (two for chunks, one for manifests): nine boxes held 27. After
+ * the second of three power losses the origin reset every new connection, so that no box could fetch a version any
+ * more and requests for models failed from then on. Processes that are killed don't cause this, since the operating
+ * system closes their connections. The failure was logged 376 times as:
  *
  *   manifest.failed  model m0 version 3  reason "origin.manifest: read ECONNRESET"
- *
- * The same day with processes that are killed, whose connections end with them, had no such line.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
@@ -15,40 +15,40 @@
 
 const SHAPE = { model: 'm0', chunks: 4, chunkBytes: 8_192 };
 const BOXES = 9;
-/** As the platform's pages name it for the service of the origin. */
-const MOST_CONNECTIONS = 48;
-/** So slow that pieces are on their way when the power goes. */
+/** The connection limit of the platform's origin. */
+const MAX_CONNECTIONS = 48;
+/** Slow enough that pieces are still being sent when the power fails. */
 const BYTES_PER_SECOND = 400_000;
-const LOSSES = 4;
+const POWER_LOSSES = 4;
 
 let standin: PlatformOriginStandin;
 let address: string;
-let relays: StallingProxy[];
+let proxies: StallingProxy[];
 
 beforeEach(async () => {
-  relays = [];
-  const link = { bytesPerSecond: BYTES_PER_SECOND, maximumConnections: MOST_CONNECTIONS };
+  proxies = [];
+  const link = { bytesPerSecond: BYTES_PER_SECOND, maximumConnections: MAX_CONNECTIONS };
   standin = new PlatformOriginStandin(SHAPE, () => 1, link);
   address = await standin.listen();
 });
 
 afterEach(() => {
-  for (const relay of relays) relay.close();
+  for (const proxy of proxies) proxy.close();
   standin.close();
 });
 
-/** A box's way to the origin, and its client. */
+/** A box's client of the origin, and the proxy that it connects through. */
 interface Box {
-  relay: StallingProxy;
+  proxy: StallingProxy;
   origin: PlatformOrigin;
 }
 
-async function boot(): Promise<Box[]> {
+async function startBoxes(): Promise<Box[]> {
   return await Promise.all(
     Array.from({ length: BOXES }, async () => {
-      const relay = new StallingProxy(address);
-      relays.push(relay);
-      return { relay, origin: new PlatformOrigin(await relay.listen()) };
+      const proxy = new StallingProxy(address);
+      proxies.push(proxy);
+      return { proxy, origin: new PlatformOrigin(await proxy.listen()) };
     }),
   );
 }
@@ -58,28 +58,28 @@
   return await origin.read({ ...range, offset: piece * SHAPE.chunkBytes }, new AbortController().signal);
 }
 
-/** Reads the manifest and begins to read two pieces, as two versions on their way do. */
-async function draw({ origin }: Box): Promise<void> {
+/** Reads the manifest and starts to read two pieces, as when two versions are fetched at the same time. */
+async function fetchVersion({ origin }: Box): Promise<void> {
   await origin.manifest('', SHAPE.model, '2');
   await Promise.any([beginPiece(origin, 0), beginPiece(origin, 1)]);
 }
 
-test('should reach the origin after boxes have lost their power four times amid draws', async () => {
-  for (let loss = 0; loss < LOSSES; loss++) {
-    const boxes = await boot();
-    await Promise.all(boxes.map(async (box) => await draw(box)));
-    for (const { relay } of boxes) relay.stall();
+test('should reach the origin after boxes have lost power four times while fetching pieces', async () => {
+  for (let loss = 0; loss < POWER_LOSSES; loss++) {
+    const boxes = await startBoxes();
+    await Promise.all(boxes.map(async (box) => await fetchVersion(box)));
+    for (const { proxy } of boxes) proxy.stall();
   }
-  const last = await boot();
+  const boxes = await startBoxes();
   const manifests = await Promise.allSettled(
-    last.map(async ({ origin }) => await origin.manifest('', SHAPE.model, '2')),
+    boxes.map(async ({ origin }) => await origin.manifest('', SHAPE.model, '2')),
   );
   expect(manifests.filter(({ status }) => status === 'rejected').length).toEqual(0);
   expect(standin.resets).toEqual(0);
 });
 
-test('should hold one connection to the origin, whatever is asked of it at once', async () => {
-  const boxes = await boot();
-  await Promise.all(boxes.map(async (box) => await draw(box)));
+test('should keep at most one connection to the origin open, regardless of concurrent requests', async () => {
+  const boxes = await startBoxes();
+  await Promise.all(boxes.map(async (box) => await fetchVersion(box)));
   expect(standin.connections).toEqual(BOXES);
 });
--- a/tests/platformAdapter.spec.ts
+++ b/tests/platformAdapter.spec.ts
@@ -1,4 +1,4 @@
-/** The adapter to the users' platform: settings, records, and that its names stand nowhere else. */
+/** The platform adapter: settings and records. Also checks that the platform's names occur nowhere else. */
 import { spawnSync } from 'node:child_process';
 import { readFileSync, readdirSync, writeFileSync, mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -54,7 +54,7 @@
   }
 }
 
-test('should turn the settings file into settings of a gateway', () => {
+test('should convert the settings file to settings of a gateway', () => {
   const settings = readGatewaySettings(settingsFile(COMMON), KEY);
   expect(settings.box).toEqual('edge-north-1');
   expect(settings.callerAddress).toEqual('10.1.0.40:8005');
@@ -65,17 +65,21 @@
   expect(settings.seeds).toEqual(['10.2.0.37:8000', '10.3.0.38:8000']);
 });
 
-test('should turn the settings file into settings of an agent', () => {
+test('should convert the settings file to settings of an agent', () => {
   const settings = readStagingSettings(settingsFile(COMMON), KEY);
   expect([settings.box, settings.linkKilobits, settings.chunkPort]).toEqual(['10-1-0-40', 6_580, 7_701]);
 });
 
 for (const [what, content, field] of [
   ['no zone', { ...COMMON, zone: undefined }, 'zone'],
-  ['a bound that is no number', { ...COMMON, bounds: { ...COMMON.bounds, grace_s: 'x' } }, 'bounds.grace_s'],
+  [
+    'a bound that is not a number',
+    { ...COMMON, bounds: { ...COMMON.bounds, grace_s: 'x' } },
+    'bounds.grace_s',
+  ],
   ['no store', { ...COMMON, platform: {} }, 'platform.address'],
   ['no address for callers', { ...COMMON, listen: {} }, 'listen.front'],
-  ['a file that is no JSON', '{', 'LARKLATCH_CONFIG'],
+  ['a file that is not JSON', '{', 'LARKLATCH_CONFIG'],
 ] as const) {
   test(`should name the field in settings with ${what}`, () => {
     const [problem] = problemsOf(() => readGatewaySettings(settingsFile(content), KEY));
@@ -83,7 +87,7 @@
   });
 }
 
-test('should name the variable when no settings file is named', () => {
+test('should name the environment variable if it is not set', () => {
   expect(problemsOf(() => readStagingSettings(undefined, KEY))[0]).toEqual(
     'LARKLATCH_CONFIG: not set; it names the settings file',
   );
@@ -119,7 +123,7 @@
   expect(read?.customers).toEqual([{ name: 't', keys: ['k'], priority: 1 }]);
 });
 
-test('should treat a request of an unknown type as one that may run once only', () => {
+test('should treat a request of an unknown type as not idempotent', () => {
   const route = { host: 'h', path_prefix: '/', type: 'new', service: 'a' };
   const read = reader.configuration('main', { version: 1, routes: [route], services: [] });
   expect(read.unwrapOr(undefined)?.routes[0].kind).toEqual('once');
@@ -128,9 +132,9 @@
 for (const [what, value] of [
   ['nothing', undefined],
   ['no version', { routes: [], services: [] }],
-  ['a text', 'x'],
+  ['a string', 'x'],
 ] as const) {
-  test(`should not take ${what} for a configuration`, () => {
+  test(`should reject ${what} as a configuration`, () => {
     expect(reader.configuration('main', value).isErr()).toEqual(true);
   });
 }
@@ -148,40 +152,40 @@
 };
 
 for (const field of ['service', 'address', 'zone', 'version', 'slots', 'state', 'cold_left_ms', 'seq_no'])
-  test(`should not read a backend server without ${field}`, () => {
+  test(`should reject a backend server without ${field}`, () => {
     expect(reader.server('i-1', { ...SERVER, [field]: undefined }).isErr()).toEqual(true);
   });
 
 for (const [what, changes] of [
-  ['a state that is not known', { state: 'starting' }],
-  ['a service that is no text', { service: 7 }],
+  ['an unknown state', { state: 'starting' }],
+  ['a service that is not a string', { service: 7 }],
   ['an address without a port', { address: '1.1.1.1' }],
-  ['an address with a port that is none', { address: '1.1.1.1:70000' }],
-  ['an address with odd bytes', { address: '1.1.1.1\r\n:80' }],
-  ['fewer than no slots', { slots: -1 }],
-  ['slots without an end', { slots: 1e300 }],
-  ['slots that are no number', { slots: '16' }],
-  ['half a millisecond in its start', { born: 1.5 }],
-  ['a start that is no number', { born: '1700000000000' }],
-  ['a start before all time', { born: -1 }],
-  ['models that are no list', { models: { name: 'm', version: 1 } }],
-  ['a model of a version that is no whole number', { models: [{ name: 'm', version: 1.5 }] }],
+  ['an address with an invalid port', { address: '1.1.1.1:70000' }],
+  ['an address with control characters', { address: '1.1.1.1\r\n:80' }],
+  ['a negative number of slots', { slots: -1 }],
+  ['an excessive number of slots', { slots: 1e300 }],
+  ['slots that are not a number', { slots: '16' }],
+  ['a start time with a fraction of a millisecond', { born: 1.5 }],
+  ['a start time that is not a number', { born: '1700000000000' }],
+  ['a negative start time', { born: -1 }],
+  ['models that are not a list', { models: { name: 'm', version: 1 } }],
+  ['a model version that is not an integer', { models: [{ name: 'm', version: 1.5 }] }],
 ] as const) {
-  test(`should not read a backend server with ${what}`, () => {
+  test(`should reject a backend server with ${what}`, () => {
     expect(reader.server('i-1', { ...SERVER, ...changes }).isErr()).toEqual(true);
   });
 }
 
-test('should not read a backend server whose id cannot stand in a header', () => {
+test('should reject a backend server whose id is not valid in a header', () => {
   for (const id of ['', 'a b', 'a\r\nx-tenant: other', 'é'])
     expect(reader.server(id, SERVER).isErr()).toEqual(true);
 });
 
-test('should read a backend server that does not tell when it started', () => {
+test('should read a backend server without a start time', () => {
   expect(reader.server('i-1', { ...SERVER, born: undefined }).unwrapOr(undefined)?.startedAt).toEqual(0);
 });
 
-test('should read a named version only under the name of its model', () => {
+test('should read a target version only under the name of its model', () => {
   expect(reader.version('m', { model: 'm', version: 3 }).unwrapOr(undefined)).toEqual({
     model: 'm',
     version: 3,
@@ -212,7 +216,7 @@
 const PLATFORM_NAMES =
   /x-(attempt-id|server-seal|target-instance|not-executed|weight-versions|prefix-hash|token-usage|deadline-ms)|latency_goal_ms|path_prefix|non_idempotent|LARKLATCH_CONFIG|port_range|stage-(put|get)|seq_no|api_keys/i;
 
-test("should keep the platform's names inside the adapter", () => {
+test("should use the platform's names only in the adapter", () => {
   const sources = readdirSync('src', { recursive: true, encoding: 'utf8' }).filter((file) =>
     file.endsWith('.ts'),
   );
@@ -222,12 +226,12 @@
   expect(offenders).toEqual([]);
 });
 
-for (const [what, words, problem] of [
+for (const [what, args, problem] of [
   ['no settings file', ['entry'], 'LARKLATCH_CONFIG: not set'],
   ['no such role', ['other'], 'role: got other; allowed: entry, agent'],
 ] as const) {
   test(`should end with exit code 2 and one line, given ${what}`, () => {
-    const result = spawnSync(process.execPath, ['dist/platform/main.js', ...words], {
+    const result = spawnSync(process.execPath, ['dist/platform/main.js', ...args], {
       env: { LARKLATCH_SHARED_KEY: KEY },
       encoding: 'utf8',
     });
--- a/tests/platformProcesses.spec.ts
+++ b/tests/platformProcesses.spec.ts
@@ -1,4 +1,4 @@
-/** The gateway as a process, as the platform starts it: settings file, store, callers, SIGHUP, SIGTERM. */
+/** The gateway process as the platform starts it: settings file, store, requests, SIGHUP and SIGTERM. */
 import { spawn, spawnSync } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
@@ -66,8 +66,8 @@
     limits: { max_body_bytes: 1000, idle_timeout_ms: 5000 },
     tenants: [{ name: 'studio', api_keys: ['key'] }],
   });
-  const place = { service: 'plain', address, zone: 'north', slots: 4, state: 'ready' };
-  store.put('servers', 'i-1', { ...place, version: 'v1', cold_left_ms: 0, seq_no: 0 });
+  const server = { service: 'plain', address, zone: 'north', slots: 4, state: 'ready' };
+  store.put('servers', 'i-1', { ...server, version: 'v1', cold_left_ms: 0, seq_no: 0 });
   [front, ready, directory] = [
     `${ADDRESS}:${await freePort(ADDRESS)}`,
     `${ADDRESS}:${await freePort(ADDRESS)}`,
@@ -99,7 +99,7 @@
   store.close();
 });
 
-test('should serve a request in the names of the platform', async () => {
+test("should serve a request with the platform's header names", async () => {
   expect((await get(ready, '/readyz'))[0]).toEqual(200);
   const [status, answer] = await get(directory, '/resolve?name=host.example&region=r&zone=north');
   expect([status, JSON.parse(answer)]).toEqual([200, { addresses: [front], ttl_s: 2 }]);
@@ -118,18 +118,18 @@
   expect(arrived.headers.has('authorization')).toEqual(false);
 });
 
-test('should leave only a line at SIGHUP', async () => {
+test('should only log a line on SIGHUP', async () => {
   gateway.kill('SIGHUP');
   await until(() => output.includes('gateway.reload'));
   expect((await get(ready, '/readyz'))[0]).toEqual(200);
 });
 
-test('should write lines of JSON that name box and step', () => {
+test('should write log lines as JSON with the box', () => {
   const lines = output.trim().split('\n');
   expect(lines.every((line) => JSON.parse(line).box === 'edge-north-1')).toEqual(true);
 });
 
-test('should outlive a SIGHUP that comes while it starts', async () => {
+test('should not exit on a SIGHUP while it starts', async () => {
   const pipe = path.join(mkdtempSync(path.join(tmpdir(), 'early-')), 'boot.json');
   spawnSync('mkfifo', [pipe]);
   const early = spawn(process.execPath, ['dist/platform/main.js', 'entry'], {
@@ -141,7 +141,7 @@
   const ended = new Promise<[number | null, string | null]>((resolve) =>
     early.once('exit', (code, signal) => resolve([code, signal])),
   );
-  // opens when the process opens it to read its settings, which it then waits for
+  // resolves when the process has opened the pipe and waits to read its settings
   const writer = await open(pipe, 'w');
   early.kill('SIGHUP');
   await writer.writeFile('{}');
@@ -150,7 +150,7 @@
   expect(errors).toMatchRegex(/node_name/);
 });
 
-test('should hear signals before it loads anything else', () => {
+test('should handle signals before it loads other modules', () => {
   const imported = (file: string): string[] =>
     [...readFileSync(`dist/platform/${file}`, 'utf8').matchAll(/^import .*?'([^']+)'/gm)].map(
       ([, name]) => name,
@@ -161,7 +161,7 @@
   expect(bundled).toEqual(['./codeCache.js', './earlySignals.js']);
 });
 
-test('should leave in order at SIGTERM', async () => {
+test('should shut down gracefully on SIGTERM', async () => {
   const exited = new Promise<number | null>((resolve) => gateway.once('exit', resolve));
   gateway.kill('SIGTERM');
   await until(() => output.includes('gateway.leaving'));
--- a/tests/platformRunner.spec.ts
+++ b/tests/platformRunner.spec.ts
@@ -1,4 +1,4 @@
-/** The adapter's calls to a runner and to the origin of weights, against stand-ins of both. */
+/** The adapter's clients of the runner and of the origin of weights, tested against stand-ins. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterEach, beforeEach, test } from 'node:test';
@@ -17,10 +17,10 @@
 let runner: PlatformRunner;
 let originStandin: PlatformOriginStandin;
 let origin: PlatformOrigin;
-const unwhole: number[] = [];
+const incompleteVersions: number[] = [];
 
 beforeEach(async () => {
-  unwhole.length = 0;
+  incompleteVersions.length = 0;
   standin = new PlatformRunnerStandin({
     id: 'i-1',
     service: 'chat',
@@ -28,7 +28,7 @@
     weights: SHAPE,
     version: 1,
     onExecution: () => undefined,
-    onIncompleteVersion: (_runner, version) => unwhole.push(version),
+    onIncompleteVersion: (_runner, version) => incompleteVersions.push(version),
     fraction: () => 0,
   });
   const port = await freePort();
@@ -70,7 +70,7 @@
   });
 });
 
-test('should lay chunks and read back what lies there', async () => {
+test('should stage chunks and read them back', async () => {
   const bytes = versionChunk(SHAPE, 2, 3);
   await runner.putChunk(SHAPE.model, 3, bytes);
   expect(await runner.stagedChunks(SHAPE.model)).toEqual([3]);
@@ -78,29 +78,29 @@
   expect(await runner.getChunk(SHAPE.model, 0)).toEqual(undefined);
 });
 
-test('should order a version that is whole, and see it in service', async () => {
+test('should order a complete version and see it served', async () => {
   await stageAll(2);
   expect(await runner.startVersion(SHAPE.model, 2, 0)).toEqual('begun');
   await until(() => standin.version === 2);
   expect((await runner.status()).revision).toEqual(1);
   expect(await runner.startVersion(SHAPE.model, 2, 1)).toEqual('done');
-  expect(unwhole).toEqual([]);
+  expect(incompleteVersions).toEqual([]);
 });
 
-test('should tell that an order of an earlier state is refused', async () => {
+test('should report an order with another revision as refused', async () => {
   await stageAll(2);
   expect(await runner.startVersion(SHAPE.model, 2, 7)).toEqual('refused');
   expect(standin.version).toEqual(1);
 });
 
-test('should not know what came of an order whose answer is lost', async () => {
+test('should report an order whose answer is lost as unknown', async () => {
   await stageAll(2);
   standin.faults = { lostOrderAnswers: true };
   expect(await runner.startVersion(SHAPE.model, 2, 0)).toEqual('unknown');
   await until(() => standin.version === 2);
 });
 
-test('should wait for the answer to an order less long than for that to a chunk', async () => {
+test('should have a shorter timeout for orders than for chunks', async () => {
   standin.faults = { silent: true };
   const order = runner.startVersion(SHAPE.model, 2, 0);
   const chunk = runner.putChunk(SHAPE.model, 0, Buffer.alloc(1)).catch(() => 'no answer');
@@ -108,7 +108,7 @@
   await chunk;
 });
 
-test('should fail with the step at a report that is none', async () => {
+test('should fail with the name of the step if the report is invalid', async () => {
   const server = http.createServer((_request, response) => response.writeHead(200).end('<html>'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
@@ -117,14 +117,14 @@
   server.closeAllConnections();
 });
 
-test('should fail with the step at a runner that is gone', async () => {
+test('should fail with the name of the step if the runner is gone', async () => {
   standin.close();
   await expect(runner.status()).toBeRejectedWith(/runner\.report/);
   await expect(runner.putChunk(SHAPE.model, 0, Buffer.alloc(1))).toBeRejectedWith(/runner\.stage-put/);
   await expect(runner.getChunk(SHAPE.model, 0)).toBeRejectedWith(/runner\.stage-get/);
 });
 
-test('should read digests and pieces of the origin', async () => {
+test('should read digests and pieces from the origin', async () => {
   const manifest = await origin.manifest('', SHAPE.model, '3');
   expect(manifest.chunks.map(({ size }) => size)).toEqual([1_000, 1_000, 1_000, 1_000]);
   for (const chunk of [0, 3])
@@ -132,20 +132,20 @@
 });
 
 for (const status of [404, 410, 429, 503]) {
-  test(`should fail with the step when the origin answers ${status}`, async () => {
+  test(`should fail with the name of the step if the origin answers ${status}`, async () => {
     originStandin.faults = { status };
     await expect(origin.manifest('', SHAPE.model, '3')).toBeRejectedWith(/origin\.manifest/);
     await expect(readPiece(3, 0)).toBeRejectedWith(/origin\.read/);
   });
 }
 
-test('should hand spoilt bytes on, for the digest to tell', async () => {
+test('should return corrupt bytes, which the caller detects by the digest', async () => {
   originStandin.faults = { corruptShare: 1 };
   const manifest = await origin.manifest('', SHAPE.model, '3');
   expect(sha256Hex(await readPiece(3, 0)) === manifest.chunks[0].digest).toEqual(false);
 });
 
-test('should fail when a piece breaks off', async () => {
+test('should fail if the connection is closed within a piece', async () => {
   originStandin.faults = { truncatedShare: 1 };
   await expect(readPiece(3, 0)).toBeRejected();
 });
