--- a/standins/platformStoreStandin.ts
+++ b/standins/platformStoreStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's metadata store: objects by kind and name, paged lists, watches and conditional writes. */
+/** Stand-in for the platform's metadata store: objects by kind and name, paged lists, watches, conditional writes. */
 import type http from 'node:http';
 import { z } from 'zod';
 import { StandinServer, sendJsonAnswer } from './standinServer.js';
--- a/tests/originConnections.spec.ts
+++ b/tests/originConnections.spec.ts
@@ -78,7 +78,7 @@
   expect(standin.resets).toEqual(0);
 });
 
-test('should keep at most one connection to the origin open, regardless of concurrent requests', async () => {
+test('should use a single connection to the origin for concurrent requests', async () => {
   const boxes = await startBoxes();
   await Promise.all(boxes.map(async (box) => await fetchVersion(box)));
   expect(standin.connections).toEqual(BOXES);
