--- a/standins/platformStoreStandin.ts
+++ b/standins/platformStoreStandin.ts
@@ -20,7 +20,7 @@
 }
 
 /** An object, or the tombstone of a deleted one (`gone`). */
-export interface HeldObject {
+export interface StandinObject {
   kind: string;
   name: string;
   revision: number;
@@ -31,7 +31,7 @@
 /** A snapshot to which the store can be rolled back. */
 export interface StoreCopy {
   revision: number;
-  objects: readonly HeldObject[];
+  objects: readonly StandinObject[];
 }
 
 const ERA_HEADER = 'store-era';
@@ -54,7 +54,7 @@
   eraHeader: string | undefined;
   /** All calls so far, as `METHOD path?query`. */
   readonly calls: string[] = [];
-  private readonly _objects: HeldObject[] = [];
+  private readonly _objects: StandinObject[] = [];
   private readonly _watchers = new Set<() => void>();
   private _revision = 0;
   private _unansweredWrites = 0;
@@ -149,16 +149,16 @@
   }
 
   /** Returns the current objects of a kind. */
-  all(kind: string): readonly HeldObject[] {
+  all(kind: string): readonly StandinObject[] {
     return this._objects.filter((object) => object.kind === kind && !object.gone);
   }
 
   /** Returns the current object; undefined if there is none. */
-  get(kind: string, name: string): HeldObject | undefined {
+  get(kind: string, name: string): StandinObject | undefined {
     return this._objects.find((object) => object.kind === kind && object.name === name && !object.gone);
   }
 
-  private _change(change: Omit<HeldObject, 'revision'>): void {
+  private _change(change: Omit<StandinObject, 'revision'>): void {
     const current = this._objects.findIndex(({ kind, name }) => kind === change.kind && name === change.name);
     if (current >= 0) this._objects.splice(current, 1);
     this._revision++;
@@ -181,7 +181,7 @@
   ): Promise<void> {
     const isUnknown = after < this._droppedUpTo || after > this._revision;
     if (isUnknown) return sendJsonAnswer(response, 410, {});
-    const changes = (): HeldObject[] =>
+    const changes = (): StandinObject[] =>
       this._objects.filter((object) => object.kind === kind && object.revision > after);
     if (changes().length === 0) await this._waitForChange(wait);
     this._setEraHeader(response);
@@ -203,6 +203,6 @@
   }
 }
 
-function toWire({ name, revision, spec }: HeldObject): unknown {
+function toWire({ name, revision, spec }: StandinObject): unknown {
   return { metadata: { name, revision, finalizers: [], deleting: false }, spec, status: null };
 }
