--- a/standins/localFleet.ts
+++ b/standins/localFleet.ts
@@ -31,7 +31,7 @@
 export const OPERATOR_KEY = 'operator-key-for-loopback';
 const TIMEOUT_MILLISECONDS = 15_000;
 const POLL_MILLISECONDS = 20;
-/** How often a change is retried while the entry answers 503. */
+/** How often, and at which interval, a change is retried while the entry answers 503. */
 const PUBLISH_RETRIES = 20;
 const PUBLISH_RETRY_MILLISECONDS = 500;
 /** An entry has at least this many peers if there are as many other entries. */
--- a/standins/platformRunnerOptions.ts
+++ b/standins/platformRunnerOptions.ts
@@ -30,7 +30,7 @@
   onExecution: (execution: Execution) => void;
   /** Called when a request arrives. */
   onArrival?: (arrival: Arrival) => void;
-  /** Called when an answer with a backpressure header is sent. */
+  /** Called before an answer with a backpressure header is sent. */
   onSignals?: (signals: SentSignals) => void;
   /** Called when a request has crashed the runner. The runner is already closed. */
   onCrash?: (runner: PlatformRunnerStandin, body: string) => void;
@@ -39,8 +39,8 @@
   /** Returns a random number from 0 to 1. */
   fraction: () => number;
   /**
-   * Maximum delay of orders and calls for staged pieces; 0 by default. The delay of each call is random, seeded by the
-   * runner's id.
+   * Maximum delay of orders and of calls that stage or read pieces; 0 by default. The delay of each call is random,
+   * seeded by the runner's id.
    */
   callMilliseconds?: number;
 }
--- a/standins/platformRunnerStandin.ts
+++ b/standins/platformRunnerStandin.ts
@@ -22,19 +22,19 @@
 const LOAD_MILLISECONDS = 60;
 const EVENT_MILLISECONDS = 15;
 const ANSWER_MILLISECONDS = 10;
-/** A corruption that is more recent than this is not reported, since an agent cannot have detected it yet. */
+/** A piece that was corrupted more recently than this counts as intact: an agent cannot have detected it yet. */
 const CORRUPTION_GRACE_MILLISECONDS = 3_000;
 const NO_EVENT = Number.MAX_SAFE_INTEGER;
 const MISDIRECTED_STATUS = 421;
 const UNAVAILABLE_STATUS = 503;
 
-/** Loads whatever is staged when ordered to; reports versions that it loads although they are incomplete. */
+/** Loads what is staged when it gets an order, even if that is incomplete, and reports incomplete versions to the test. */
 export class PlatformRunnerStandin {
   faults: PlatformRunnerFaults = {};
   readonly id: string;
   /** Staged pieces by number. */
   readonly staged = new Map<number, Buffer>();
-  /** When a staged piece was corrupted, in Unix milliseconds, by piece. */
+  /** By piece: when it was corrupted, in Unix milliseconds. */
   private readonly _corruptedAt = new Map<number, number>();
   private readonly _options: PlatformRunnerOptions;
   private readonly _server = http.createServer((request, response) => void this._serve(request, response));
--- a/standins/runLog.ts
+++ b/standins/runLog.ts
@@ -1,4 +1,4 @@
-/** Log of the requests that a backend server stand-in ran, for checks by tests. */
+/** Log of the requests that a backend server stand-in ran. Tests compare it with the answers that callers got. */
 
 /** One execution of a request. */
 export interface Run {
