--- a/standins/platformRunnerStandin.ts
+++ b/standins/platformRunnerStandin.ts
@@ -28,7 +28,7 @@
 const MISDIRECTED_STATUS = 421;
 const UNAVAILABLE_STATUS = 503;
 
-/** Loads what is staged when it gets an order, even if that is incomplete, and reports incomplete versions to the test. */
+/** Loads what is staged when it gets an order, even if that is incomplete; reports incomplete versions. */
 export class PlatformRunnerStandin {
   faults: PlatformRunnerFaults = {};
   readonly id: string;
