--- a/bench/rolloutFaults.ts
+++ b/bench/rolloutFaults.ts
@@ -22,7 +22,7 @@
   const coordinator = await findCoordinator(fleet, 'studio', 'advisor');
   await fleet.box(coordinator).child.end('SIGKILL');
   await pause(BOX_LIST_LAG_MILLISECONDS);
-  await Promise.all([...killed, coordinator].map((box) => fleet.unlist(box)));
+  await Promise.all([...killed, coordinator].map((box) => fleet.removeFromBoxList(box)));
   await pause(FROZEN_MILLISECONDS - BOX_LIST_LAG_MILLISECONDS);
   frozen.signal('SIGCONT');
   return killed;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -119,7 +119,7 @@
   console.log(`killing the agent of ${killedBox}`);
   await fleet.box(killedBox).child.end('SIGKILL');
   await pause(1_000);
-  await fleet.unlist(killedBox);
+  await fleet.removeFromBoxList(killedBox);
 }
 
 /** Prints the progress of a rollout until all boxes serve the version. */
@@ -186,7 +186,7 @@
     plainBoxesPerDataCentre: 1,
     originBytesPerSecond: ORIGIN_BYTES_PER_SECOND,
     boxBytesPerSecond: BOX_BYTES_PER_SECOND,
-    damagingBoxes: withFaults ? [`${DATA_CENTRES[1]}-model-3`] : [],
+    corruptingBoxes: withFaults ? [`${DATA_CENTRES[1]}-model-3`] : [],
   });
   try {
     await prepare(fleet);
--- a/soak/fleetOptions.ts
+++ b/soak/fleetOptions.ts
@@ -1,7 +1,7 @@
 /** Options of a soak's fleet, and the listener for events of its backend servers. */
 import type { Random } from '../src/utils/random.js';
 import type { OriginLink } from '../standins/platformOriginStandin.js';
-import type { Arrival, SpokenSignals } from '../standins/platformRunnerSignals.js';
+import type { Arrival, SentSignals } from '../standins/platformRunnerSignals.js';
 import type { Execution } from '../standins/platformRunnerOptions.js';
 import type { WeightsShape } from '../standins/weightsFixture.js';
 import type { ProcessRole } from './fleetProcess.js';
@@ -42,7 +42,7 @@
   /** A request has reached a server, which may still reject it. */
   onArrival(arrival: Arrival): void;
   /** A server has sent a limit, a drain notice or a Retry-After in the headers of an answer. */
-  onSignals(spoken: SpokenSignals): void;
+  onSignals(spoken: SentSignals): void;
   /** A server has activated a version that lacks chunks or has corrupted ones. */
   onIncompleteVersion(runner: string, version: number): void;
   /** The request with this body has crashed a server. */
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -1,6 +1,6 @@
 /** Checks the records of callers and backend servers against the promises of docs/PROMISES.md. */
 import type { Execution } from '../standins/platformRunnerOptions.js';
-import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
+import { CRASH_BODY } from '../standins/platformRunnerStandin.js';
 import type { Call } from './callerLog.js';
 import type { SignalChecks } from './signalChecks.js';
 
@@ -129,7 +129,7 @@
     this._checkOnce(execution.id);
     this._checkVersion(execution);
     this._checkDraining(execution);
-    if (execution.body.startsWith(ENDING_BODY)) this._checkCrashing(execution);
+    if (execution.body.startsWith(CRASH_BODY)) this._checkCrashing(execution);
   }
 
   /** The request with this body has crashed a server. */
--- a/soak/signalChecks.ts
+++ b/soak/signalChecks.ts
@@ -2,7 +2,7 @@
  * Checks that the entries together obey the signals in the answers of servers: limits, drain notices and
  * Retry-After.
  */
-import type { Arrival, SpokenSignals } from '../standins/platformRunnerSignals.js';
+import type { Arrival, SentSignals } from '../standins/platformRunnerSignals.js';
 import type { BreachListener } from './promiseChecks.js';
 
 /** What the checks need to know about callers and faults. Times are in wall clock milliseconds. */
@@ -42,7 +42,7 @@
 export class SignalChecks {
   private readonly _arrivals = new Map<string, Arrival[]>();
   private readonly _drainingSince = new Map<string, number>();
-  private readonly _rejections: SpokenSignals[] = [];
+  private readonly _rejections: SentSignals[] = [];
   private readonly _limits: LimitPeriod[] = [];
 
   /** A request has reached a server, which may still reject it. */
@@ -53,7 +53,7 @@
   }
 
   /** A server has sent signals in the headers of an answer. */
-  onSignals(signals: SpokenSignals): void {
+  onSignals(signals: SentSignals): void {
     const { runner, at, leaving, retryAfterMilliseconds } = signals;
     if (leaving && !this._drainingSince.has(runner)) this._drainingSince.set(runner, at);
     if (retryAfterMilliseconds > 0) this._rejections.push(signals);
@@ -121,7 +121,7 @@
   }
 
   private _checkRetryAfter(
-    { runner, id, at, retryAfterMilliseconds }: SpokenSignals,
+    { runner, id, at, retryAfterMilliseconds }: SentSignals,
     context: SignalContext,
     breach: BreachListener,
   ): void {
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -1,8 +1,8 @@
 /** Applies the faults and planned operations of a soak, from outside of the processes. */
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
-import { SICKNESSES } from '../standins/platformRunnerFaults.js';
-import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
+import { RUNNER_FAULTS } from '../standins/platformRunnerFaults.js';
+import { CRASH_BODY } from '../standins/platformRunnerStandin.js';
 import type { FaultKind } from './faultKinds.js';
 import { PLANNED_KINDS } from './faultKinds.js';
 import type { FleetProcess } from './fleetProcess.js';
@@ -118,7 +118,7 @@
   /** Applies a fault of anything but entries and agents. */
   private async _applyExternalFault(kind: FaultKind, milliseconds: number): Promise<void> {
     const { store, origin, boxes, storeProxies } = this._fleet;
-    if (kind === 'forget-history') return store.forgetHistory();
+    if (kind === 'forget-history') return store.dropHistory();
     if (kind === 'replace-server') return await this._replaceServer(this._pick(this._boxesOf(MODEL_SERVICE)));
     if (kind === 'crash-server') return await this._crashServer(this._pick(boxes), milliseconds);
     if (kind === 'restart-server') return await this._restartServer(this._pick(boxes));
@@ -202,7 +202,7 @@
   /** Gives a server a fault for a while, and keeps the signals that it sends in its answers. */
   private async _degrade(box: SoakBox, milliseconds: number): Promise<void> {
     const { runner } = box;
-    const faults = this._pick(SICKNESSES);
+    const faults = this._pick(RUNNER_FAULTS);
     runner.faults = { ...runner.faults, ...faults };
     await pause(milliseconds);
     const cleared = Object.fromEntries(Object.keys(faults).map((fault) => [fault, undefined]));
@@ -279,7 +279,7 @@
   /** Sends a request that crashes every server which runs it, again and again, to randomly chosen entries. */
   private async _sendCrashingRequests(): Promise<void> {
     const round = this._crashingRounds++;
-    const body = `${ENDING_BODY} ${round}"}`;
+    const body = `${CRASH_BODY} ${round}"}`;
     for (let sent = 0; sent < CRASHING_REQUESTS; sent++) {
       const id = `crashing-${round}-${sent}`;
       this._checks.onSending(id);
@@ -293,14 +293,14 @@
     this._checks.onVersionAnnounced(this._fleet.announceWeights());
     for (let elapsed = 0; elapsed < milliseconds; elapsed += CORRUPTION_INTERVAL_MILLISECONDS) {
       for (const piece of box.runner.staged.keys()) {
-        if (this._random.fraction() < CORRUPTED_SHARE) box.runner.spoil(piece);
+        if (this._random.fraction() < CORRUPTED_SHARE) box.runner.corrupt(piece);
       }
       await pause(CORRUPTION_INTERVAL_MILLISECONDS);
     }
   }
 
   private _originFaults(): SoakFleet['origin']['faults'] {
-    return this._pick([{ status: 503 }, { silent: true }, { spoiltShare: 0.3 }, { brokenShare: 0.3 }]);
+    return this._pick([{ status: 503 }, { silent: true }, { corruptShare: 0.3 }, { truncatedShare: 0.3 }]);
   }
 
   private _boxesOf(service: typeof MODEL_SERVICE | typeof PLAIN_SERVICE): SoakBox[] {
--- a/soak/soakFleet.ts
+++ b/soak/soakFleet.ts
@@ -239,9 +239,10 @@
       version: service === MODEL_SERVICE ? version : 0,
       onExecution: (execution) => this._options.listener.onExecution(execution),
       onArrival: (arrival) => this._options.listener.onArrival(arrival),
-      onSpoken: (spoken) => this._options.listener.onSignals(spoken),
+      onSignals: (spoken) => this._options.listener.onSignals(spoken),
       onCrash: (runner, body) => void this._onCrash(runner, body),
-      onUnwhole: (runner, incomplete) => this._options.listener.onIncompleteVersion(runner, incomplete),
+      onIncompleteVersion: (runner, incomplete) =>
+        this._options.listener.onIncompleteVersion(runner, incomplete),
       fraction: () => this._options.random.fraction(),
       callMilliseconds: RUNNER_CALL_MILLISECONDS,
     });
--- a/standins/platformRunnerFaults.ts
+++ b/standins/platformRunnerFaults.ts
@@ -1,38 +1,38 @@
-/** What a runner of the platform's stand-in does wrong. */
+/** Faults of the runner stand-in. */
 
-/** What a runner can be told to do wrong; shares are of requests. */
+/** Faults that can be injected. Each share is the fraction of requests that are affected. */
 export interface PlatformRunnerFaults {
-  /** Runs them and resets the connection. */
-  lostShare?: number;
-  /** Answers them with an error of its own. */
-  failedShare?: number;
-  /** Breaks their answers off. */
-  brokenShare?: number;
-  /** Sends a second answer after the first. */
-  extraShare?: number;
-  /** Never answers anything. */
+  /** Runs the request, then closes the connection without an answer. */
+  lostAnswerShare?: number;
+  /** Runs the request, then answers with status 500. */
+  errorShare?: number;
+  /** Closes the connection in the middle of the answer. */
+  truncatedShare?: number;
+  /** Sends a second, unrequested answer after the first. */
+  extraAnswerShare?: number;
+  /** Never answers, not even reports and orders. */
   silent?: boolean;
-  /** Turns everything away. */
+  /** Rejects all requests with status 503. */
   shedding?: boolean;
-  /** Turns this share of requests away. */
+  /** Rejects this share of requests with status 503. */
   sheddingShare?: number;
-  /** Seconds of Retry-After where it turns a request away. */
+  /** Value of the Retry-After header of rejections, in seconds. */
   retryAfterSeconds?: number;
-  /** Names a limit of so many requests a second in all answers to requests. */
+  /** Sends this limit, in requests per second, with all answers to requests. */
   limitPerSecond?: number;
-  /** Says in all answers to requests that it leaves. */
+  /** Announces in all answers to requests that it is leaving. */
   leaving?: boolean;
-  /** Loses the answers to orders that it carries out. */
-  lostOrders?: boolean;
+  /** Executes orders, but closes the connection without an answer. */
+  lostOrderAnswers?: boolean;
 }
 
-/** Ways in which a runner is ill, one at a time. */
-export const SICKNESSES: readonly PlatformRunnerFaults[] = [
-  { lostShare: 0.2 },
-  { failedShare: 0.4 },
-  { brokenShare: 0.3 },
-  { extraShare: 0.3 },
+/** Faults that are injected one at a time. */
+export const RUNNER_FAULTS: readonly PlatformRunnerFaults[] = [
+  { lostAnswerShare: 0.2 },
+  { errorShare: 0.4 },
+  { truncatedShare: 0.3 },
+  { extraAnswerShare: 0.3 },
   { silent: true },
   { shedding: true },
-  { lostOrders: true },
+  { lostOrderAnswers: true },
 ];
--- a/tests/fleetConfiguration.spec.ts
+++ b/tests/fleetConfiguration.spec.ts
@@ -32,7 +32,7 @@
   const { fleet } = context;
   return await Promise.all(
     fleet.entries().map(async (entry) => {
-      const answer = await fleet.operate('GET', PATH, undefined, entry);
+      const answer = await fleet.sendAsOperator('GET', PATH, undefined, entry);
       return answer.status === 200
         ? (answer.body as { parameters: { version: string } }).parameters.version
         : `${answer.status}`;
@@ -99,7 +99,7 @@
   const { fleet } = context;
   const frozen = fleet.entries()[2];
   frozen.child.signal('SIGSTOP');
-  const answer = await fleet.operate('DELETE', PATH);
+  const answer = await fleet.sendAsOperator('DELETE', PATH);
   frozen.child.signal('SIGCONT');
   expect(answer.status).toEqual(200);
   await waitForVersion('404');
@@ -107,7 +107,7 @@
 
 test('should name the field of an invalid configuration', async () => {
   const { fleet } = context;
-  const answer = await fleet.operate('PUT', PATH, {
+  const answer = await fleet.sendAsOperator('PUT', PATH, {
     template: 'chat',
     parameters: { version: 'v 1', boxes: ['x'] },
   });
@@ -118,7 +118,7 @@
 test('should refuse a template that would invalidate a configuration that uses it', async () => {
   const { fleet } = context;
   await fleet.publish(PATH, body('v7'));
-  const answer = await fleet.operate('PUT', '/v1/templates/chat', {
+  const answer = await fleet.sendAsOperator('PUT', '/v1/templates/chat', {
     parameters: {},
     rollout: { model: 'judge' },
   });
--- a/tests/fleetRequests.spec.ts
+++ b/tests/fleetRequests.spec.ts
@@ -87,7 +87,7 @@
   const duringStop = Array.from({ length: 24 }, () => randomUUID());
   for (const key of duringStop) expect((await notice(fleet, key)).status).toEqual(200);
   expect(await ended).toEqual(0);
-  await fleet.unlist(leaving);
+  await fleet.removeFromBoxList(leaving);
   const later = Array.from({ length: 24 }, () => randomUUID());
   for (const key of later) expect((await notice(fleet, key)).status).toEqual(200);
   for (const key of keys) {
@@ -226,11 +226,11 @@
   const { fleet } = context;
   const box = fleet.modelBoxes()[1];
   const load = sendContinuously([0, 1]);
-  await fleet.listAs(box, 'leaving');
+  await fleet.setBoxState(box, 'leaving');
   await fleet.until('the box gets no new requests', async () => (await runsDuringFortyRequests(box)) === 0);
   expect(await runsDuringFortyRequests(box)).toEqual(0);
   expect(await load.stop()).toEqual([]);
-  await fleet.listAs(box, 'live');
+  await fleet.setBoxState(box, 'live');
 });
 
 test('should cut no answers on a planned stop of an entry', async () => {
--- a/tests/fleetRollout.spec.ts
+++ b/tests/fleetRollout.spec.ts
@@ -113,7 +113,12 @@
   const { blobDigest } = await fleet.publishVersion(recipe);
   const body = { template: 'chat', parameters: { version, boxes: fleet.modelBoxes() } };
   await fleet.until('the change is accepted', async () => {
-    const answer = await fleet.operate('PUT', '/v1/configurations/korrigan/judge', body, fleet.box(entry));
+    const answer = await fleet.sendAsOperator(
+      'PUT',
+      '/v1/configurations/korrigan/judge',
+      body,
+      fleet.box(entry),
+    );
     return answer.status === 200;
   });
   return blobDigest;
@@ -150,7 +155,7 @@
   await untilInProgress('v10');
   const victim = fleet.modelBoxes()[1];
   await fleet.box(victim).child.end('SIGKILL');
-  await fleet.unlist(victim);
+  await fleet.removeFromBoxList(victim);
   await fleet.untilComplete('korrigan', 'judge', 'v10');
   await expectServed('v10', digest);
   await fleet.restart(victim);
@@ -169,7 +174,7 @@
 
 test('should remove a withdrawn configuration from every box', async () => {
   const { fleet } = context;
-  const answer = await fleet.operate('DELETE', '/v1/configurations/korrigan/judge');
+  const answer = await fleet.sendAsOperator('DELETE', '/v1/configurations/korrigan/judge');
   expect(answer.status).toEqual(200);
   await fleet.until(
     'withdrawn',
--- a/tests/signalChecks.spec.ts
+++ b/tests/signalChecks.spec.ts
@@ -3,13 +3,13 @@
 import { expect } from 'earl';
 import { SignalChecks } from '../soak/signalChecks.js';
 import type { SignalContext } from '../soak/signalChecks.js';
-import type { SpokenSignals } from '../standins/platformRunnerSignals.js';
+import type { SentSignals } from '../standins/platformRunnerSignals.js';
 
 const RUNNER = 'i-1';
 /** When the server sent its signals. */
 const SENT_AT = 1_000;
 
-function signals(changes: Partial<SpokenSignals>): SpokenSignals {
+function signals(changes: Partial<SentSignals>): SentSignals {
   const none = { limitPerSecond: undefined, leaving: false, retryAfterMilliseconds: 0 };
   return { id: 'first', runner: RUNNER, at: SENT_AT, ...none, ...changes };
 }
@@ -30,7 +30,7 @@
 
 /** Returns the promises that are broken when requests arrive from these entries at these times. */
 function brokenPromises(
-  sent: SpokenSignals,
+  sent: SentSignals,
   arrivals: readonly (readonly [string, number])[],
   changes: Partial<SignalContext> = {},
 ): string[] {
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -6,7 +6,7 @@
 import type { FaultKind } from '../soak/faultKinds.js';
 import { FAULT_KINDS } from '../soak/faultKinds.js';
 import type { Execution } from '../standins/platformRunnerOptions.js';
-import { ENDING_BODY } from '../standins/platformRunnerStandin.js';
+import { CRASH_BODY } from '../standins/platformRunnerStandin.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
 /** Kinds that the first test leaves out: its seed draws another sequence from another list. */
@@ -154,7 +154,7 @@
 });
 
 test('should report runs of a request that crashes servers, once all entries must know about it', () => {
-  const body = `${ENDING_BODY} 1"}`;
+  const body = `${CRASH_BODY} 1"}`;
   const breachesAfter = (runs: number, hasFault = false): string[] => {
     const promiseChecks = createChecks();
     for (let crash = 0; crash < 3; crash++) promiseChecks.onCrash(body);
