--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -290,7 +290,7 @@
     const hasOtherDataCentres = this._boxes
       .withRole('entry')
       .some((entry) => entry.dataCentre !== dataCentre);
-    return hasOtherDataCentres && this._replicator.otherDataCentreSilence > isolatedMilliseconds;
+    return hasOtherDataCentres && this._replicator.millisecondsSinceOtherDataCentre > isolatedMilliseconds;
   }
 }
 
--- a/src/membership/replicator.ts
+++ b/src/membership/replicator.ts
@@ -47,7 +47,7 @@
   private readonly _timers: NodeJS.Timeout[] = [];
   private _peerBoxes: readonly Box[] = [];
   private _leaving = false;
-  private _otherDataCentreHeardAt = Number.NEGATIVE_INFINITY;
+  private _otherDataCentreConnectedAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: ReplicatorOptions) {
     this._options = options;
@@ -57,10 +57,10 @@
   }
 
   /** Milliseconds since an entry of another data centre was last connected; 0 while one is. */
-  get otherDataCentreSilence(): number {
+  get millisecondsSinceOtherDataCentre(): number {
     const connected = [...this._peers.values()].some((peer) => this._isOtherDataCentre(peer));
-    if (connected) this._otherDataCentreHeardAt = this._options.clock.now();
-    return this._options.clock.now() - this._otherDataCentreHeardAt;
+    if (connected) this._otherDataCentreConnectedAt = this._options.clock.now();
+    return this._options.clock.now() - this._otherDataCentreConnectedAt;
   }
 
   get peerCount(): number {
@@ -177,7 +177,7 @@
 
   private _onClose(box: string, peer: EntryPeer, reason: string): void {
     if (this._peers.get(box) !== peer) return;
-    if (this._isOtherDataCentre(peer)) this._otherDataCentreHeardAt = this._options.clock.now();
+    if (this._isOtherDataCentre(peer)) this._otherDataCentreConnectedAt = this._options.clock.now();
     this._peers.delete(box);
     this._options.logger.state('entry.lost', { peer: box, reason });
   }
