--- a/src/agent/agentDaemon.ts
+++ b/src/agent/agentDaemon.ts
@@ -44,8 +44,8 @@
   uploads: UploadQueue;
 }
 
-/** Upper bound on the time after which an isolated entry stops sending requests that must run at most once. */
-const STALE_ENTRY_MILLISECONDS = 15_000;
+/** Upper bound on the time for which an isolated entry continues to send non-repeatable requests. */
+const ISOLATED_ENTRY_MILLISECONDS = 15_000;
 /** Enough to keep the incoming link busy while some of the fetches wait in a peer's upload queue. */
 const MAXIMUM_CONCURRENT_FETCHES = 8;
 const IMPORT_STEP_MILLISECONDS = 2_000;
@@ -96,7 +96,7 @@
     this._ledger = new Ledger({
       clock,
       keyLifetimeMilliseconds: settings.keyLifetimeMilliseconds,
-      blindMilliseconds: settings.keyLifetimeMilliseconds + STALE_ENTRY_MILLISECONDS,
+      blindMilliseconds: settings.keyLifetimeMilliseconds + ISOLATED_ENTRY_MILLISECONDS,
       maximumKeys: settings.ledgerKeys,
     });
     const slots = settings.backendSlots;
--- a/src/agent/backendForwarder.ts
+++ b/src/agent/backendForwarder.ts
@@ -28,7 +28,7 @@
 type BackendAnswer = Awaited<ReturnType<typeof httpRequest>>;
 
 const MAXIMUM_KEPT_ANSWER_BYTES = 64 * 1024;
-/** One hour, since a backend server may need long for its first byte. Callers cancel a request by disconnecting. */
+/** One hour, since the first byte of an answer may take long. Callers cancel a request by disconnecting. */
 const BACKEND_TIMEOUT_MILLISECONDS = 3_600_000;
 
 /** Forwards requests to the backend server of this box. */
--- a/src/agent/orderHandler.ts
+++ b/src/agent/orderHandler.ts
@@ -40,7 +40,7 @@
   logger: Logger;
   /** Called after each plan, since it may have changed the neighbours. */
   onPlan: () => void;
-  /** Called when this agent was given other slots of the ledger. */
+  /** Called after each order that sets the ledger slots of this agent. */
   onLedger: () => void;
   isLeaving: () => boolean;
 }
--- a/src/agent/requestGate.ts
+++ b/src/agent/requestGate.ts
@@ -35,7 +35,7 @@
   answer: StoredAnswer;
 }
 
-const VERDICT_REASON: Record<Exclude<LedgerDecision['kind'], 'run' | 'answered'>, RefusalReason> = {
+const LEDGER_REFUSAL_REASON: Record<Exclude<LedgerDecision['kind'], 'run' | 'answered'>, RefusalReason> = {
   started: 'already-started',
   'not-owner': 'not-owner',
   uncertain: 'uncertain',
@@ -70,11 +70,11 @@
   /** Admits a request, returns its stored answer, or refuses it. */
   admit(request: GateRequest): Result<RequestPermit | Replay, Refusal> {
     const host = this._findHost(request.customer, request.configuration);
-    const verdict = request.ledgerRequest
+    const decision = request.ledgerRequest
       ? this._ledger.check(serviceKey(request), request.ledgerRequest)
       : undefined;
-    if (verdict?.kind === 'answered') return ok({ kind: 'replay', answer: verdict.answer });
-    if (verdict && verdict.kind !== 'run') return err(refusalFor(VERDICT_REASON[verdict.kind]));
+    if (decision?.kind === 'answered') return ok({ kind: 'replay', answer: decision.answer });
+    if (decision && decision.kind !== 'run') return err(refusalFor(LEDGER_REFUSAL_REASON[decision.kind]));
     const permit = this._admitToVersion(request, host);
     if (permit.isErr() && request.ledgerRequest) this._ledger.cancel(request.ledgerRequest.key);
     return permit;
--- a/src/agent/serviceHost.ts
+++ b/src/agent/serviceHost.ts
@@ -33,7 +33,7 @@
 const LOAD_RETRY_BACKOFF = { firstMilliseconds: 200, longestMilliseconds: 5_000 };
 const ACCEPTED: OrderResult = { accepted: true };
 
-/** Refuses each order with an epoch lower than the highest seen so far. */
+/** Remembers the highest epoch of its orders, so that orders with a lower epoch can be refused. */
 export class ServiceHost {
   private readonly _options: ServiceHostOptions;
   readonly name: string;
@@ -56,7 +56,7 @@
     return this._active;
   }
 
-  /** The version being staged and the one in service. */
+  /** The version being staged and the one in service, if any. Once it is activated, both are the same version. */
   get versions(): StagedVersion[] {
     const versions = new Set([this._target, this._active]);
     return [...versions].filter((version) => version !== undefined);
@@ -128,8 +128,8 @@
   }
 
   /** Runs orders one after the other, so that none sees an intermediate state of another one. */
-  private async _runInSequence<T>(order: () => T | Promise<T>): Promise<T> {
-    const result = this._orders.then(order);
+  private async _runInSequence<T>(execute: () => T | Promise<T>): Promise<T> {
+    const result = this._orders.then(execute);
     this._orders = result.catch(() => undefined);
     return await result;
   }
--- a/src/cli/rolloutCommand.ts
+++ b/src/cli/rolloutCommand.ts
@@ -43,7 +43,7 @@
   ]);
 }
 
-/** Whether all live boxes serve the wanted version, or none serves the configuration after its withdrawal. */
+/** Whether all live boxes serve the target version, or none serves the configuration after its withdrawal. */
 export function isComplete(status: RolloutStatus): boolean {
   if (status.withdrawn) return status.phase === 'withdrawn';
   return status.phase === 'complete' && status.replicas === status.boxes;
--- a/src/cli/runCommand.ts
+++ b/src/cli/runCommand.ts
@@ -29,7 +29,7 @@
   staging: stagingSettingsSchema,
 };
 const TIMEOUT_MILLISECONDS = 10_000;
-/** Default longest pause of a stream that is in time: the limit in the users' deployments. */
+/** Longest pause of a stream that is in time, by default: the limit in the users' deployments. */
 const LONGEST_PAUSE_MILLISECONDS = 300;
 
 const operatorSettingsSchema = z.object({
--- a/src/configuration/apiFollower.ts
+++ b/src/configuration/apiFollower.ts
@@ -8,9 +8,9 @@
 import { pause } from '../utils/timers.js';
 import type { Replica } from './replica.js';
 
-const RETRY = { firstMilliseconds: 200, longestMilliseconds: 5_000 };
-/** How often an entry that does not watch checks whether it should. */
-const IDLE_MILLISECONDS = 500;
+const RETRY_BACKOFF = { firstMilliseconds: 200, longestMilliseconds: 5_000 };
+/** Interval at which an entry that does not watch checks whether it should. */
+const WATCH_CHECK_INTERVAL_MILLISECONDS = 500;
 
 /** Watches only while `shouldWatch` returns true; the other entries receive changes from the entries that watch. */
 export class ApiFollower {
@@ -38,7 +38,7 @@
     this._replica = replica;
     this._clock = clock;
     this._logger = logger;
-    this._backoff = new Backoff(RETRY, random);
+    this._backoff = new Backoff(RETRY_BACKOFF, random);
     this._shouldWatch = shouldWatch;
   }
 
@@ -56,7 +56,7 @@
   async run(): Promise<void> {
     while (!this._stopped.signal.aborted) {
       if (this._seenRevision !== undefined && !this._shouldWatch())
-        await pause(IDLE_MILLISECONDS, this._stopped.signal);
+        await pause(WATCH_CHECK_INTERVAL_MILLISECONDS, this._stopped.signal);
       else await this._step();
     }
   }
--- a/src/configuration/changeHandler.ts
+++ b/src/configuration/changeHandler.ts
@@ -57,12 +57,14 @@
   /** Applies a change whose value has already been validated. */
   async change(request: ChangeRequest): Promise<Result<AcceptedChange, ChangeRefusal>> {
     const known = this._replica.record(request.key);
-    if (this._isRepeated(known, request)) return await this._confirmed(known!);
-    if (request.value === undefined && known?.deleted) return await this._confirmed(known);
+    if (this._isRepeated(known, request)) return await this._acceptWhenConfirmed(known!);
+    if (request.value === undefined && known?.deleted) return await this._acceptWhenConfirmed(known);
     if (request.value === undefined && !known) return err({ kind: 'not-found' });
     const expected = request.expectedRevision ?? this._replica.liveRevision(request.key);
     const outcome = await this._write(request, expected);
-    return outcome.kind === 'written' ? await this._confirmed(outcome.record) : err(refusalOf(outcome));
+    return outcome.kind === 'written'
+      ? await this._acceptWhenConfirmed(outcome.record)
+      : err(refusalOf(outcome));
   }
 
   private async _write(request: ChangeRequest, expected: number): Promise<ConditionalWriteOutcome> {
@@ -75,7 +77,9 @@
     return (known.value as { changeId?: string }).changeId === request.changeId;
   }
 
-  private async _confirmed(record: ReplicatedRecord): Promise<Result<AcceptedChange, ChangeRefusal>> {
+  private async _acceptWhenConfirmed(
+    record: ReplicatedRecord,
+  ): Promise<Result<AcceptedChange, ChangeRefusal>> {
     if (await this._confirmer.confirm(record)) return ok({ record });
     return err({
       kind: 'unresolved',
--- a/src/configuration/conditionalWriter.ts
+++ b/src/configuration/conditionalWriter.ts
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Records a deletion whose revision is unknown, one above the last known revision of the object. The watch delivers
-   * the real revision later.
+   * Records a deletion whose revision is unknown under the revision after the last known one of the object. The watch
+   * delivers the real revision later.
    */
   private _recordDeletion(key: string): ReplicatedRecord {
     const revision = (this._replica.record(key)?.revision ?? 0) + 1;
--- a/src/configuration/resolveSpecification.ts
+++ b/src/configuration/resolveSpecification.ts
@@ -20,7 +20,7 @@
 ): Result<Specification, FieldProblem[]> {
   const problems = [
     ...unknownParameters(template, configuration),
-    ...wrongParameters(template, configuration),
+    ...invalidParameters(template, configuration),
   ];
   if (problems.length > 0) return err(problems);
   const rollout: Record<string, unknown> = {};
@@ -58,7 +58,7 @@
     }));
 }
 
-function wrongParameters(template: Template, configuration: Configuration): FieldProblem[] {
+function invalidParameters(template: Template, configuration: Configuration): FieldProblem[] {
   const problems: FieldProblem[] = [];
   for (const [name, parameter] of Object.entries(template.parameters)) {
     const value = configuration.parameters[name] ?? parameter.default;
--- a/src/configuration/template.ts
+++ b/src/configuration/template.ts
@@ -43,7 +43,7 @@
   switch: switchModeSchema.default('together'),
   /** Number of boxes that must be ready before any box switches. */
   leastReadyReplicas: z.number().int().min(1).default(1),
-  /** Limit on the bytes that are downloaded from the origin, as a multiple of the size of the version. */
+  /** Limit on the bytes that are fetched from the origin, as a multiple of the size of the version. */
   originBudgetCopies: z.number().min(1).max(1_000).default(1.25),
   /** Weight of the customer, relative to other customers, when a box and the origin are shared. */
   weight: z.number().positive().max(100).default(1),
--- a/src/entry/callerApi.ts
+++ b/src/entry/callerApi.ts
@@ -32,8 +32,10 @@
   routes: RouteTable;
   ledgers: ParsedRecords<LedgerRecord>;
   sharedKey: string;
+  /** How long callers may keep the list of entries. */
   entriesKeepSeconds: number;
-  entriesFor: (dataCentre: string, asker: string) => EntryAddress[];
+  /** Returns the entries for a caller; `callerKey` spreads the callers over them. */
+  entriesFor: (dataCentre: string, callerKey: string) => EntryAddress[];
   dataCentre: string;
   clock: Clock;
   random: Random;
@@ -88,8 +90,8 @@
 
   private _answerEntries(response: http.ServerResponse, url: URL, customer: string): void {
     const dataCentre = url.searchParams.get('dataCentre') ?? this._options.dataCentre;
-    const asker = url.searchParams.get('asker') ?? `${customer}/${response.socket?.remoteAddress ?? ''}`;
-    const entries = this._options.entriesFor(dataCentre, asker);
+    const callerKey = url.searchParams.get('asker') ?? `${customer}/${response.socket?.remoteAddress ?? ''}`;
+    const entries = this._options.entriesFor(dataCentre, callerKey);
     answerJson(response, 200, { entries, keepSeconds: this._options.entriesKeepSeconds });
   }
 
@@ -172,12 +174,12 @@
     target: Pick<CallerRequest, 'name' | 'path' | 'body' | 'affinity'>,
     repeatable: boolean,
   ): Promise<void> {
-    const terms = parseCallerOptions(request.headers, repeatable);
-    if (terms.isErr()) return answerProblems(response, terms.error);
+    const callerOptions = parseCallerOptions(request.headers, repeatable);
+    if (callerOptions.isErr()) return answerProblems(response, callerOptions.error);
     const arrivedAt = this._options.clock.now();
     const callerRequest: CallerRequest = {
       ...target,
-      ...terms.value,
+      ...callerOptions.value,
       id: randomUUID(),
       method: request.method ?? 'POST',
       contentType: headerText(request.headers, 'content-type') || 'application/json',
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -49,7 +49,7 @@
   controlPort: number;
 }
 
-/** Interval at which the set of linked agents is updated, since the leases held by this entry change. */
+/** Interval at which an entry updates its links to agents, which depend on the leases that it holds. */
 const LINK_UPDATE_INTERVAL_MILLISECONDS = 1_000;
 const DRAIN_POLL_MILLISECONDS = 20;
 /** How long a stopping entry still accepts requests, so that callers and other entries learn that it is leaving. */
@@ -198,7 +198,7 @@
       ledgers: this._ledgers,
       sharedKey: settings.sharedKey,
       entriesKeepSeconds: settings.entriesKeepSeconds,
-      entriesFor: (dataCentre, asker) => this._entriesFor(dataCentre, asker),
+      entriesFor: (dataCentre, callerKey) => this._entriesFor(dataCentre, callerKey),
       dataCentre: settings.dataCentre,
     });
     const statusReader = new RolloutStatusReader({
@@ -279,8 +279,8 @@
     });
   }
 
-  private _entriesFor(dataCentre: string, asker: string): EntryAddress[] {
-    return orderEntries(this._usableEntries(), dataCentre, asker);
+  private _entriesFor(dataCentre: string, callerKey: string): EntryAddress[] {
+    return orderEntries(this._usableEntries(), dataCentre, callerKey);
   }
 
   /** Whether this entry has reached neither the object API nor an entry of another data centre for too long. */
--- a/src/entry/entryHttpServer.ts
+++ b/src/entry/entryHttpServer.ts
@@ -20,7 +20,7 @@
   private readonly _options: EntryHttpOptions;
   private readonly _server = http.createServer((request, response) => void this._serve(request, response));
   private _inFlight = 0;
-  private _leaving = false;
+  private _keepAliveDisabled = false;
 
   constructor(options: EntryHttpOptions) {
     this._options = options;
@@ -38,7 +38,7 @@
 
   /** Adds `connection: close` to later answers, so that callers send no more requests on existing connections. */
   disableKeepAlive(): void {
-    this._leaving = true;
+    this._keepAliveDisabled = true;
   }
 
   close(): void {
@@ -48,7 +48,7 @@
   private async _serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     this._inFlight++;
     response.once('close', () => this._inFlight--);
-    if (this._leaving) response.setHeader('connection', 'close');
+    if (this._keepAliveDisabled) response.setHeader('connection', 'close');
     try {
       await this._route(request, response, new URL(request.url ?? '/', 'http://entry'));
     } catch (error) {
--- a/src/entry/rolloutStatusReader.ts
+++ b/src/entry/rolloutStatusReader.ts
@@ -37,12 +37,13 @@
   configuration: string;
   revision: number;
   withdrawn: boolean;
+  /** The target version; '' if there is no valid specification. */
   wantedVersion: string;
   phase: string;
   startedAt: string;
   activatedAt: string;
   completedAt: string;
-  /** Number of boxes that serve the wanted version. */
+  /** Number of boxes that serve the target version. */
   replicas: number;
   /** Number of boxes expected to serve it. */
   boxes: number;
@@ -87,7 +88,7 @@
       startedAt,
       activatedAt,
       completedAt,
-      replicas: expected.filter((member) => servesWantedVersion(member, wanted)).length,
+      replicas: expected.filter((member) => servesTargetVersion(member, wanted)).length,
       boxes: expected.length,
       bytes: bytesOf(record, members),
       heldBackBy: heldBackBy(wanted, record, expected),
@@ -136,7 +137,7 @@
   return bytes;
 }
 
-function servesWantedVersion(member: RolloutBox, wanted: WantedConfiguration): boolean {
+function servesTargetVersion(member: RolloutBox, wanted: WantedConfiguration): boolean {
   return (
     member.live &&
     member.report !== undefined &&
--- a/src/lease/leaseKeeper.ts
+++ b/src/lease/leaseKeeper.ts
@@ -28,13 +28,13 @@
 /**
  * Each process measures expiry on its own monotonic clock. Other entries regard the lease as free when its object
  * has not changed for one lifetime; the holder regards it as held for one lifetime after it *sent* the last renewal.
- * In addition, every order carries the epoch, and agents refuse an order with a lower epoch than they have seen. So a
- * holder that was paused past its lease can do no harm, whatever its clock says.
+ * In addition, every order carries the epoch, and agents refuse an order with a lower epoch than they have seen. So
+ * the orders of a holder that was paused until after its lease expired are refused, whatever its clock shows.
  */
 export class LeaseKeeper {
   private readonly _options: LeaseKeeperOptions;
   private readonly _machine = createActor(leaseMachine).start();
-  private _lastSeen: { text: string; at: number } | undefined;
+  private _lastSeen: { revision: string; at: number } | undefined;
   private _held: { record: LeaseRecord; revision: number; sentAt: number } | undefined;
   private _writing = false;
 
@@ -79,8 +79,8 @@
   private _isFree(rank: number): boolean {
     const { replica, key, clock, lifetimeMilliseconds } = this._options;
     const record = this._currentRecord();
-    const text = `${replica.record(key)?.revision ?? 0}`;
-    if (this._lastSeen?.text !== text) this._lastSeen = { text, at: clock.now() };
+    const revision = `${replica.record(key)?.revision ?? 0}`;
+    if (this._lastSeen?.revision !== revision) this._lastSeen = { revision, at: clock.now() };
     const unchangedFor = clock.now() - this._lastSeen.at;
     const rankDelay = (rank * lifetimeMilliseconds) / 4;
     if (!record || record.released) return unchangedFor >= rankDelay;
--- a/src/membership/agentLink.ts
+++ b/src/membership/agentLink.ts
@@ -29,13 +29,14 @@
   logger: Logger;
 }
 
+/** An order without its call number, which the connection adds. */
 type Order = CallMessage extends infer Call ? (Call extends unknown ? Omit<Call, 'call'> : never) : never;
 
 const RECONNECT_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 1_000 };
 
 /**
- * An entry's connection to one agent, and the latest report of that agent. Reconnects until closed. Keeps the report
- * after the connection is lost, but is then no longer live.
+ * An entry's connection to one agent, and the latest report of that agent. Reconnects until closed. A link
+ * without a connection keeps the last report, but is not live.
  */
 export class AgentLink extends EventEmitter<AgentLinkEvents> {
   readonly box: Box;
@@ -159,7 +160,7 @@
   }
 }
 
-/** Disables the warning about many listeners, since any number of requests may wait on one link. */
+/** Creates a controller without a limit on listeners, since any number of requests may wait on one link. */
 function createUnlimitedController(): AbortController {
   const controller = new AbortController();
   setMaxListeners(0, controller.signal);
--- a/src/membership/replicationPeers.ts
+++ b/src/membership/replicationPeers.ts
@@ -23,7 +23,7 @@
   return [...new Set([successor, ...own, ...other])];
 }
 
-/** Returns the next entry by name. These edges form a ring, so that the graph is always connected. */
+/** Returns the next entry by name; after the last one, the first. This ring keeps the graph of entries connected. */
 function ringSuccessor(self: Box, entries: readonly Box[]): Box {
   const ordered = [...entries].sort((a, b) => compareText(a.box, b.box));
   const position = ordered.findIndex((entry) => entry.box === self.box);
--- a/src/membership/replicator.ts
+++ b/src/membership/replicator.ts
@@ -30,9 +30,9 @@
 const DIGEST_INTERVAL_MILLISECONDS = 2_000;
 const REDIAL_INTERVAL_MILLISECONDS = 250;
 const CONFIRM_TIMEOUT_MILLISECONDS = 2_000;
-/** Timeout of each attempt to confirm, so that a silent peer doesn't delay asking one that has connected since. */
+/** Timeout of each attempt. It is short because a peer that connects during an attempt is asked only in the next. */
 const CONFIRM_ATTEMPT_TIMEOUT_MILLISECONDS = 300;
-/** Pause between attempts to confirm, in which a peer that has just started may connect. */
+/** Pause between attempts, during which other peers may connect. */
 const CONFIRM_RETRY_MILLISECONDS = 50;
 const RECORDS_PER_MESSAGE = 200;
 
@@ -56,7 +56,7 @@
     this._timers.push(setInterval(() => this._dialMissing(), REDIAL_INTERVAL_MILLISECONDS));
   }
 
-  /** Milliseconds since an entry of another data centre was last connected; 0 while one is. */
+  /** Milliseconds since an entry of another data centre was last connected; 0 while one is, infinite if none was. */
   get millisecondsSinceOtherDataCentre(): number {
     const connected = [...this._peers.values()].some((peer) => this._isOtherDataCentre(peer));
     if (connected) this._otherDataCentreConnectedAt = this._options.clock.now();
@@ -144,7 +144,7 @@
 
   /**
    * Returns the connected peers that can confirm a change: those of other data centres if the box list has entries
-   * there, otherwise those of this data centre.
+   * there, otherwise those of this data centre. Returns 'none-exist' if this is the only entry.
    */
   private _confirmingPeers(): EntryPeer[] | 'none-exist' {
     const { dataCentre, box } = this._options.control.identity;
@@ -194,7 +194,7 @@
     }
   }
 
-  /** The peer replies with the records that this entry lacks. Its own digest brings it those that it lacks. */
+  /** Makes a peer send the records that this entry lacks. The peer gets those that it lacks by its own digests. */
   private _sendDigestToRandomPeer(): void {
     const peers = [...this._peers.values()];
     if (peers.length === 0) return;
--- a/src/settings/gatewaySettings.ts
+++ b/src/settings/gatewaySettings.ts
@@ -30,13 +30,13 @@
     .boolean()
     .default(false)
     .describe(
-      'whether the whole system starts for the first time, so that no process before this one used its bounds',
+      'whether the whole system starts for the first time, so that no earlier process has used any retries',
     ),
   serverHeartbeatMilliseconds: numberSetting(10, 3_600_000, 1_200, 'milliseconds').describe(
     'how often a backend server renews its entry in service discovery',
   ),
   contactMilliseconds: numberSetting(0, 3_600_000, 3_000, 'milliseconds').describe(
-    'time in touch with the store after which all bounds hold',
+    'how long a gateway is exempt from version deadlines after its start, or after it has regained the store',
   ),
 });
 
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -13,10 +13,10 @@
   private readonly _decision: createDebug.Debugger;
   private readonly _common: LogFields;
 
-  /** `part` names the component; the `common` fields are added to every line. */
-  constructor(part: string, common: LogFields = {}) {
-    this._state = createDebug(`larklatch:${part}:state`);
-    this._decision = createDebug(`larklatch:${part}:decision`);
+  /** `component` is a part of the `debug` namespace; the `common` fields are added to every line. */
+  constructor(component: string, common: LogFields = {}) {
+    this._state = createDebug(`larklatch:${component}:state`);
+    this._decision = createDebug(`larklatch:${component}:decision`);
     this._common = common;
   }
 
--- a/src/telemetry/servingMetrics.ts
+++ b/src/telemetry/servingMetrics.ts
@@ -61,15 +61,15 @@
 
   private _record(name: string, service: string, milliseconds: number): void {
     const key = `${name}/${service}`;
-    let entry = this._histograms.get(key);
-    if (!entry) {
+    let named = this._histograms.get(key);
+    if (!named) {
       const options = {
         highestTrackableValue: HIGHEST_MILLISECONDS,
         numberOfSignificantValueDigits: 2,
       } as const;
-      entry = { name, service, histogram: build(options) };
-      this._histograms.set(key, entry);
+      named = { name, service, histogram: build(options) };
+      this._histograms.set(key, named);
     }
-    entry.histogram.recordValue(Math.min(HIGHEST_MILLISECONDS, Math.max(0, Math.round(milliseconds))));
+    named.histogram.recordValue(Math.min(HIGHEST_MILLISECONDS, Math.max(0, Math.round(milliseconds))));
   }
 }
--- a/src/utils/coalescedCall.ts
+++ b/src/utils/coalescedCall.ts
@@ -5,7 +5,7 @@
   private readonly _milliseconds: () => number;
   private _timer: NodeJS.Timeout | undefined;
 
-  /** `run` is called `milliseconds()` after the first `schedule`; further calls of it until then have no effect. */
+  /** `run` is called `milliseconds()` after the first call of `schedule`; calls of `schedule` until then are merged. */
   constructor(milliseconds: () => number, run: () => void) {
     this._milliseconds = milliseconds;
     this._run = run;
--- a/src/utils/sharedInterval.ts
+++ b/src/utils/sharedInterval.ts
@@ -25,8 +25,8 @@
     for (const run of this._callbacks) run();
   }
 
-  private _remove(entry: () => void): void {
-    this._callbacks.delete(entry);
+  private _remove(callback: () => void): void {
+    this._callbacks.delete(callback);
     if (this._callbacks.size > 0) return;
     clearInterval(this._timer);
     this._timer = undefined;
