--- a/src/agent/agentHttpServer.ts
+++ b/src/agent/agentHttpServer.ts
@@ -160,8 +160,8 @@
   }
 
   /**
-   * Returns undefined for a repeatable request. A non-repeatable one names the incarnation that it is sent to; for any
-   * other incarnation the slot is -1, so that the ledger refuses a new key as `not-owner`.
+   * Returns undefined for a repeatable request. A non-repeatable one names the incarnation that it is sent to. If
+   * that is not this incarnation, the slot is -1, so that the ledger refuses a new key as `not-owner`.
    */
   private _ledgerRequest(
     request: http.IncomingMessage,
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -36,7 +36,7 @@
     return true;
   }
 
-  /** Applies a complete listing: known objects up to its revision that it does not contain are marked as deleted. */
+  /** Applies a complete listing. Marks a known object as deleted if it is neither in the listing nor newer than it. */
   applyListing(revision: number, records: readonly ReplicatedRecord[], source: string): void {
     const listed = new Set(records.map((record) => record.key));
     for (const record of records) this.apply(record, source);
--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -1,4 +1,4 @@
-/** Creates and connects the parts of an entry. */
+/** Creates and connects the parts of an entry, the process to which callers and operators send their requests. */
 import { randomUUID } from 'node:crypto';
 import { ApiFollower } from '../configuration/apiFollower.js';
 import { ChangeHandler } from '../configuration/changeHandler.js';
@@ -56,7 +56,7 @@
 const SHUTDOWN_GRACE_MILLISECONDS = 500;
 
 /**
- * An entry. All entries have the same role; any of them may hold leases and so coordinate rollouts.
+ * An entry. Entries are interchangeable: any of them may hold leases and so coordinate rollouts.
  *
  * @example
  * const entry = new EntryDaemon(settings);
--- a/src/external/keepAliveClient.ts
+++ b/src/external/keepAliveClient.ts
@@ -23,7 +23,7 @@
   private readonly _address: string;
   private readonly _client: Client;
 
-  /** `address` is host:port. A call fails up to one second after no data has arrived for `timeoutMilliseconds`. */
+  /** `address` is host:port. A call fails if no data arrives for `timeoutMilliseconds`, possibly one second late. */
   constructor(address: string, timeoutMilliseconds: number) {
     this._address = address;
     this._client = new Client(`http://${address}`, {
--- a/src/lease/leaseKeeper.ts
+++ b/src/lease/leaseKeeper.ts
@@ -29,7 +29,8 @@
  * Each process measures expiry on its own monotonic clock. Other entries regard the lease as free when its object
  * has not changed for one lifetime; the holder regards it as held for one lifetime after it *sent* the last renewal.
  * In addition, every order carries the epoch, and agents refuse an order with a lower epoch than they have seen. So
- * the orders of a holder that was paused until after its lease expired are refused, whatever its clock shows.
+ * if a holder was paused until after its lease expired, agents that have had an order of the next holder refuse its
+ * orders, whatever its clock shows.
  */
 export class LeaseKeeper {
   private readonly _options: LeaseKeeperOptions;
@@ -75,7 +76,7 @@
     await this._put({ ...held.record, released: true }, held.revision);
   }
 
-  /** Whether this entry may acquire the lease. It waits longer at a later rank, so that entries do not all write. */
+  /** Whether this entry may acquire the lease. It waits longer at a later rank, so that usually one entry writes. */
   private _isFree(rank: number): boolean {
     const { replica, key, clock, lifetimeMilliseconds } = this._options;
     const record = this._currentRecord();
--- a/src/telemetry/eventLog.ts
+++ b/src/telemetry/eventLog.ts
@@ -12,7 +12,7 @@
   write(line: string): void;
 }
 
-/** Lines per step and second that are written; the others are only counted. */
+/** Maximum number of lines that are written per step and second. Further lines are only counted. */
 const LINES_PER_SECOND = 100;
 const WINDOW_MILLISECONDS = 1_000;
 /** Size of the buffer for a slow reader of standard output; lines are dropped while it is full. */
