--- a/src/agent/serviceHost.ts
+++ b/src/agent/serviceHost.ts
@@ -56,7 +56,7 @@
     return this._active;
   }
 
-  /** The version being staged and the one in service, if any. After its activation the staged one is both. */
+  /** The version being staged and the one in service, if any; after an activation, both are the same version. */
   get versions(): StagedVersion[] {
     const versions = new Set([this._target, this._active]);
     return [...versions].filter((version) => version !== undefined);
