--- a/src/entry/entryDaemon.ts
+++ b/src/entry/entryDaemon.ts
@@ -1,4 +1,4 @@
-/** Creates and connects the parts of an entry. */
+/** Creates and connects the parts of an entry, the process to which callers and operators send their requests. */
 import { randomUUID } from 'node:crypto';
 import { ApiFollower } from '../configuration/apiFollower.js';
 import { ChangeHandler } from '../configuration/changeHandler.js';
@@ -49,14 +49,14 @@
   controlPort: number;
 }
 
-/** Interval at which the set of linked agents is updated, since the leases held by this entry change. */
+/** Interval at which an entry updates its links to agents, which depend on the leases that it holds. */
 const LINK_UPDATE_INTERVAL_MILLISECONDS = 1_000;
 const DRAIN_POLL_MILLISECONDS = 20;
 /** How long a stopping entry still accepts requests, so that callers and other entries learn that it is leaving. */
 const SHUTDOWN_GRACE_MILLISECONDS = 500;
 
 /**
- * An entry. All entries have the same role; any of them may hold leases and so coordinate rollouts.
+ * An entry. Entries are interchangeable: any of them may hold leases and so coordinate rollouts.
  *
  * @example
  * const entry = new EntryDaemon(settings);
@@ -198,7 +198,7 @@
       ledgers: this._ledgers,
       sharedKey: settings.sharedKey,
       entriesKeepSeconds: settings.entriesKeepSeconds,
-      entriesFor: (dataCentre, asker) => this._entriesFor(dataCentre, asker),
+      entriesFor: (dataCentre, callerKey) => this._entriesFor(dataCentre, callerKey),
       dataCentre: settings.dataCentre,
     });
     const statusReader = new RolloutStatusReader({
@@ -279,8 +279,8 @@
     });
   }
 
-  private _entriesFor(dataCentre: string, asker: string): EntryEndpoint[] {
-    return orderEntries(this._usableEntries(), dataCentre, asker);
+  private _entriesFor(dataCentre: string, callerKey: string): EntryEndpoint[] {
+    return orderEntries(this._usableEntries(), dataCentre, callerKey);
   }
 
   /** Whether this entry has reached neither the object API nor an entry of another data centre for too long. */
@@ -290,7 +290,7 @@
     const hasOtherDataCentres = this._boxes
       .withRole('entry')
       .some((entry) => entry.dataCentre !== dataCentre);
-    return hasOtherDataCentres && this._replicator.otherDataCentreSilence > isolatedMilliseconds;
+    return hasOtherDataCentres && this._replicator.millisecondsSinceOtherDataCentre > isolatedMilliseconds;
   }
 }
 
