--- a/src/rollout/chunkCoverage.ts
+++ b/src/rollout/chunkCoverage.ts
@@ -27,14 +27,14 @@
   }
 
   /** Adds granted draws to the open draws of a box. */
-  addDraws(box: string, chunks: readonly number[]): void {
+  addOriginFetches(box: string, chunks: readonly number[]): void {
     const open = this._open.get(box) ?? new Set<number>();
     for (const chunk of chunks) open.add(chunk);
     this._open.set(box, open);
   }
 
   /** Removes failed or refused draws from the open draws of a box. */
-  removeDraws(box: string, chunks: readonly number[]): void {
+  removeOriginFetches(box: string, chunks: readonly number[]): void {
     for (const chunk of chunks) this._open.get(box)?.delete(chunk);
   }
 
--- a/src/rollout/ledgerAssigner.ts
+++ b/src/rollout/ledgerAssigner.ts
@@ -48,11 +48,11 @@
     const candidates = ledgerCandidates(boxes);
     if (candidates.length === 0) return;
     const handedOver = await this._exportKeys(table?.slots ?? [], boxes);
-    const fateOf = (owner: SlotOwner): OwnerStatus =>
-      handedOver.has(identityOf(owner)) ? 'handed-over' : this._fateOf(owner);
-    const slots = assignSlots(table?.slots ?? [], candidates, fateOf);
+    const statusOf = (owner: SlotOwner): OwnerStatus =>
+      handedOver.has(identityOf(owner)) ? 'handed-over' : this._ownerStatusOf(owner);
+    const slots = assignSlots(table?.slots ?? [], candidates, statusOf);
     if (!(await this._importKeys(table?.slots ?? [], slots, handedOver))) return;
-    if (!table || changed(table.slots, slots)) {
+    if (!table || haveOwnersChanged(table.slots, slots)) {
       const value = { slots, changeId: randomUUID() };
       const outcome = await this._services.writer.put(key, value, this._services.replica.liveRevision(key));
       this._services.logger.state('ledger.assigned', {
@@ -75,7 +75,8 @@
     const keys = new Map<string, string[]>();
     const owners = new Map(slots.map((owner) => [identityOf(owner), owner]));
     for (const [identity, owner] of owners) {
-      if (this._fateOf(owner) !== 'owns' || !mustHandOver(owner, boxes, this._services.links)) continue;
+      if (this._ownerStatusOf(owner) !== 'owns' || !mustHandOver(owner, boxes, this._services.links))
+        continue;
       const reply = await this._order(owner.box, { type: 'ledger-export' });
       if (reply?.accepted && reply.keys) keys.set(identity, reply.keys);
     }
@@ -103,7 +104,7 @@
     return true;
   }
 
-  private _fateOf(owner: SlotOwner): OwnerStatus {
+  private _ownerStatusOf(owner: SlotOwner): OwnerStatus {
     return isOwnerGone(owner, this._services.boxes, this._services.links) ? 'lost' : 'owns';
   }
 
@@ -180,6 +181,6 @@
   );
 }
 
-function changed(before: readonly SlotOwner[], after: readonly SlotOwner[]): boolean {
+function haveOwnersChanged(before: readonly SlotOwner[], after: readonly SlotOwner[]): boolean {
   return after.some((owner, slot) => owner !== before[slot]);
 }
--- a/src/rollout/originBudget.ts
+++ b/src/rollout/originBudget.ts
@@ -43,9 +43,9 @@
   reserve(grants: ReadonlyMap<string, number>): Record<string, number> | undefined {
     const wanted = [...grants.values()].reduce((sum, bytes) => sum + bytes, 0);
     if (this.spentBytes + wanted > this._limitBytes) return undefined;
-    for (const [drawer, bytes] of grants) {
-      this._granted.set(drawer, (this._granted.get(drawer) ?? 0) + bytes);
-      this._spent.set(drawer, (this._spent.get(drawer) ?? 0) + bytes);
+    for (const [agent, bytes] of grants) {
+      this._granted.set(agent, (this._granted.get(agent) ?? 0) + bytes);
+      this._spent.set(agent, (this._spent.get(agent) ?? 0) + bytes);
     }
     return Object.fromEntries(this._granted);
   }
--- a/src/rollout/drawGranter.ts
+++ b/src/rollout/originFetchGranter.ts
@@ -11,8 +11,8 @@
 import { OriginBudget } from './originBudget.js';
 import type { RolloutBox } from './rolloutView.js';
 
-/** Options of a {@link DrawGranter}. */
-export interface DrawGranterOptions {
+/** Options of a {@link OriginFetchGranter}. */
+export interface OriginFetchGranterOptions {
   name: ConfigurationName;
   epoch: () => number | undefined;
   rollout: string;
@@ -40,9 +40,9 @@
 const STALLED_MILLISECONDS: Record<Urgency, number> = { time: 3_000, 'origin-bytes': 15_000 };
 
 /** Grants the draws of one rollout. A new instance is created for each rollout and lease epoch. */
-export class DrawGranter {
+export class OriginFetchGranter {
   readonly rollout: string;
-  private readonly _options: DrawGranterOptions;
+  private readonly _options: OriginFetchGranterOptions;
   private readonly _coverage: ChunkCoverage;
   private _budget: OriginBudget;
   private readonly _createdAt: number;
@@ -53,7 +53,7 @@
   private _started = false;
   private _needsHoldings = false;
 
-  constructor(options: DrawGranterOptions) {
+  constructor(options: OriginFetchGranterOptions) {
     this.rollout = options.rollout;
     this._options = options;
     this._coverage = new ChunkCoverage(options.index.chunkCount);
@@ -145,7 +145,7 @@
   }
 
   private _applyFailures(live: readonly RolloutBox[]): void {
-    for (const box of live) this._coverage.removeDraws(box.box, this._failuresOf(box));
+    for (const box of live) this._coverage.removeOriginFetches(box.box, this._failuresOf(box));
   }
 
   /** Returns the failed draws of a box; none when its report may describe the state before the last grant. */
@@ -206,7 +206,7 @@
       peer: box,
       chunks: chunks.length,
     });
-    this._coverage.addDraws(box, chunks);
+    this._coverage.addOriginFetches(box, chunks);
     this._grantedAt.set(box, this._options.clock.now());
     try {
       const reply = await link.order({
@@ -217,7 +217,7 @@
         rollout: this.rollout,
         chunks,
       });
-      if (!reply.accepted) this._coverage.removeDraws(box, chunks);
+      if (!reply.accepted) this._coverage.removeOriginFetches(box, chunks);
     } catch (error) {
       this._options.logger.state('grant.failed', { peer: box, reason: errorText(error) });
     }
--- a/src/rollout/planSender.ts
+++ b/src/rollout/planSender.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '../telemetry/logger.js';
 import { placementHash } from '../utils/hash.js';
 import { errorText } from '../utils/stepError.js';
-import type { DrawGranter } from './drawGranter.js';
+import type { OriginFetchGranter } from './originFetchGranter.js';
 import type { RolloutRecord } from './rolloutRecord.js';
 import type { RolloutBox } from './rolloutView.js';
 
@@ -32,7 +32,7 @@
     record: RolloutRecord,
     manifest: Manifest,
     specification: Specification,
-    granter: DrawGranter,
+    granter: OriginFetchGranter,
   ): Promise<void> {
     this._updateMembers(boxes, record);
     const plan = this._plan(record, manifest, specification);
@@ -79,7 +79,7 @@
     box: RolloutBox,
     plan: Omit<PlanMessage, 'call'>,
     key: string,
-    granter: DrawGranter,
+    granter: OriginFetchGranter,
   ): Promise<void> {
     try {
       const reply = await box.link!.order(plan);
--- a/src/rollout/rolloutCoordinator.ts
+++ b/src/rollout/rolloutCoordinator.ts
@@ -16,7 +16,7 @@
 import type { Clock } from '../utils/clock.js';
 import { errorText } from '../utils/stepError.js';
 import { ManifestIndex } from '../weights/manifestIndex.js';
-import { DrawGranter } from './drawGranter.js';
+import { OriginFetchGranter } from './originFetchGranter.js';
 import { LedgerAssigner } from './ledgerAssigner.js';
 import { PlanSender } from './planSender.js';
 import type { RolloutRecord } from './rolloutRecord.js';
@@ -48,7 +48,7 @@
   private readonly _epoch: () => number | undefined;
   private readonly _plans: PlanSender;
   private readonly _ledger: LedgerAssigner;
-  private _granter: DrawGranter | undefined;
+  private _granter: OriginFetchGranter | undefined;
   private _index: ManifestIndex | undefined;
   private _activating = new Set<string>();
 
@@ -166,9 +166,9 @@
     record: RolloutRecord,
     index: ManifestIndex,
     specification: Specification,
-  ): DrawGranter {
+  ): OriginFetchGranter {
     if (this._granter?.rollout !== record.rollout) {
-      this._granter = new DrawGranter({
+      this._granter = new OriginFetchGranter({
         name: this._name,
         epoch: this._epoch,
         rollout: record.rollout,
@@ -184,7 +184,7 @@
 
   /** Writes grants to the rollout object before they are sent, so that the next coordinator counts them. */
   private async _grant(
-    granter: DrawGranter,
+    granter: OriginFetchGranter,
     boxes: readonly RolloutBox[],
     record: RolloutRecord,
   ): Promise<void> {
--- a/src/staging/backendRun.ts
+++ b/src/staging/backendIncarnation.ts
@@ -5,27 +5,27 @@
 import type { LocalBackendStatus } from './localBackend.js';
 
 /** The fields of a status that differ between two runs of the backend server process. */
-export type BackendRun = Pick<LocalBackendStatus, 'startedAt' | 'revision'>;
+export type BackendIncarnation = Pick<LocalBackendStatus, 'startedAt' | 'revision'>;
 
 /**
  * Whether the server has restarted between the two statuses. Any change of the start time counts, also to an
  * earlier one, since the server's clock may have been set back. If a status has no start time, a lower revision
  * shows the restart.
  */
-export function hasRestarted(before: BackendRun, now: BackendRun): boolean {
+export function hasRestarted(before: BackendIncarnation, now: BackendIncarnation): boolean {
   if (before.startedAt > 0 && now.startedAt > 0) return before.startedAt !== now.startedAt;
   return now.revision < before.revision;
 }
 
 /** Whether the server has neither restarted nor accepted an order since `before`. */
-export function isUnchanged(before: BackendRun, now: BackendRun): boolean {
+export function isUnchanged(before: BackendIncarnation, now: BackendIncarnation): boolean {
   return !hasRestarted(before, now) && before.revision === now.revision;
 }
 
 /** The start times and revisions of both statuses, as fields of a log line. */
 export function restartLogFields(
-  former: BackendRun,
-  { startedAt, revision }: BackendRun,
+  former: BackendIncarnation,
+  { startedAt, revision }: BackendIncarnation,
 ): Record<string, number> {
   return { startedAt, formerStartedAt: former.startedAt, revision, formerRevision: former.revision };
 }
--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -67,13 +67,13 @@
 
   /**
    * Reads the staged chunks back and writes those again that do not match the manifest. Returns whether all match
-   * in the end. A chunk that was read a moment ago is not read again, unless it was read before `runSeenAt`
+   * in the end. A chunk that was read a moment ago is not read again, unless it was read before `incarnationSeenAt`
    * (monotonic milliseconds), possibly from an earlier run of the server, or before this version acquired the
    * staging area, since another version may have overwritten it.
    */
-  async verify(data: (chunk: number) => Buffer | undefined, runSeenAt: number): Promise<boolean> {
+  async verify(data: (chunk: number) => Buffer | undefined, incarnationSeenAt: number): Promise<boolean> {
     const { index, model, log, stagingArea } = this._options;
-    const readSince = Math.max(runSeenAt, stagingArea.ownedSince);
+    const readSince = Math.max(incarnationSeenAt, stagingArea.ownedSince);
     const all = Array.from({ length: index.chunkCount }, (_unused, chunk) => chunk);
     let suspects = all.filter((chunk) => !this._wasReadRecently(chunk, readSince));
     for (let round = 0; round < REPAIR_ROUNDS; round++) {
--- a/src/staging/manifestReader.ts
+++ b/src/staging/manifestReader.ts
@@ -18,7 +18,7 @@
   /** Other agents of the service. */
   peers: () => readonly Member[];
   /** Boxes that download from the origin first. Other boxes ask these for the manifest. */
-  downloaders: (rollout: string) => readonly string[];
+  originFetchers: (rollout: string) => readonly string[];
   box: string;
   token: string;
   random: Random;
@@ -28,7 +28,7 @@
 const RETRY = { firstMilliseconds: 60, longestMilliseconds: 500 };
 const PEER_TIMEOUT_MILLISECONDS = 800;
 const MAX_PEERS_ASKED = 3;
-/** Rounds in which a box that is not among the downloaders asks only other agents, before it asks the origin too. */
+/** Rounds in which a box that is not among the fetchers asks only other agents, before it asks the origin too. */
 const PEER_ONLY_ROUNDS = 5;
 
 export class ManifestReader {
@@ -46,12 +46,12 @@
     signal: AbortSignal,
   ): Promise<Manifest | undefined> {
     const backoff = new Backoff(RETRY, this._options.random);
-    const downloaders = this._options.downloaders(rollout);
-    const isDownloader = downloaders.length === 0 || downloaders.includes(this._options.box);
+    const fetchers = this._options.originFetchers(rollout);
+    const isOriginFetcher = fetchers.length === 0 || fetchers.includes(this._options.box);
     for (let round = 0; !signal.aborted; round++) {
-      const mayAskOrigin = isDownloader || round >= PEER_ONLY_ROUNDS;
+      const mayAskOrigin = isOriginFetcher || round >= PEER_ONLY_ROUNDS;
       const atOrigin = mayAskOrigin ? await this._fromOrigin(model, version) : undefined;
-      const found = atOrigin ?? (await this._fromPeers(rollout, downloaders));
+      const found = atOrigin ?? (await this._fromPeers(rollout, fetchers));
       if (found) return found;
       await pause(backoff.nextWait(), signal);
     }
@@ -70,12 +70,12 @@
   }
 
   /** Asks a few agents, starting with one that downloads from the origin. */
-  private async _fromPeers(rollout: string, downloaders: readonly string[]): Promise<Manifest | undefined> {
+  private async _fromPeers(rollout: string, fetchers: readonly string[]): Promise<Manifest | undefined> {
     const { peers, random } = this._options;
     const candidates = shuffled(peers(), random);
-    const downloader = candidates.find((member) => downloaders.includes(member.box));
-    const others = candidates.filter((member) => member !== downloader);
-    for (const member of [...(downloader ? [downloader] : []), ...others].slice(0, MAX_PEERS_ASKED)) {
+    const fetcher = candidates.find((member) => fetchers.includes(member.box));
+    const others = candidates.filter((member) => member !== fetcher);
+    for (const member of [...(fetcher ? [fetcher] : []), ...others].slice(0, MAX_PEERS_ASKED)) {
       const found = await this._fromPeer(member, rollout);
       if (found) return found;
     }
--- a/src/staging/downloadSchedule.ts
+++ b/src/staging/originFetchSchedule.ts
@@ -10,7 +10,7 @@
  * Time without a finished chunk after which another box downloads the chunks of a box too. Twelve boxes that share an
  * origin link of 9.9 Mbit/s each finish a chunk of 32 KB every 320 ms.
  */
-export const DOWNLOAD_TURN_MILLISECONDS = 900;
+export const ORIGIN_FETCH_TURN_MILLISECONDS = 900;
 
 /**
  * Returns the boxes in the order in which they switch. Data centres alternate, so that each has its share of early
@@ -25,7 +25,7 @@
  * first: a chunk that another box downloads is announced to other data centres up to 2 s later, with the next
  * refresh.
  */
-export function downloadOrder(rollout: string, members: readonly Member[]): string[] {
+export function originFetchOrder(rollout: string, members: readonly Member[]): string[] {
   const gateways = new Set(exchangeGateways(members));
   const others = members.filter((member) => !gateways.has(member));
   return [...switchOrder(rollout, [...gateways]), ...switchOrder(rollout, others)];
@@ -35,47 +35,53 @@
  * Number of boxes that download at first. With more boxes, each would have a smaller share of the origin's link, so
  * that the first chunks would arrive later, and the origin might not accept as many connections.
  */
-const INITIAL_DOWNLOADERS = 12;
-/** Turns after which any box may take over, since the initial downloaders seem to be gone. */
+const INITIAL_ORIGIN_FETCHERS = 12;
+/** Turns after which any box may take over, since the initial fetchers seem to be gone. */
 const INITIAL_TURNS = 3;
 
 /** Returns the boxes that download from the origin while they are reachable. */
-export function initialDownloaders(order: readonly string[]): string[] {
-  return order.slice(0, INITIAL_DOWNLOADERS);
+export function initialOriginFetchers(order: readonly string[]): string[] {
+  return order.slice(0, INITIAL_ORIGIN_FETCHERS);
 }
 
-/** Placeholder for a lost downloader without a substitute; the others share its chunks. */
+/** Placeholder for a lost fetcher without a substitute; the others share its chunks. */
 const NO_BOX = '';
 
 /**
- * Returns the order with each `lost` initial downloader replaced by a box that does not download yet, or by a
+ * Returns the order with each `lost` initial fetcher replaced by a box that does not download yet, or by a
  * placeholder if there is none. All others keep their positions, and so the chunks that they are downloading.
- * Removing the lost box from the order instead gave nearly every chunk another downloader while the former one had
+ * Removing the lost box from the order instead gave nearly every chunk another fetcher while the former one had
  * half of it: on a day on which one of nine boxes was killed during a download, the origin sent 2.4 copies of two
  * versions instead of 2.1.
  */
-export function replaceLostDownloaders(order: readonly string[], lost: ReadonlySet<string>): string[] {
-  const spare = order.slice(INITIAL_DOWNLOADERS).filter((box) => !lost.has(box));
-  const positions = initialDownloaders(order).map((box) => (lost.has(box) ? (spare.shift() ?? NO_BOX) : box));
+export function replaceLostOriginFetchers(order: readonly string[], lost: ReadonlySet<string>): string[] {
+  const spare = order.slice(INITIAL_ORIGIN_FETCHERS).filter((box) => !lost.has(box));
+  const positions = initialOriginFetchers(order).map((box) =>
+    lost.has(box) ? (spare.shift() ?? NO_BOX) : box,
+  );
   return [...positions, ...spare];
 }
 
 /**
- * Returns the box that is to download `chunk` once its first downloader has finished no chunk for `elapsed`
+ * Returns the box that is to download `chunk` once its first fetcher has finished no chunk for `elapsed`
  * milliseconds.
  */
-export function downloaderOf(order: readonly string[], chunk: number, elapsed: number): string | undefined {
+export function originFetcherOf(
+  order: readonly string[],
+  chunk: number,
+  elapsed: number,
+): string | undefined {
   if (order.length === 0) return undefined;
-  const turn = Math.floor(Math.max(0, elapsed) / DOWNLOAD_TURN_MILLISECONDS);
-  const downloaders = turn < INITIAL_TURNS ? initialDownloaders(order) : order;
-  const downloader = downloaders[(chunk + turn) % downloaders.length];
-  if (downloader !== NO_BOX) return downloader;
-  const reachable = downloaders.filter((box) => box !== NO_BOX);
-  return reachable[Math.floor(chunk / downloaders.length) % reachable.length];
+  const turn = Math.floor(Math.max(0, elapsed) / ORIGIN_FETCH_TURN_MILLISECONDS);
+  const fetchers = turn < INITIAL_TURNS ? initialOriginFetchers(order) : order;
+  const fetcher = fetchers[(chunk + turn) % fetchers.length];
+  if (fetcher !== NO_BOX) return fetcher;
+  const reachable = fetchers.filter((box) => box !== NO_BOX);
+  return reachable[Math.floor(chunk / fetchers.length) % reachable.length];
 }
 
 /** Tracks which boxes finish the chunks that they are to download. */
-export class DownloadProgress {
+export class OriginFetchProgress {
   private readonly _startedAt: number;
   private readonly _lastFinishedAt = new Map<string, number>();
   private _unseen: ReadonlySet<number>;
@@ -90,15 +96,15 @@
   update(order: readonly string[], unseen: readonly number[], now: number): void {
     const still = new Set(unseen);
     for (const chunk of this._unseen) {
-      const downloader = downloaderOf(order, chunk, 0);
-      if (!still.has(chunk) && downloader !== undefined) this._lastFinishedAt.set(downloader, now);
+      const fetcher = originFetcherOf(order, chunk, 0);
+      if (!still.has(chunk) && fetcher !== undefined) this._lastFinishedAt.set(fetcher, now);
     }
     this._unseen = still;
   }
 
-  /** Returns the milliseconds for which the first downloader of `chunk` has finished no chunk. */
+  /** Returns the milliseconds for which the first fetcher of `chunk` has finished no chunk. */
   millisecondsWithoutProgress(order: readonly string[], chunk: number, now: number): number {
-    const downloader = downloaderOf(order, chunk, 0) ?? '';
-    return now - Math.max(this._startedAt, this._lastFinishedAt.get(downloader) ?? 0);
+    const fetcher = originFetcherOf(order, chunk, 0) ?? '';
+    return now - Math.max(this._startedAt, this._lastFinishedAt.get(fetcher) ?? 0);
   }
 }
--- a/src/staging/stageQueue.ts
+++ b/src/staging/stageQueue.ts
@@ -45,7 +45,7 @@
   }
 
   /** The newest wanted version; 0 while unknown. */
-  get wantedVersion(): number {
+  get targetVersion(): number {
     return this._target?.version ?? 0;
   }
 
@@ -128,21 +128,21 @@
   }
 
   /** Whether no older version is fetching any more, so that `version` may use the link. */
-  private _mayFetch(version: number): boolean {
+  private _mayFetchFromPeers(version: number): boolean {
     return this._stages.every(
       (stage) => stage.version >= version || stage.complete || !stage.exchange.isFetching,
     );
   }
 
   /** Whether this box has no open downloads of older versions, so that `version` may use the origin's link. */
-  private _mayDownload(version: number): boolean {
+  private _mayFetchFromOrigin(version: number): boolean {
     return this._stages.every((stage) => stage.version >= version || stage.exchange.openDraws.length === 0);
   }
 
   private _drop(stage: VersionStage): void {
     this._options.log.state('version.dropped', {
       version: stage.version,
-      wanted: this.wantedVersion,
+      wanted: this.targetVersion,
       heldShare: stage.heldShare,
     });
     stage.drop();
@@ -159,8 +159,8 @@
       ...target,
       manifest,
       members: members(),
-      mayFetch: () => this._mayFetch(version),
-      mayDownload: () => this._mayDownload(version),
+      mayFetchFromPeers: () => this._mayFetchFromPeers(version),
+      mayFetchFromOrigin: () => this._mayFetchFromOrigin(version),
     });
     this._stages.push(stage);
     const adopt = this._isFirst;
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -30,7 +30,7 @@
 import { boxStatus } from './boxStatus.js';
 import { ChunkServer } from './chunkServer.js';
 import { ConnectedEntries } from './connectedEntries.js';
-import { downloadOrder, initialDownloaders } from './downloadSchedule.js';
+import { originFetchOrder, initialOriginFetchers } from './originFetchSchedule.js';
 import { HeardVersions } from './heardVersions.js';
 import type { LocalBackend } from './localBackend.js';
 import { receiveRate, sendRate } from './weightRates.js';
@@ -52,7 +52,7 @@
 export interface StagingDependencies {
   backend: LocalBackend;
   /** Returns the models with an announced version, as the platform lists them; rejects if these cannot be read. */
-  namedModels: () => Promise<readonly string[]>;
+  announcedModels: () => Promise<readonly string[]>;
   /** Creates a client of the origin at an address (host:port). */
   originAt: (address: string) => Origin;
   log: EventLog;
@@ -120,7 +120,7 @@
     const uploads = new UploadQueue(new RateLimiter(sendRate(settings)), STALL_MILLISECONDS, BLOCK_BYTES);
     this._stagedChunks = new StagedChunks({
       backend: deps.backend,
-      models: deps.namedModels,
+      models: deps.announcedModels,
       clock: this._clock,
       log: deps.log,
     });
@@ -197,7 +197,7 @@
         origin: () => this._origin,
         box: settings.box,
         peers: () => this._members.filter((member) => member.box !== settings.box),
-        downloaders: (rollout) => initialDownloaders(downloadOrder(rollout, this._members)),
+        originFetchers: (rollout) => initialOriginFetchers(originFetchOrder(rollout, this._members)),
         token,
         random,
         log: deps.log,
--- a/src/staging/stagingMetrics.ts
+++ b/src/staging/stagingMetrics.ts
@@ -30,7 +30,7 @@
 }: StagingMetricSources): ServingMetrics {
   const metrics = new ServingMetrics();
   const counts = (): TransferCounts | undefined => stages.stages.at(-1)?.exchange.counts;
-  metrics.gauge('version_wanted', () => stages.wantedVersion);
+  metrics.gauge('version_wanted', () => stages.targetVersion);
   metrics.gauge('version_serving', () => reconciler.servedVersion);
   metrics.gauge('version_held_share', () => stages.stages.at(-1)?.heldShare ?? 0);
   metrics.gauge('version_origin_bytes', () => counts()?.originBytes ?? 0);
--- a/src/staging/uploadPriorities.ts
+++ b/src/staging/uploadPriorities.ts
@@ -1,7 +1,7 @@
 /** Priority of uploads by the box that requests the chunk. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import type { UploadPriority } from '../weights/uploadQueue.js';
-import { switchOrder } from './downloadSchedule.js';
+import { switchOrder } from './originFetchSchedule.js';
 
 /**
  * Share of the boxes, first in the order of switching, that receive their chunks before the others, so that the
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -5,8 +5,8 @@
 import type { Clock } from '../utils/clock.js';
 import { errorCode, errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
-import { hasRestarted, isUnchanged, restartLogFields } from './backendRun.js';
-import { switchOrder } from './downloadSchedule.js';
+import { hasRestarted, isUnchanged, restartLogFields } from './backendIncarnation.js';
+import { switchOrder } from './originFetchSchedule.js';
 import { POLL_MILLISECONDS, SWITCHING_POLL_MILLISECONDS, pollInterval } from './pollInterval.js';
 import type { LocalBackend, LocalBackendStatus } from './localBackend.js';
 import { CONNECTION_REFUSED } from './localBackend.js';
@@ -48,7 +48,7 @@
    * Monotonic milliseconds since which reads are known to come from the present run of the backend server; infinite
    * if it reports no start time, since a restart that lost all staged chunks may then have gone unnoticed.
    */
-  private _runSeenAt = Number.POSITIVE_INFINITY;
+  private _incarnationSeenAt = Number.POSITIVE_INFINITY;
   /** Whether nothing listens at the address of the backend server. */
   private _isGone = false;
   private _switchingTo = 0;
@@ -80,7 +80,7 @@
 
   /** The version that this box is to serve next; if there is none, the one in service or wanted. */
   get nextVersion(): number {
-    return this._nextStage?.version ?? Math.max(this.servedVersion, this._options.stages.wantedVersion);
+    return this._nextStage?.version ?? Math.max(this.servedVersion, this._options.stages.targetVersion);
   }
 
   get switchStage(): SwitchStage {
@@ -88,7 +88,7 @@
     const next = this._nextStage;
     if (next && next.version === this._preparingFor) return 'preparing';
     if (next) return this._isNearlyComplete(next) ? 'staged' : 'staging';
-    return this.servedVersion >= this._options.stages.wantedVersion ? 'serving' : 'staging';
+    return this.servedVersion >= this._options.stages.targetVersion ? 'serving' : 'staging';
   }
 
   start(): void {
@@ -175,8 +175,8 @@
     const former = this._status;
     const isRestarted = former !== undefined && hasRestarted(former, status);
     if (isRestarted) this._onRestart(former, status);
-    if (status.startedAt === 0) this._runSeenAt = Number.POSITIVE_INFINITY;
-    else if (isRestarted || former === undefined) this._runSeenAt = this._options.clock.now();
+    if (status.startedAt === 0) this._incarnationSeenAt = Number.POSITIVE_INFINITY;
+    else if (isRestarted || former === undefined) this._incarnationSeenAt = this._options.clock.now();
   }
 
   /** Resets the turn and the order. Staged chunks are read back before each order anyway. */
@@ -258,7 +258,7 @@
     const isEmpty = this.servedVersion === 0;
     if (isEmpty) onChange();
     const verifyStartedAt = clock.now();
-    const isVerified = await stage.verify(this._runSeenAt);
+    const isVerified = await stage.verify(this._incarnationSeenAt);
     const verifyMilliseconds = Math.round(clock.now() - verifyStartedAt);
     if (!isVerified) {
       this._switchingTo = 0;
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -11,7 +11,12 @@
 import type { ExchangeServices } from '../weights/exchangeServices.js';
 import { RolloutExchange } from '../weights/rolloutExchange.js';
 import { ChunkStager } from './chunkStager.js';
-import { DownloadProgress, downloadOrder, downloaderOf, replaceLostDownloaders } from './downloadSchedule.js';
+import {
+  OriginFetchProgress,
+  originFetchOrder,
+  originFetcherOf,
+  replaceLostOriginFetchers,
+} from './originFetchSchedule.js';
 import { LinkRate } from './linkRate.js';
 import { ScarceChunks } from './scarceChunks.js';
 import type { StagedChunks } from './stagedChunks.js';
@@ -37,8 +42,8 @@
    * Whether this version may fetch from other boxes, and whether it may download from the origin. An older version
    * comes first.
    */
-  mayFetch: () => boolean;
-  mayDownload: () => boolean;
+  mayFetchFromPeers: () => boolean;
+  mayFetchFromOrigin: () => boolean;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -70,12 +75,12 @@
   private readonly _linkRate: LinkRate;
   private _members: readonly Member[];
   /** Boxes in the order in which they download, in all data centres and in this one. */
-  private _downloadOrder: readonly string[] = [];
-  private _localDownloadOrder: readonly string[] = [];
+  private _originFetchOrder: readonly string[] = [];
+  private _localOriginFetchOrder: readonly string[] = [];
   private _peers: ReadonlySet<string> = new Set();
-  private readonly _progress: DownloadProgress;
+  private readonly _progress: OriginFetchProgress;
   private readonly _scarce = new ScarceChunks();
-  private readonly _downloadedAgain = new Set<number>();
+  private readonly _refetchedChunks = new Set<number>();
   private _tickTimer: NodeJS.Timeout | undefined;
   /** Monotonic milliseconds at which the version became complete; infinite before. */
   private _completedAt = Number.POSITIVE_INFINITY;
@@ -89,15 +94,15 @@
     this._startedAt = options.clock.now();
     this._linkRate = new LinkRate(options.bytesPerSecond, this._startedAt);
     this.index = new ManifestIndex(options.manifest);
-    this._progress = new DownloadProgress(this.index.chunkCount, this._startedAt);
+    this._progress = new OriginFetchProgress(this.index.chunkCount, this._startedAt);
     this._stager = new ChunkStager({ ...options, index: this.index });
     this.exchange = new RolloutExchange(
-      { ...options.services, mayFetch: options.mayFetch },
+      { ...options.services, mayFetchFromPeers: options.mayFetchFromPeers },
       this._plan(),
       this.index,
       () => this._onChange(),
     );
-    this._updateDownloadOrders();
+    this._updateOriginFetchOrders();
   }
 
   get complete(): boolean {
@@ -151,7 +156,7 @@
 
   updateMembers(members: readonly Member[]): void {
     this._members = members;
-    this._updateDownloadOrders();
+    this._updateOriginFetchOrders();
     this.exchange.updateMembers(this._plan());
   }
 
@@ -161,8 +166,8 @@
   }
 
   /** Whether all staged chunks match the manifest; see {@link ChunkStager.verify}. */
-  async verify(runSeenAt: number): Promise<boolean> {
-    return await this._stager.verify((chunk) => this.chunk(chunk), runSeenAt);
+  async verify(incarnationSeenAt: number): Promise<boolean> {
+    return await this._stager.verify((chunk) => this.chunk(chunk), incarnationSeenAt);
   }
 
   /** Stops all transfers and releases the chunks. */
@@ -188,7 +193,7 @@
   private _tick(): void {
     if (this.complete) return clearInterval(this._tickTimer);
     this._recordLinkRate();
-    this._downloadMissing();
+    this._fetchMissingFromOrigin();
   }
 
   private _recordLinkRate(): void {
@@ -198,19 +203,19 @@
   }
 
   /** Starts downloading the chunks that neither this box nor a neighbour has, and that are assigned to this box. */
-  private _downloadMissing(): void {
-    if (!this._options.mayDownload()) return;
-    this._downloadScarce();
+  private _fetchMissingFromOrigin(): void {
+    if (!this._options.mayFetchFromOrigin()) return;
+    this._refetchScarce();
     const now = this._options.clock.now();
     const isNew = this._startedAt - this.announcedAt < NEW_VERSION_AGE_MILLISECONDS;
     if (!isNew && now - this._startedAt < LATE_JOIN_WAIT_MILLISECONDS) return;
-    const order = this._withoutLostPeers(this._downloadOrder);
+    const order = this._withoutLostPeers(this._originFetchOrder);
     const unseen = this.exchange.unavailableChunks();
     this._progress.update(order, unseen, now);
     const { box } = this._options.services;
     const due = unseen.filter(
       (chunk) =>
-        downloaderOf(order, chunk, this._progress.millisecondsWithoutProgress(order, chunk, now)) === box,
+        originFetcherOf(order, chunk, this._progress.millisecondsWithoutProgress(order, chunk, now)) === box,
     );
     this.exchange.keepOnlyOriginFetches(due);
     const open = new Set(this.exchange.openDraws);
@@ -221,31 +226,31 @@
   }
 
   /** Downloads chunks again that only one box with a slow link has. In each data centre one box does so. */
-  private _downloadScarce(): void {
+  private _refetchScarce(): void {
     const now = this._options.clock.now();
     const { box } = this._options.services;
-    const order = this._withoutLostPeers(this._localDownloadOrder);
+    const order = this._withoutLostPeers(this._localOriginFetchOrder);
     const due = this._scarce
       .update(this.exchange.soleHolders(), now)
       .filter(({ chunk, holder, overdueMilliseconds }) => {
         const others = order.filter((candidate) => candidate !== holder);
-        return downloaderOf(others, chunk, overdueMilliseconds) === box;
+        return originFetcherOf(others, chunk, overdueMilliseconds) === box;
       })
       .map(({ chunk }) => chunk)
-      .filter((chunk) => !this._downloadedAgain.has(chunk));
+      .filter((chunk) => !this._refetchedChunks.has(chunk));
     if (due.length === 0) return;
-    for (const chunk of due) this._downloadedAgain.add(chunk);
+    for (const chunk of due) this._refetchedChunks.add(chunk);
     this._options.log.decision('draws.of-scarce-chunks', { version: this.version, chunks: due.length });
     this.exchange.grant(due, true);
   }
 
   /** Computes the orders of the downloaders, which hold until the members change. */
-  private _updateDownloadOrders(): void {
+  private _updateOriginFetchOrders(): void {
     const { box } = this._options.services;
     const own = this._members.find((member) => member.box === box);
     const local = this._members.filter((member) => member.dataCentre === own?.dataCentre);
-    this._downloadOrder = downloadOrder(this.exchange.rollout, this._members);
-    this._localDownloadOrder = downloadOrder(this.exchange.rollout, local);
+    this._originFetchOrder = originFetchOrder(this.exchange.rollout, this._members);
+    this._localOriginFetchOrder = originFetchOrder(this.exchange.rollout, local);
     const peers = connectedPeers(box, this._members);
     this._peers = new Set(peers.map((member) => member.box));
   }
@@ -259,7 +264,7 @@
     const lost = new Set([...this._peers].filter((box) => peers.isUnreachable(box)));
     const reachable = this._peers.size - lost.size + 1;
     if (reachable * 2 <= this._peers.size + 1) return order;
-    return replaceLostDownloaders(order, lost);
+    return replaceLostOriginFetchers(order, lost);
   }
 
   private _onChange(): void {
--- a/src/weights/exchangeServices.ts
+++ b/src/weights/exchangeServices.ts
@@ -21,5 +21,5 @@
   random: Random;
   logger: Logger;
   /** Whether fetches from peers may start now. They always may if this is absent. */
-  mayFetch?: () => boolean;
+  mayFetchFromPeers?: () => boolean;
 }
--- a/src/weights/originFetcher.ts
+++ b/src/weights/originFetcher.ts
@@ -20,7 +20,7 @@
   logger: Logger;
   signal: AbortSignal;
   /** Whether memory is reserved for the version. */
-  mayFetch: () => boolean;
+  hasReservedMemory: () => boolean;
   isHeld: (chunk: number) => boolean;
   isInFlight: (chunk: number) => boolean;
   /** Marks a chunk as in flight, until the returned function is called. */
@@ -88,7 +88,7 @@
 
   /** Fetches what is queued, if memory is reserved for the version. */
   resume(): void {
-    if (this._options.mayFetch()) void this._fetchAll();
+    if (this._options.hasReservedMemory()) void this._fetchAll();
   }
 
   /** Removes all queued chunks but the first, which may be in flight, so that they can be granted to another box. */
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -208,7 +208,7 @@
       random,
       logger,
       signal: this._stopped.signal,
-      mayFetch: () => this.problem === '',
+      hasReservedMemory: () => this.problem === '',
       isHeld: (chunk) => this.held.has(chunk),
       isInFlight: (chunk) => this._picker.isInFlight(chunk),
       markInFlight: (chunk) => {
@@ -221,9 +221,9 @@
   }
 
   private _createPeerFetcher(): PeerFetcher {
-    const { client, bounds, clock, random, logger, mayFetch = () => true } = this._services;
+    const { client, bounds, clock, random, logger, mayFetchFromPeers = () => true } = this._services;
     return new PeerFetcher({
-      mayFetch,
+      mayFetch: mayFetchFromPeers,
       rollout: this.rollout,
       index: this._index,
       picker: this._picker,
--- a/tests/manifestReader.spec.ts
+++ b/tests/manifestReader.spec.ts
@@ -57,7 +57,7 @@
   return new ManifestReader({
     origin: () => origin,
     peers: () => [member],
-    downloaders: () => ['downloader'],
+    originFetchers: () => ['downloader'],
     box,
     token: 'token',
     random: new SeededRandom(1),
--- a/tests/originFetcher.spec.ts
+++ b/tests/originFetcher.spec.ts
@@ -39,7 +39,7 @@
       random: new SeededRandom(1),
       logger: new Logger('test'),
       signal: this._ended.signal,
-      mayFetch: () => true,
+      hasReservedMemory: () => true,
       isHeld: (chunk) => this.stored.includes(chunk),
       isInFlight: () => false,
       markInFlight: () => () => undefined,
--- a/tests/serverIncarnation.spec.ts
+++ b/tests/serverIncarnation.spec.ts
@@ -6,7 +6,7 @@
 import { ServerIncarnation, matchIncarnation, supersededServers } from '../src/serving/serverIncarnation.js';
 import type { IncarnationMatch, IncarnationSource } from '../src/serving/serverIncarnation.js';
 import type { TrackedServer } from '../src/serving/trackedServer.js';
-import { hasRestarted } from '../src/staging/backendRun.js';
+import { hasRestarted } from '../src/staging/backendIncarnation.js';
 import { ServerPool } from '../src/serving/serverPool.js';
 import { ManualClock } from '../src/utils/clock.js';
 import { SeededRandom } from '../src/utils/random.js';
--- a/tests/stagingDecisions.spec.ts
+++ b/tests/stagingDecisions.spec.ts
@@ -5,13 +5,13 @@
 import { pollInterval } from '../src/staging/pollInterval.js';
 import type { Member } from '../src/protocol/rolloutMessages.js';
 import {
-  DOWNLOAD_TURN_MILLISECONDS,
-  DownloadProgress,
-  downloadOrder,
-  downloaderOf,
-  initialDownloaders,
-  replaceLostDownloaders,
-} from '../src/staging/downloadSchedule.js';
+  ORIGIN_FETCH_TURN_MILLISECONDS,
+  OriginFetchProgress,
+  originFetchOrder,
+  originFetcherOf,
+  initialOriginFetchers,
+  replaceLostOriginFetchers,
+} from '../src/staging/originFetchSchedule.js';
 import type { SwitchPeer, SwitchSituation } from '../src/staging/switchTurn.js';
 import { mayOrder, maySwitch } from '../src/staging/switchTurn.js';
 import { membersOf } from './fixtures/memberFixture.js';
@@ -24,25 +24,25 @@
 }
 
 test('should compute the same order from members in any order', () => {
-  const forward = downloadOrder('r', members(14));
-  expect(downloadOrder('r', members(14).reverse())).toEqual(forward);
+  const forward = originFetchOrder('r', members(14));
+  expect(originFetchOrder('r', members(14).reverse())).toEqual(forward);
   expect(new Set(forward).size).toEqual(14);
 });
 
 test('should share the downloads evenly', () => {
-  const order = downloadOrder('r', members(14));
+  const order = originFetchOrder('r', members(14));
   const counts = new Map<string, number>();
   for (let chunk = 0; chunk < CHUNKS; chunk++) {
-    const downloader = downloaderOf(order, chunk, 0) ?? '';
+    const downloader = originFetcherOf(order, chunk, 0) ?? '';
     counts.set(downloader, (counts.get(downloader) ?? 0) + 1);
   }
   expect(Math.max(...counts.values()) - Math.min(...counts.values())).toBeLessThanOrEqual(1);
 });
 
 test('should give every chunk one downloader at a time, and another one in each turn', () => {
-  const order = downloadOrder('r', members(5));
+  const order = originFetchOrder('r', members(5));
   const downloaders = Array.from({ length: 5 }, (_unused, turn) =>
-    downloaderOf(order, 3, turn * DOWNLOAD_TURN_MILLISECONDS),
+    originFetcherOf(order, 3, turn * ORIGIN_FETCH_TURN_MILLISECONDS),
   );
   expect(new Set(downloaders).size).toEqual(5);
 });
@@ -53,67 +53,67 @@
   [9, 6],
 ] as const) {
   test(`should reassign only the chunks of the lost box, of ${boxes} boxes`, () => {
-    const order = downloadOrder('r', members(boxes));
-    for (const lost of initialDownloaders(order)) {
-      const after = replaceLostDownloaders(order, new Set([lost]));
+    const order = originFetchOrder('r', members(boxes));
+    for (const lost of initialOriginFetchers(order)) {
+      const after = replaceLostOriginFetchers(order, new Set([lost]));
       const chunks = Array.from({ length: CHUNKS }, (_unused, chunk) => chunk);
       const changed = chunks.filter(
-        (chunk) => downloaderOf(order, chunk, 0) !== downloaderOf(after, chunk, 0),
+        (chunk) => originFetcherOf(order, chunk, 0) !== originFetcherOf(after, chunk, 0),
       );
       expect(changed.length).toBeLessThanOrEqual(moved);
-      expect(changed.every((chunk) => downloaderOf(order, chunk, 0) === lost)).toEqual(true);
+      expect(changed.every((chunk) => originFetcherOf(order, chunk, 0) === lost)).toEqual(true);
       expect(after.includes(lost)).toEqual(false);
     }
   });
 }
 
 test('should leave no chunk without a downloader while any box is reachable', () => {
-  const order = downloadOrder('r', members(14));
+  const order = originFetchOrder('r', members(14));
   for (let lost = 0; lost < order.length; lost++) {
-    const after = replaceLostDownloaders(order, new Set(order.slice(0, lost)));
+    const after = replaceLostOriginFetchers(order, new Set(order.slice(0, lost)));
     const downloaders = Array.from(
       { length: CHUNKS },
-      (_unused, chunk) => downloaderOf(after, chunk, 0) ?? '',
+      (_unused, chunk) => originFetcherOf(after, chunk, 0) ?? '',
     );
     expect(downloaders.every((box) => order.indexOf(box) >= lost)).toEqual(true);
   }
-  expect(downloaderOf(replaceLostDownloaders(order, new Set(order)), 0, 0)).toEqual(undefined);
+  expect(originFetcherOf(replaceLostOriginFetchers(order, new Set(order)), 0, 0)).toEqual(undefined);
 });
 
 test('should share the chunks of a lost downloader among the others if there is no substitute', () => {
-  const order = downloadOrder('r', members(9));
-  const after = replaceLostDownloaders(order, new Set([order[2]]));
+  const order = originFetchOrder('r', members(9));
+  const after = replaceLostOriginFetchers(order, new Set([order[2]]));
   const chunks = Array.from({ length: CHUNKS }, (_unused, chunk) => chunk);
-  const moved = chunks.filter((chunk) => downloaderOf(order, chunk, 0) === order[2]);
-  expect(new Set(moved.map((chunk) => downloaderOf(after, chunk, 0))).size).toEqual(moved.length);
+  const moved = chunks.filter((chunk) => originFetcherOf(order, chunk, 0) === order[2]);
+  expect(new Set(moved.map((chunk) => originFetcherOf(after, chunk, 0))).size).toEqual(moved.length);
 });
 
 test('should let few boxes of a large service download at first, and any box once those seem to be gone', () => {
-  const order = downloadOrder('r', members(54));
+  const order = originFetchOrder('r', members(54));
   const downloadersAfter = (turns: number): Set<string | undefined> =>
     new Set(
       Array.from({ length: CHUNKS }, (_unused, chunk) =>
-        downloaderOf(order, chunk, turns * DOWNLOAD_TURN_MILLISECONDS),
+        originFetcherOf(order, chunk, turns * ORIGIN_FETCH_TURN_MILLISECONDS),
       ),
     );
-  expect([...downloadersAfter(0)].sort()).toEqual(initialDownloaders(order).sort());
+  expect([...downloadersAfter(0)].sort()).toEqual(initialOriginFetchers(order).sort());
   expect(downloadersAfter(0).size).toEqual(12);
   expect(downloadersAfter(3).size).toEqual(48);
 });
 
 test('should reassign the chunks of a box that finishes nothing, but not those of a slow one', () => {
-  const order = downloadOrder('r', members(4));
-  const progress = new DownloadProgress(8, 0);
+  const order = originFetchOrder('r', members(4));
+  const progress = new OriginFetchProgress(8, 0);
   const assignedTo = (box: string): number[] =>
     Array.from({ length: 8 }, (_unused, chunk) => chunk).filter(
-      (chunk) => downloaderOf(order, chunk, 0) === box,
+      (chunk) => originFetcherOf(order, chunk, 0) === box,
     );
   const [slow] = order;
   const [first, second] = assignedTo(slow);
   const unseen = Array.from({ length: 8 }, (_unused, chunk) => chunk).filter((chunk) => chunk !== first);
   progress.update(order, unseen, 800);
   const downloaderAt = (chunk: number, now: number): string | undefined =>
-    downloaderOf(order, chunk, progress.millisecondsWithoutProgress(order, chunk, now));
+    originFetcherOf(order, chunk, progress.millisecondsWithoutProgress(order, chunk, now));
   expect(downloaderAt(second, 1_500)).toEqual(slow);
   const [dead] = order.slice(1);
   const [pending] = assignedTo(dead);
@@ -122,7 +122,7 @@
 });
 
 test('should have no downloader without members', () => {
-  expect(downloaderOf([], 1, 0)).toEqual(undefined);
+  expect(originFetcherOf([], 1, 0)).toEqual(undefined);
 });
 
 function peers(
--- a/tests/switchGroup.spec.ts
+++ b/tests/switchGroup.spec.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { expect } from 'earl';
 import type { Member } from '../src/protocol/rolloutMessages.js';
-import { downloadOrder, initialDownloaders } from '../src/staging/downloadSchedule.js';
+import { originFetchOrder, initialOriginFetchers } from '../src/staging/originFetchSchedule.js';
 import { connectedPeers, switchGroup } from '../src/staging/switchGroup.js';
 import { exchangeGateways } from '../src/weights/exchangeTopology.js';
 import { membersOf } from './fixtures/memberFixture.js';
@@ -46,7 +46,7 @@
 test('should download at boxes that exchange chunks with other data centres', () => {
   const all = members(144);
   const gateways = new Set(exchangeGateways(all).map(({ box }) => box));
-  const downloaders = initialDownloaders(downloadOrder('model@2', all));
+  const downloaders = initialOriginFetchers(originFetchOrder('model@2', all));
   expect(downloaders).toHaveLength(12);
   expect(downloaders.every((box) => gateways.has(box))).toEqual(true);
 });
