--- a/src/staging/originFetchSchedule.ts
+++ b/src/staging/originFetchSchedule.ts
@@ -56,10 +56,8 @@
  */
 export function replaceLostOriginFetchers(order: readonly string[], lost: ReadonlySet<string>): string[] {
   const spare = order.slice(INITIAL_ORIGIN_FETCHERS).filter((box) => !lost.has(box));
-  const positions = initialOriginFetchers(order).map((box) =>
-    lost.has(box) ? (spare.shift() ?? NO_BOX) : box,
-  );
-  return [...positions, ...spare];
+  const boxes = initialOriginFetchers(order).map((box) => (lost.has(box) ? (spare.shift() ?? NO_BOX) : box));
+  return [...boxes, ...spare];
 }
 
 /**
--- a/src/staging/switchTurn.ts
+++ b/src/staging/switchTurn.ts
@@ -60,7 +60,7 @@
   const before = peers.filter((peer) => peer.stage === 'staged' && order.indexOf(peer.box) < rank);
   const gap = Math.min(MAX_GAP_MILLISECONDS, spareMilliseconds / waiting);
   const minimumMilliseconds = before.length > 0 ? gap + MISSED_TURN_MILLISECONDS : gap;
-  return [...switching, ...before].every((peer) => turnMilliseconds(peer) >= minimumMilliseconds);
+  return [...switching, ...before].every((peer) => turnAge(peer) >= minimumMilliseconds);
 }
 
 /** Returns how many boxes have to switch at the same time so that all waiting boxes switch in time. */
@@ -71,13 +71,11 @@
 }
 
 function isSwitching(peer: SwitchPeer): boolean {
-  return (
-    turnMilliseconds(peer) < STUCK_MILLISECONDS && (peer.stage === 'preparing' || peer.stage === 'switching')
-  );
+  return turnAge(peer) < STUCK_MILLISECONDS && (peer.stage === 'preparing' || peer.stage === 'switching');
 }
 
 /** Milliseconds since the peer began its turn, or since it started to wait for it. */
-function turnMilliseconds({ stage, stageMilliseconds }: SwitchPeer): number {
+function turnAge({ stage, stageMilliseconds }: SwitchPeer): number {
   return stage === 'switching' ? stageMilliseconds + PREPARING_MILLISECONDS : stageMilliseconds;
 }
 
