--- a/src/staging/backendIncarnation.ts
+++ b/src/staging/backendIncarnation.ts
@@ -4,7 +4,7 @@
  */
 import type { LocalBackendStatus } from './localBackend.js';
 
-/** The fields of a status that differ between two runs of the backend server process. */
+/** The fields of a status that tell one incarnation of the backend server from the next. */
 export type BackendIncarnation = Pick<LocalBackendStatus, 'startedAt' | 'revision'>;
 
 /**
--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -8,12 +8,11 @@
 import type { StagingArea } from './stagingArea.js';
 
 /**
- * A chunk that was read back within this time is not read again before an order. Reading it again would not exclude
- * that it becomes corrupt afterwards, and when all processes started at once, the second reading took 150 of the
- * 1,300 ms until a server served.
+ * A chunk that was read back within this time is not read again before an order. A second reading could not rule out
+ * later corruption either, and when all processes started at once, it took 150 of the 1,300 ms until a server served.
  */
 const RECENT_READ_MILLISECONDS = 1_000;
-/** Rounds in which corrupt chunks are written again. */
+/** Most rounds in which corrupt chunks are written again and read back. */
 const REPAIR_ROUNDS = 3;
 
 /** Options of a {@link ChunkStager}. */
@@ -67,9 +66,9 @@
 
   /**
    * Reads the staged chunks back and writes those again that do not match the manifest. Returns whether all match
-   * in the end. A chunk that was read a moment ago is not read again, unless it was read before `incarnationSeenAt`
-   * (monotonic milliseconds), possibly from an earlier run of the server, or before this version acquired the
-   * staging area, since another version may have overwritten it.
+   * in the end. A chunk that was read a moment ago is not read again, with two exceptions: it was read before
+   * `incarnationSeenAt` (monotonic milliseconds), so possibly from an earlier incarnation of the server, or before this
+   * version acquired the staging area, so that another version may have overwritten it.
    */
   async verify(data: (chunk: number) => Buffer | undefined, incarnationSeenAt: number): Promise<boolean> {
     const { index, model, log, stagingArea } = this._options;
--- a/src/staging/connectedEntries.ts
+++ b/src/staging/connectedEntries.ts
@@ -17,7 +17,7 @@
  */
 const BATCH_DELAY_PER_LISTENER_MILLISECONDS = 5;
 const MIN_BATCH_DELAY_MILLISECONDS = 15;
-/** Reached with 120 listeners. For this time at most, entries still list one that has disconnected. */
+/** Reached with 120 listeners. An entry that has disconnected is still listed by the others for at most this time. */
 export const MAX_BATCH_DELAY_MILLISECONDS = 600;
 
 interface ConnectedEntry {
@@ -86,7 +86,7 @@
     this._scheduledSend.schedule();
   }
 
-  /** Sends a message to all entries that receive the status of this box, which are those that send requests to it. */
+  /** Sends a message to all entries that receive the status of this box: those that send requests to it. */
   sendToStatusListeners(message: Message): void {
     this.broadcastStatus(message, 'all');
   }
@@ -122,7 +122,10 @@
     this._scheduledSend.cancel();
   }
 
-  /** Asks entries of this data centre first: agent lists are long, and traffic between data centres is expensive. */
+  /**
+   * Asks a few entries for the list of agents, those of this data centre first: the lists are long, and traffic between
+   * data centres is expensive.
+   */
   private _askForAgents(): void {
     let asked = [...this._entries.values()].filter((entry) => entry.asked).length;
     if (asked >= MAX_ASKED_ENTRIES) return;
--- a/src/staging/linkRate.ts
+++ b/src/staging/linkRate.ts
@@ -1,7 +1,8 @@
 /** Detects a slow link of a box by the rate at which chunks arrive while several fetches are running. */
 
-/** Share of the allowed rate below which a link counts as slow, and the shortest time of measurement. */
+/** Share of the allowed rate below which a link counts as slow. */
 const SLOW_SHARE = 0.38;
+/** Shortest time of measurement before a link may count as slow. */
 const MIN_MEASURED_MILLISECONDS = 1_000;
 /**
  * Fewest concurrent fetches that are measured. The rate of a single fetch says as much about its sender as about
@@ -11,8 +12,8 @@
 /** Half-life of the weight of received bytes, so that a link that becomes slow or fast again is detected soon. */
 const HALF_LIFE_MILLISECONDS = 1_000;
 /**
- * How long a link that was slow still counts as slow after the last chunk. The link throttling in the users' bench
- * lasts for 5 to 7 s.
+ * How long a link that was slow still counts as slow after the last chunk. In the users' benchmark,
+ * links are throttled for 5 to 7 s at a time.
  */
 const STILL_SLOW_MILLISECONDS = 4_000;
 const MILLISECONDS_PER_SECOND = 1_000;
--- a/src/staging/manifestReader.ts
+++ b/src/staging/manifestReader.ts
@@ -17,7 +17,7 @@
   origin: () => Origin | undefined;
   /** Other agents of the service. */
   peers: () => readonly Member[];
-  /** Boxes that download from the origin first. Other boxes ask these for the manifest. */
+  /** Boxes that fetch a rollout from the origin first. Other boxes ask these for the manifest. */
   originFetchers: (rollout: string) => readonly string[];
   box: string;
   token: string;
@@ -28,7 +28,7 @@
 const RETRY = { firstMilliseconds: 60, longestMilliseconds: 500 };
 const PEER_TIMEOUT_MILLISECONDS = 800;
 const MAX_PEERS_ASKED = 3;
-/** Rounds in which a box that is not among the fetchers asks only other agents, before it asks the origin too. */
+/** Rounds in which a box that is no origin fetcher asks only other agents, before it asks the origin too. */
 const PEER_ONLY_ROUNDS = 5;
 
 export class ManifestReader {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Asks a few agents, starting with one that downloads from the origin. */
+  /** Asks a few agents, starting with one that fetches from the origin. */
   private async _fromPeers(rollout: string, fetchers: readonly string[]): Promise<Manifest | undefined> {
     const { peers, random } = this._options;
     const candidates = shuffled(peers(), random);
--- a/src/staging/originFetchSchedule.ts
+++ b/src/staging/originFetchSchedule.ts
@@ -1,14 +1,14 @@
 /**
- * Decides which box downloads which chunk from the origin, and when another box takes the download over. Log lines
- * and messages call such a download a draw. All boxes compute the same order from the same members.
+ * Decides which box fetches which chunk from the origin, and when another box takes the fetch over. Log lines and
+ * messages call an origin fetch a draw. All boxes compute the same order from the same members.
  */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { orderAcrossDataCentres } from '../utils/dataCentreOrder.js';
 import { exchangeGateways } from '../weights/exchangeTopology.js';
 
 /**
- * Time without a finished chunk after which another box downloads the chunks of a box too. Twelve boxes that share an
- * origin link of 9.9 Mbit/s each finish a chunk of 32 KB every 320 ms.
+ * If a box finishes no chunk for this long, another box fetches its chunks too. Twelve boxes that share an origin link
+ * of 9.9 Mbit/s each finish a chunk of 32 KB every 320 ms.
  */
 export const ORIGIN_FETCH_TURN_MILLISECONDS = 900;
 
@@ -21,9 +21,9 @@
 }
 
 /**
- * Returns the boxes in the order in which they download. Boxes that exchange chunks with other data centres come
- * first: a chunk that another box downloads is announced to other data centres up to 2 s later, with the next
- * refresh.
+ * Returns the boxes in the order in which they fetch from the origin. Boxes that exchange chunks with other data
+ * centres come first: a chunk that any other box fetches is announced to other data centres up to 2 s later, with the
+ * next refresh.
  */
 export function originFetchOrder(rollout: string, members: readonly Member[]): string[] {
   const gateways = new Set(exchangeGateways(members));
@@ -32,27 +32,27 @@
 }
 
 /**
- * Number of boxes that download at first. With more boxes, each would have a smaller share of the origin's link, so
- * that the first chunks would arrive later, and the origin might not accept as many connections.
+ * Number of boxes that fetch from the origin at first. With more boxes, each would have a smaller share of the origin's
+ * link, so that the first chunks would arrive later, and the origin might not accept as many connections.
  */
 const INITIAL_ORIGIN_FETCHERS = 12;
-/** Turns after which any box may take over, since the initial fetchers seem to be gone. */
+/** Turns after which any box may take over, since the initial origin fetchers seem to be gone. */
 const INITIAL_TURNS = 3;
 
-/** Returns the boxes that download from the origin while they are reachable. */
+/** Returns the boxes that fetch from the origin while they are reachable. */
 export function initialOriginFetchers(order: readonly string[]): string[] {
   return order.slice(0, INITIAL_ORIGIN_FETCHERS);
 }
 
-/** Placeholder for a lost fetcher without a substitute; the others share its chunks. */
+/** Placeholder for a lost origin fetcher without a substitute; the others share its chunks. */
 const NO_BOX = '';
 
 /**
- * Returns the order with each `lost` initial fetcher replaced by a box that does not download yet, or by a
- * placeholder if there is none. All others keep their positions, and so the chunks that they are downloading.
- * Removing the lost box from the order instead gave nearly every chunk another fetcher while the former one had
- * half of it: on a day on which one of nine boxes was killed during a download, the origin sent 2.4 copies of two
- * versions instead of 2.1.
+ * Returns the order with each `lost` initial origin fetcher replaced by a box that does not fetch from the origin yet,
+ * or by a placeholder if there is none. All others keep their positions, and so the chunks that they are fetching.
+ * Removing the lost box from the order instead assigned nearly every chunk to another box when the former one had
+ * fetched half of it: when one of nine boxes was killed during its fetches, the origin sent 2.4 copies of two versions
+ * instead of 2.1.
  */
 export function replaceLostOriginFetchers(order: readonly string[], lost: ReadonlySet<string>): string[] {
   const spare = order.slice(INITIAL_ORIGIN_FETCHERS).filter((box) => !lost.has(box));
@@ -61,8 +61,8 @@
 }
 
 /**
- * Returns the box that is to download `chunk` once its first fetcher has finished no chunk for `elapsed`
- * milliseconds.
+ * Returns the box that is to fetch `chunk` from the origin, given that the first box assigned to the chunk has finished
+ * none for `elapsed` milliseconds.
  */
 export function originFetcherOf(
   order: readonly string[],
@@ -78,7 +78,7 @@
   return reachable[Math.floor(chunk / fetchers.length) % reachable.length];
 }
 
-/** Tracks which boxes finish the chunks that they are to download. */
+/** Tracks when each box last finished a chunk that it was to fetch from the origin. */
 export class OriginFetchProgress {
   private readonly _startedAt: number;
   private readonly _lastFinishedAt = new Map<string, number>();
@@ -100,7 +100,7 @@
     this._unseen = still;
   }
 
-  /** Returns the milliseconds for which the first fetcher of `chunk` has finished no chunk. */
+  /** Returns the milliseconds for which the first box assigned to `chunk` has finished no chunk. */
   millisecondsWithoutProgress(order: readonly string[], chunk: number, now: number): number {
     const fetcher = originFetcherOf(order, chunk, 0) ?? '';
     return now - Math.max(this._startedAt, this._lastFinishedAt.get(fetcher) ?? 0);
--- a/src/staging/pollInterval.ts
+++ b/src/staging/pollInterval.ts
@@ -2,7 +2,7 @@
 import type { LocalBackendStatus } from './localBackend.js';
 import type { SwitchStage } from './switchTurn.js';
 
-/** Usual interval. A load that entries choose a server by may be this old when the agent sends it. */
+/** Usual interval. The load that the agent sends to the entries, which choose a server by it, may be this old. */
 export const POLL_MILLISECONDS = 120;
 /**
  * Interval while the box prepares or switches, so that the agent learns soon when it may send the order and when
--- a/src/staging/serverNotices.ts
+++ b/src/staging/serverNotices.ts
@@ -8,12 +8,12 @@
 
 /** Servers whose notices are kept. */
 const MAX_SERVERS = 200;
-/** Notices older than this are not sent: the server has ended, or repeats its notice to each entry that calls it. */
+/** Notices older than this are not sent. The server has ended by then, or has repeated the notice in its answers. */
 const MAX_AGE_MILLISECONDS = 600_000;
 
 /**
- * An unchanged notice is forwarded again after this time. Entries that leave the server to other entries wait for
- * it.
+ * An unchanged notice is forwarded again after this time. Only a few entries hold a share of a server's limit and send
+ * to the server; the others learn from the repeated notice that the limit still applies.
  */
 const REPEAT_MILLISECONDS = 9_000;
 
@@ -63,8 +63,8 @@
 }
 
 /**
- * Returns the newer notice. Within one run of a server, `leaving` stays set, even if the newer notice comes from an
- * entry that does not know it yet.
+ * Returns the newer notice. Within one incarnation of a server, `leaving` stays set, even if the newer notice comes
+ * from an entry that does not know of it yet.
  */
 function merged(known: RememberedNotice, reported: RememberedNotice): RememberedNotice {
   const newer = reported.heardAt > known.heardAt ? reported : known;
--- a/src/staging/stageQueue.ts
+++ b/src/staging/stageQueue.ts
@@ -22,7 +22,7 @@
   manifests: ManifestReader;
   log: EventLog;
   members: () => readonly Member[];
-  /** Time from its announcement within which a version has to replace older ones. */
+  /** Time from its announcement within which a version has to replace older ones; sets the version deadline. */
   versionMilliseconds: number;
   /** Called when a stage has been opened. */
   onOpened: () => void;
@@ -44,7 +44,7 @@
     return this._target?.model ?? '';
   }
 
-  /** The newest wanted version; 0 while unknown. */
+  /** The target version; 0 while unknown. */
   get targetVersion(): number {
     return this._target?.version ?? 0;
   }
@@ -86,7 +86,7 @@
     void this._open(target, this._manifestReading.signal);
   }
 
-  /** Drops incomplete versions that are not worth finishing now that a newer one is wanted. */
+  /** Drops incomplete versions that are not worth finishing now that there is a newer target. */
   dropSuperseded(): void {
     for (const stage of this._stages) {
       if (!stage.complete && !this._isWorthFinishing(stage)) this._drop(stage);
@@ -127,14 +127,14 @@
     });
   }
 
-  /** Whether no older version is fetching any more, so that `version` may use the link. */
+  /** Whether no older version is being fetched from other boxes, so that `version` may use the link. */
   private _mayFetchFromPeers(version: number): boolean {
     return this._stages.every(
       (stage) => stage.version >= version || stage.complete || !stage.exchange.isFetching,
     );
   }
 
-  /** Whether this box has no open downloads of older versions, so that `version` may use the origin's link. */
+  /** Whether this box has no open origin fetches of older versions, so that `version` may use the origin's link. */
   private _mayFetchFromOrigin(version: number): boolean {
     return this._stages.every((stage) => stage.version >= version || stage.exchange.openDraws.length === 0);
   }
--- a/src/staging/stagedChunks.ts
+++ b/src/staging/stagedChunks.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the chunks that an earlier run of this process has staged, before the agent knows the wanted version. After
- * a power loss the entries start at the same time, and the agent learns the version only once one of them is up.
+ * Reads the chunks that an earlier incarnation of the agent has staged, before the agent knows the target version.
+ * After a power loss the entries start at the same time, and the agent learns the version only once one of them is up.
  */
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
@@ -51,7 +51,7 @@
     try {
       for (const model of await models()) await this._readOnce(model);
     } catch (error) {
-      // They are read again when a version of the model is wanted.
+      // They are read again when a version of the model becomes the target.
       this._readings.clear();
       log.decision('chunks.not-read', { reason: errorText(error) });
     }
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -51,7 +51,7 @@
 /** What an agent needs besides its settings. */
 export interface StagingDependencies {
   backend: LocalBackend;
-  /** Returns the models with an announced version, as the platform lists them; rejects if these cannot be read. */
+  /** Returns the models of which the platform lists an announced version; rejects if the list cannot be read. */
   announcedModels: () => Promise<readonly string[]>;
   /** Creates a client of the origin at an address (host:port). */
   originAt: (address: string) => Origin;
@@ -59,12 +59,12 @@
   exchangeLogger: Logger;
 }
 
-/** Few, so that the incoming link stays free for requests to the backend server. */
+/** Concurrent fetches from peers: few, so that the incoming link stays free for requests to the backend server. */
 const FETCHES_AT_ONCE = 3;
-/** Longer than a chunk takes on a working link, and several times shorter than on a throttled one. */
+/** Time of a gateway's turn to import a chunk: a fetch takes less on a working link, much more on a throttled one. */
 const IMPORT_STEP_MILLISECONDS = 600;
 const STALL_MILLISECONDS = 1_500;
-/** Bytes that an upload writes at once, so that an event of a stream waits some tens of milliseconds at most. */
+/** Bytes that an upload writes at a time: few, so that an event of a stream waits some tens of milliseconds at most. */
 const BLOCK_BYTES = 8 * 1024;
 const METRICS_PATH = '/metrics';
 const STATUS_INTERVAL_MILLISECONDS = 250;
@@ -92,7 +92,7 @@
   });
   /** All boxes of the service, including this one. */
   private _members: Member[] = [];
-  /** The boxes that take turns at switching, including this one. */
+  /** The switch group: the boxes that take turns at switching, including this one. */
   private _switchMembers: readonly Member[] = [];
   private _origin: WatchedOrigin | undefined;
   private _originAddress = '';
@@ -163,7 +163,7 @@
     this._log.state('agent.started', { address, controlPort, chunkPort });
   }
 
-  /** Logs the request. Settings apply from start to stop, so a reload changes and interrupts nothing. */
+  /** Logs the request. Settings are read once at the start, so a reload changes and interrupts nothing. */
   reload(): void {
     this._log.state('agent.reload', { applied: 'nothing that holds while the process runs' });
   }
@@ -303,7 +303,7 @@
     this._switchStates.onStageChange();
   }
 
-  /** Returns the stages of the other boxes of the group with respect to `version`. */
+  /** Returns the stages of the other boxes of the switch group with respect to `version`. */
   private _switchPeers(version: number): SwitchPeer[] {
     const boxes = new Set(this._switchMembers.map((member) => member.box));
     return this._peerMessages.stages(version).filter((peer) => boxes.has(peer.box));
--- a/src/staging/statusSender.ts
+++ b/src/staging/statusSender.ts
@@ -2,20 +2,20 @@
 import type { BoxStatus } from '../protocol/boxMessages.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Change of the load, in requests, that is sent at once. */
+/** Smallest change of the load, in requests, that is sent without waiting for the interval. */
 const LOAD_STEP = 2;
 /**
  * Shortest time between two statuses in which only the load differs, multiplied by the number of entries that
  * receive them, so that the traffic of an agent does not grow with the number of entries. Entries of other data
  * centres, which send fewer requests to this box, receive statuses less often. With 15 entries and 13 servers, 4 ms
- * instead of 10 ms raised the credit from 0.74 to 0.79 in one pair of runs.
+ * instead of 10 ms raised the score of the users' benchmark from 0.74 to 0.79 in one pair of runs.
  */
 const MIN_SPACING_PER_ENTRY_MILLISECONDS = 4;
 const MIN_REMOTE_SPACING_PER_ENTRY_MILLISECONDS = 10;
 /** An unchanged status is sent again after this time, so that entries know how old their information is. */
 const MAX_INTERVAL_MILLISECONDS = 1_000;
 
-/** The entries that a status is sent to: all, or only those of the agent's data centre. */
+/** The entries that a status is sent to: `all`, or only those `near`, in the agent's data centre. */
 export type StatusAudience = 'all' | 'near';
 
 /** Options of a {@link StatusSender}. */
--- a/src/staging/switchTurn.ts
+++ b/src/staging/switchTurn.ts
@@ -22,17 +22,17 @@
   peers: readonly SwitchPeer[];
   /** All boxes in the order in which they switch. */
   order: readonly string[];
-  /** Milliseconds until the deadline after which no request may begin on an older version. */
+  /** Milliseconds until the version deadline, after which no request may begin on an older version. */
   leftMilliseconds: number;
 }
 
 /** How long a box prepares. About half of its streams end in this time and need not be handed over. */
 export const PREPARING_MILLISECONDS = 450;
-/** Time from the start of the preparation until the box serves the new version, on the users' bench. */
+/** Time from the start of the preparation until the box serves the new version, in the users' benchmark. */
 const TURN_MILLISECONDS = 1_100;
 /**
- * Time before the deadline at which a box begins whatever the others do, so that it is nearly back in service when
- * entries stop sending requests to the older version.
+ * Time before the version deadline at which a box begins whatever the others do, so that it will soon serve the new
+ * version when entries stop sending requests to the older one.
  */
 const FORCED_START_MILLISECONDS = LAST_SEND_MARGIN_MILLISECONDS + 300;
 /** Largest share of the boxes that switch at the same time while there is time left. */
@@ -74,12 +74,12 @@
   return turnAge(peer) < STUCK_MILLISECONDS && (peer.stage === 'preparing' || peer.stage === 'switching');
 }
 
-/** Milliseconds since the peer began its turn, or since it started to wait for it. */
+/** Returns the milliseconds since the peer began its turn, or since it began to wait for its turn. */
 function turnAge({ stage, stageMilliseconds }: SwitchPeer): number {
   return stage === 'switching' ? stageMilliseconds + PREPARING_MILLISECONDS : stageMilliseconds;
 }
 
-/** A server whose entries have been notified that it is about to switch. */
+/** State of a server between the notice to the entries that it is about to switch and the order to load. */
 export interface SwitchNotice {
   /** Milliseconds since the entries were notified. */
   noticeMilliseconds: number;
@@ -93,8 +93,8 @@
  */
 const MIN_NOTICE_MILLISECONDS = 100;
 /**
- * Time until all but a few of the requests that were sent before the notice arrived have begun. Waiting longer
- * would shorten the service too much.
+ * Time until all but a few of the requests that were sent before the notice arrived have begun. Waiting longer would
+ * keep the box out of service for too long.
  */
 const MAX_NOTICE_MILLISECONDS = 300;
 
--- a/src/staging/uploadPriorities.ts
+++ b/src/staging/uploadPriorities.ts
@@ -4,8 +4,8 @@
 import { switchOrder } from './originFetchSchedule.js';
 
 /**
- * Share of the boxes, first in the order of switching, that receive their chunks before the others, so that the
- * switch can begin early and be spread over all of the available time.
+ * Share of the boxes that receive their chunks before the others: those that come first in the order of switching. The
+ * switch can then begin early and be spread over all of the available time.
  */
 const EARLY_SHARE = 1 / 3;
 
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -1,4 +1,4 @@
-/** Brings the backend server of this box to the wanted versions, and retries until it serves the newest one. */
+/** Brings the backend server of this box to the target version, and retries until the server serves it. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 import type { EventLog } from '../telemetry/eventLog.js';
@@ -45,8 +45,8 @@
   private readonly _stopped = new AbortController();
   private _status: LocalBackendStatus | undefined;
   /**
-   * Monotonic milliseconds since which reads are known to come from the present run of the backend server; infinite
-   * if it reports no start time, since a restart that lost all staged chunks may then have gone unnoticed.
+   * Monotonic milliseconds since which chunks are known to be read from the current incarnation of the backend server;
+   * infinite if the server reports no start time, since a restart that lost all staged chunks may then go unnoticed.
    */
   private _incarnationSeenAt = Number.POSITIVE_INFINITY;
   /** Whether nothing listens at the address of the backend server. */
@@ -78,7 +78,7 @@
     return this.status?.versions.get(model) ?? 0;
   }
 
-  /** The version that this box is to serve next; if there is none, the one in service or wanted. */
+  /** The version that this box is to serve next; if there is none, the newer of the served and the target version. */
   get nextVersion(): number {
     return this._nextStage?.version ?? Math.max(this.servedVersion, this._options.stages.targetVersion);
   }
@@ -137,7 +137,7 @@
     }
   }
 
-  /** A box that waits for its turn checks its peers often, but polls its server as seldom as a serving one. */
+  /** A box that waits for its turn checks its peers often, but polls its server only as often as usual. */
   private _isPollDue(): boolean {
     const interval = pollInterval(this.switchStage, this._status);
     return this._options.clock.now() - this._polledAt >= interval;
@@ -229,7 +229,7 @@
     return this._leftMilliseconds(stage) <= LAST_SEND_MARGIN_MILLISECONDS;
   }
 
-  /** Milliseconds until the deadline after which no request may begin on a version older than that of `stage`. */
+  /** Milliseconds until the version deadline, after which no request may begin on a version older than this stage's. */
   private _leftMilliseconds(stage: VersionStage): number {
     const { clock, versionMilliseconds } = this._options;
     return stage.announcedAt + versionMilliseconds - clock.now();
@@ -286,9 +286,9 @@
   }
 
   /**
-   * Whether the chunks that were read back are still valid: since before the reading, the server has neither
+   * Whether the chunks that were read back are still staged: since before the reading, the server has neither
    * restarted nor accepted an order. The order has to carry the revision from before the reading, since a later one
-   * would not exclude a change in between.
+   * would not rule out a change in between.
    */
   private _isReadingValid(status: LocalBackendStatus): boolean {
     const before = this._status!;
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -1,6 +1,6 @@
 /**
- * One version that this box loads: its exchange of chunks with other boxes, its downloads from the origin and its
- * staging at the backend server.
+ * One version that this box loads: the exchange of its chunks with other boxes, the origin fetches and the staging at
+ * the backend server.
  */
 import type { Manifest } from '../protocol/manifest.js';
 import type { Member, PlanMessage } from '../protocol/rolloutMessages.js';
@@ -38,19 +38,16 @@
   announcedAt: number;
   /** Rate at which the box may receive chunks. */
   bytesPerSecond: number;
-  /**
-   * Whether this version may fetch from other boxes, and whether it may download from the origin. An older version
-   * comes first.
-   */
+  /** Whether chunks may be fetched from other boxes now: not while an older version is being fetched from them. */
   mayFetchFromPeers: () => boolean;
+  /** Whether chunks may be fetched from the origin now: not while an older version has open origin fetches. */
   mayFetchFromOrigin: () => boolean;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 const TICK_INTERVAL_MILLISECONDS = 100;
 /**
- * How long a box that joins late waits for the other boxes to report their chunks before it downloads from the
- * origin.
+ * How long a box that joins late waits for the other boxes to report their chunks before it fetches from the origin.
  */
 const LATE_JOIN_WAIT_MILLISECONDS = 400;
 /** A version announced within this time is at no box yet, so that a box need not wait for reports of others. */
@@ -74,7 +71,7 @@
   private readonly _startedAt: number;
   private readonly _linkRate: LinkRate;
   private _members: readonly Member[];
-  /** Boxes in the order in which they download, in all data centres and in this one. */
+  /** Boxes in the order in which they fetch from the origin, in all data centres and in this one. */
   private _originFetchOrder: readonly string[] = [];
   private _localOriginFetchOrder: readonly string[] = [];
   private _peers: ReadonlySet<string> = new Set();
@@ -146,7 +143,7 @@
     return await this._stager.acquireStagingArea();
   }
 
-  /** Starts the exchange. With `adopt`, takes over chunks that an earlier run of this process staged. */
+  /** Starts the exchange. With `adopt`, takes over chunks that an earlier incarnation of the agent staged. */
   async start(adopt: boolean): Promise<void> {
     this.exchange.start();
     if (adopt) await this._adopt();
@@ -202,7 +199,7 @@
     this._linkRate.record(this._options.clock.now(), receivedBytes, this.exchange.fetching);
   }
 
-  /** Starts downloading the chunks that neither this box nor a neighbour has, and that are assigned to this box. */
+  /** Starts origin fetches of the chunks that neither this box nor a neighbour has, and that this box is assigned. */
   private _fetchMissingFromOrigin(): void {
     if (!this._options.mayFetchFromOrigin()) return;
     this._refetchScarce();
@@ -225,7 +222,10 @@
     this.exchange.grant(added);
   }
 
-  /** Downloads chunks again that only one box with a slow link has. In each data centre one box does so. */
+  /**
+   * Fetches chunks again from the origin that have stayed at a single box, whose link must be slow. In each data centre
+   * one box does so.
+   */
   private _refetchScarce(): void {
     const now = this._options.clock.now();
     const { box } = this._options.services;
@@ -244,7 +244,7 @@
     this.exchange.grant(due, true);
   }
 
-  /** Computes the orders of the downloaders, which hold until the members change. */
+  /** Computes the orders of the origin fetchers, which hold until the members change. */
   private _updateOriginFetchOrders(): void {
     const { box } = this._options.services;
     const own = this._members.find((member) => member.box === box);
--- a/src/staging/watchedOrigin.ts
+++ b/src/staging/watchedOrigin.ts
@@ -1,6 +1,6 @@
 /**
- * Wraps the origin of weights and records since when all calls to it fail. Without this, an origin that resets all
- * connections could not be told from a slow transfer.
+ * Wraps the origin of weights and keeps the time since which all calls to it have failed. Without this, an origin that
+ * resets all connections could not be told apart from a slow transfer.
  */
 import type { Origin, OriginRange } from '../external/origin.js';
 import type { Manifest } from '../protocol/manifest.js';
--- a/src/staging/worthFinishing.ts
+++ b/src/staging/worthFinishing.ts
@@ -3,8 +3,9 @@
 
 /** Input of the decision. Times are monotonic milliseconds. */
 export interface SupersededVersion {
-  /** When the version and the newer one were announced. */
+  /** When the version was announced. */
   announcedAt: number;
+  /** When the newer version was announced. */
   newerAnnouncedAt: number;
   now: number;
   /** Time from its announcement within which a newer version has to replace older ones. */
@@ -13,22 +14,24 @@
   copyMilliseconds: number;
   /** Time to receive the missing chunks of the version at that rate. */
   missingMilliseconds: number;
-  /** Shares of the chunks of each of the two versions that some box has from the origin, from 0 to 1. */
+  /** Share of the chunks of the version that are at some box already, from 0 to 1. */
   availableShare: number;
+  /** The same of the newer version. */
   newerAvailableShare: number;
 }
 
-/** Time from the first box with a complete copy until the last one serves, on the users' bench with 15 boxes. */
+/** Time from the first box with a complete copy until the last one serves, in the users' benchmark with 15 boxes. */
 const SPREAD_MILLISECONDS = 2_500;
-/** Below this share, the rest would load the origin for as long as the newer version. */
+/** Below this available share, fetching the rest would load the origin about as much as the newer version does. */
 const LITTLE_AVAILABLE_SHARE = 1 / 3;
 /** Shortest time in service for which a switch is worthwhile. */
 const MIN_SERVICE_MILLISECONDS = 1_000;
 
 /**
- * If a version is skipped, only the newer one may serve after the deadline of the skipped one. So the version is
- * finished, with two exceptions: the newer version can be in service everywhere by that deadline and no longer
- * depends on the origin, or there is no time left in which the version would serve.
+ * Whether to finish loading a version. If it is skipped, requests may begin only on the newer version once the deadline
+ * of the skipped one has passed. So the version is finished, with two exceptions: the newer version can be in service
+ * everywhere by that deadline and no longer depends on the origin, or there is no time left in which the version would
+ * serve.
  */
 export function isWorthFinishing(version: SupersededVersion): boolean {
   const { announcedAt, newerAnnouncedAt, now, switchMilliseconds, copyMilliseconds, missingMilliseconds } =
