--- a/src/protocol/boxMessages.ts
+++ b/src/protocol/boxMessages.ts
@@ -1,4 +1,4 @@
-/** Messages between entries and agents, and between agents, where entries send requests to backend servers directly. */
+/** Messages among entries and agents of a system in which entries send requests directly to backend servers. */
 import { z } from 'zod';
 import { countSchema, nameSchema } from './names.js';
 
@@ -17,7 +17,7 @@
 });
 export type EntryAddress = z.infer<typeof entryAddressSchema>;
 
-/** The version that an operator wants in service, and how long the sender has known of it. */
+/** A target version, which the operator wants in service, and how long the sender has known of it. */
 export const wantedVersionSchema = z.object({
   model: z.string(),
   version: countSchema,
@@ -37,7 +37,7 @@
 export const agentAddressSchema = z.object({ box: nameSchema, dataCentre: z.string(), address: z.string() });
 export type AgentAddress = z.infer<typeof agentAddressSchema>;
 
-/** Sent by an entry to each agent on connecting and on every change. */
+/** Sent by an entry to each agent when it connects and on every change. */
 export const entryPresenceSchema = z.object({
   type: z.literal('entry-presence'),
   entry: entryAddressSchema,
@@ -53,7 +53,10 @@
 });
 export type EntryPresence = z.infer<typeof entryPresenceSchema>;
 
-/** Sent by an agent to a few entries that it has chosen; `wanted` is false when it has chosen others instead. */
+/**
+ * Asks an entry for the list of agents. An agent asks a few entries only; `wanted` is false to tell an entry that the
+ * agent has chosen others instead.
+ */
 export const agentListQuerySchema = z.object({ type: z.literal('agent-list-query'), wanted: z.boolean() });
 
 /** The answer to `agent-list-query`, sent again on every change: the agents of the same service. */
@@ -69,7 +72,7 @@
 export const servingStateSchema = z.enum(['serving', 'preparing', 'switching', 'empty']);
 export type ServingState = z.infer<typeof servingStateSchema>;
 
-/** Status of a backend server, sent by its agent to the entries that want it on every change. Load may lag behind. */
+/** Status of a backend server. Its agent sends it on every change to the entries that want it. Load may lag behind. */
 export const boxStatusSchema = z.object({
   type: z.literal('box-status'),
   state: servingStateSchema,
@@ -84,7 +87,7 @@
 });
 export type BoxStatus = z.infer<typeof boxStatusSchema>;
 
-/** The entries that are connected to an agent, sent by it on every change to the entries that want this list. */
+/** The entries that are connected to an agent. The agent sends the list on every change to the entries that want it. */
 export const entryListSchema = z.object({
   type: z.literal('entry-list'),
   /** Whether `entries` holds all entries, or only those that changed since the last list on this connection. */
@@ -96,8 +99,8 @@
 export type EntryList = z.infer<typeof entryListSchema>;
 
 /**
- * Sent by an agent to the entries that receive its status, when it learns of a version or that a version was known
- * earlier than it thought. If the source of an entry is late or has missed a version, the entry learns of it in this
+ * Sent by an agent to the entries that receive its status, when it learns of a version, or that a version was known
+ * earlier than reported so far. An entry whose own source is late or has missed a version learns of the version in this
  * way from any other entry that is connected to the same agent.
  */
 export const versionsHeardSchema = z.object({
@@ -105,7 +108,7 @@
   versions: z.array(heardVersionSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
-/** What a backend server requires of all entries, as stated in its answers: a limit on requests, or that they stop. */
+/** What a backend server requires of all entries: a limit on requests, or that they send none. Its answers carry it. */
 export const serverNoticeSchema = z.object({
   server: z.string().max(MAXIMUM_NAME_LENGTH),
   /** Start of the server in Unix milliseconds by its own clock; 0 when unknown. */
@@ -127,12 +130,12 @@
   notices: z.array(serverNoticeSchema).max(MAXIMUM_LIST_LENGTH),
 });
 
-/** Asks for a {@link linkEchoSchema} to measure the round trip; `ControlConnection` of the peer sends it. */
+/** Measures the round trip: the `ControlConnection` of the peer answers with a {@link linkEchoSchema}. */
 export const linkProbeSchema = z.object({ type: z.literal('link-probe'), number: countSchema });
 /** Answers the probe with the same number. */
 export const linkEchoSchema = z.object({ type: z.literal('link-echo'), number: countSchema });
 
-/** Sent between agents: how far the sender is in staging a version and switching to it. */
+/** Sent between agents: the sender's progress in staging a version and switching to it. */
 export const switchStateSchema = z.object({
   type: z.literal('switch-state'),
   version: countSchema,
--- a/src/protocol/recordMessages.ts
+++ b/src/protocol/recordMessages.ts
@@ -15,7 +15,7 @@
  */
 const objectSchema = z.object({ name: z.string(), revision: countSchema, json: z.string().optional() });
 
-/** Subscribes to an entry's copies of the records: to how current they are and, if `wantsChanges`, to their changes. */
+/** Subscribes to record-stamp messages about an entry's copies and, if `wantsChanges`, to changes of the records. */
 export const recordSubscribeSchema = z.object({
   type: z.literal('record-subscribe'),
   wantsChanges: z.boolean(),
@@ -36,8 +36,9 @@
 export type RecordChanges = z.infer<typeof recordChangesSchema>;
 
 /**
- * Records that the sender keeps in force although the store has been rolled back to an older state. Either side sends
- * them when the other retains fewer, so that an entry that has just started does not apply the older state.
+ * Records that the sender keeps in force although the store has been rolled back to an older state. Each side of a
+ * connection sends them if the other retains fewer, so that an entry that has just started does not apply the older
+ * state.
  */
 export const recordsRetainedSchema = z.object({
   type: z.literal('records-retained'),
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -14,14 +14,14 @@
 /** Number of buckets of an anti-entropy digest. */
 export const DIGEST_BUCKETS = 64;
 
-/** Sends records that the peer may lack; the peer replies if `call` is present. */
+/** Records that the peer may lack. The peer replies if `call` is present. */
 export const recordsMessageSchema = z.object({
   type: z.literal('records'),
   call: countSchema.optional(),
   records: z.array(recordSchema).max(10_000),
 });
 
-/** Sends the hash of each bucket; the peer answers with its records of the buckets that differ. */
+/** The hash of each bucket. The peer answers with its records of the buckets that differ. */
 export const digestMessageSchema = z.object({
   type: z.literal('digest'),
   buckets: z.array(countSchema).length(DIGEST_BUCKETS),
--- a/src/protocol/reportMessages.ts
+++ b/src/protocol/reportMessages.ts
@@ -1,4 +1,4 @@
-/** Reports from an agent to the entries about its box. */
+/** Reports of agents to entries about their boxes. */
 import { z } from 'zod';
 import { countSchema, nameSchema } from './names.js';
 
@@ -21,9 +21,9 @@
   crossDataCentreBytes: countSchema,
   peerBytes: countSchema,
   corruptChunks: countSchema,
-  /** Chunks whose granted fetch from the origin (draw) has not ended. */
+  /** Number of chunks whose granted origin fetch (draw) has not ended. */
   openDraws: countSchema,
-  /** Chunks whose fetch from the origin failed after bytes were received; each needs a new grant. */
+  /** Chunks whose origin fetch failed after bytes were received; each needs a new grant. */
   failedDraws: z.array(countSchema).max(100_000),
   /** Hash of the ledger slots that are assigned to the agent; see ledgerHash. */
   ledgerHash: countSchema,
@@ -31,7 +31,7 @@
 });
 export type ServiceReport = z.infer<typeof serviceReportSchema>;
 
-/** The state of a box. Routing relies on the versions; load may be out of date. */
+/** The state of a box. Routing relies on the versions in it; the load may be out of date. */
 export const reportMessageSchema = z.object({
   type: z.literal('report'),
   box: nameSchema,
--- a/src/protocol/rolloutMessages.ts
+++ b/src/protocol/rolloutMessages.ts
@@ -44,7 +44,7 @@
 });
 export type PlanMessage = z.infer<typeof planMessageSchema>;
 
-/** Allows the agent to fetch these chunks from the origin, once each. Such a fetch is called a draw. */
+/** Allows the agent to fetch these chunks from the origin, once each. Messages call an origin fetch a draw. */
 export const grantMessageSchema = z.object({
   type: z.literal('grant'),
   ...orderFields,
@@ -62,7 +62,7 @@
 /** Tells an agent to stop serving a configuration. */
 export const withdrawMessageSchema = z.object({ type: z.literal('withdraw'), ...orderFields });
 
-/** Asks which chunks of a rollout the agent holds and which granted fetches from the origin have not ended. */
+/** Asks which chunks of a rollout the agent holds and which of its granted origin fetches have not ended. */
 export const holdingsQuerySchema = z.object({
   type: z.literal('holdings-query'),
   ...orderFields,
@@ -99,7 +99,7 @@
   | z.infer<typeof ledgerExportSchema>
   | z.infer<typeof ledgerImportSchema>;
 
-/** The reason for which an agent refused an order. */
+/** Why an agent refused an order. */
 export const orderRefusalSchema = z.enum([
   'stale-epoch',
   'unknown-rollout',
--- a/src/protocol/versionMargins.ts
+++ b/src/protocol/versionMargins.ts
@@ -1,5 +1,5 @@
 /**
- * After a newer version is named, requests may begin on older versions only until a deadline (their bound). These
+ * After a newer version is announced, requests may begin on older versions only until the version deadline. These
  * margins say how long before the deadline older versions cease to be used, step by step, in milliseconds. Entries and
  * agents use the same values.
  *
@@ -14,7 +14,7 @@
 
 /** From here on, servers of older versions are avoided: if one becomes unreachable, its requests may begin too late. */
 export const AVOIDANCE_MARGIN_MILLISECONDS = 3_000;
-/** A slow link delays both the request and the reset that cancels it: by 2.7 s when it had a fifth of its usual rate. */
+/** A slow link delays both a request and the reset that cancels it: by 2.7 s on a link at a fifth of its usual rate. */
 export const SLOW_CANCEL_MARGIN_MILLISECONDS = 2_000;
 /** From here on, servers that answer late or send no status get no requests on an older version. */
 export const SLOW_SEND_MARGIN_MILLISECONDS = 1_500;
--- a/src/rollout/coordinatorPool.ts
+++ b/src/rollout/coordinatorPool.ts
@@ -95,7 +95,7 @@
     for (const wanted of this._options.specifications.all()) this._startStep(wanted);
   }
 
-  /** Starts a step of one configuration, unless one is running. State exists only while there is work or a lease. */
+  /** Starts a step of one configuration unless one is running. Keeps its state only while there is work or a lease. */
   private _startStep(wanted: WantedConfiguration): void {
     const needed = needsCoordinator(wanted, this._options);
     const key = shortName(wanted.name);
--- a/src/rollout/ledgerAssigner.ts
+++ b/src/rollout/ledgerAssigner.ts
@@ -154,7 +154,7 @@
   return parsed.success ? parsed.data : undefined;
 }
 
-/** Whether the agent's last report shows the slots that the table assigns to it; also true without a report. */
+/** Whether the agent's last report matches the slots that the table assigns to it; also true without a report. */
 export function hasCurrentSlots(box: RolloutBox, slots: readonly SlotOwner[]): boolean {
   const incarnation = box.link?.report?.incarnation;
   if (!incarnation || !box.report) return true;
--- a/src/rollout/originBudget.ts
+++ b/src/rollout/originBudget.ts
@@ -1,6 +1,6 @@
-/** The limit on the bytes that a rollout may download from the origin, over all boxes and coordinators. */
+/** The limit on the bytes that a rollout may fetch from the origin, over all boxes and coordinators. */
 
-/** Bytes that one incarnation of an agent has downloaded, and bytes of its open draws. */
+/** Bytes that one incarnation of an agent has fetched from the origin, and bytes of its open origin fetches. */
 export interface OriginUsage {
   /** The incarnation of the agent, as `box/incarnation`. */
   agent: string;
@@ -9,7 +9,7 @@
 }
 
 /**
- * A grant allows one attempt to download one chunk and is written to the rollout object before it is sent. So a
+ * A grant allows one attempt to fetch one chunk and is written to the rollout object before it is sent. So a
  * coordinator that takes over knows all grants: it counts the usage that each agent reports, and for an agent that does
  * not answer, all bytes that were ever granted to it.
  */
@@ -24,7 +24,7 @@
     this._spent = new Map(this._granted);
   }
 
-  /** Upper bound on the bytes that have been downloaded so far. */
+  /** Upper bound on the bytes that have been fetched so far. */
   get spentBytes(): number {
     return [...this._spent.values()].reduce((sum, bytes) => sum + bytes, 0);
   }
--- a/src/rollout/originFetchGranter.ts
+++ b/src/rollout/originFetchGranter.ts
@@ -1,4 +1,7 @@
-/** Decides which box may draw which chunk, that is download it from the origin, within the origin budget. */
+/**
+ * Decides which box may fetch which chunk from the origin, within the origin budget. Messages and log lines call an
+ * origin fetch a draw.
+ */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import type { Specification, Urgency } from '../configuration/template.js';
 import type { ReplyMessage } from '../protocol/rolloutMessages.js';
@@ -32,14 +35,14 @@
   granted: Record<string, number>;
 }
 
-/** How long to wait for replies from all boxes before the first draws are granted. */
+/** How long to wait for replies from all boxes before the first origin fetches are granted. */
 const FIRST_REPLIES_MILLISECONDS = 1_000;
 /** Longest time between the state that a report describes and its arrival. */
 const MAX_REPORT_AGE_MILLISECONDS = 250;
-/** Time without progress after which the draws of a box are granted to another one, by urgency of the rollout. */
+/** Time without progress after which the origin fetches of a box are granted to another, by urgency of the rollout. */
 const STALLED_MILLISECONDS: Record<Urgency, number> = { time: 3_000, 'origin-bytes': 15_000 };
 
-/** Grants the draws of one rollout. A new instance is created for each rollout and lease epoch. */
+/** Grants the origin fetches of one rollout. A new instance is created for each rollout and lease epoch. */
 export class OriginFetchGranter {
   readonly rollout: string;
   private readonly _options: OriginFetchGranterOptions;
@@ -117,7 +120,7 @@
     return live.length > 0 && this._options.clock.now() - this._createdAt > FIRST_REPLIES_MILLISECONDS;
   }
 
-  /** Removes boxes that are gone, restarted, leaving or stalled. Their draws are granted again to other boxes. */
+  /** Removes boxes that are gone, restarted, leaving or stalled. Their origin fetches are granted to other boxes. */
   private _removeUnusableBoxes(boxes: readonly RolloutBox[]): void {
     const usableBoxes = new Set(boxes.filter((box) => this._isUsable(box)).map((box) => box.box));
     for (const box of this._coverage.boxes()) {
@@ -132,7 +135,7 @@
     return box.live && incarnation === this._incarnations.get(box.box) && !this._isStalled(box);
   }
 
-  /** Whether a box with open draws has reported no progress for too long. */
+  /** Whether a box with open origin fetches has reported no progress for too long. */
   private _isStalled(box: RolloutBox): boolean {
     const { report } = box;
     if (report?.rollout !== this.rollout || report.openDraws === 0) return false;
@@ -148,7 +151,7 @@
     for (const box of live) this._coverage.removeOriginFetches(box.box, this._failuresOf(box));
   }
 
-  /** Returns the failed draws of a box; none when its report may describe the state before the last grant. */
+  /** Returns the failed origin fetches of a box; none if its report may describe the state before the last grant. */
   private _failuresOf({ box, link, report }: RolloutBox): number[] {
     if (report?.rollout !== this.rollout) return [];
     const grantedAt = this._grantedAt.get(box) ?? Number.NEGATIVE_INFINITY;
@@ -178,7 +181,7 @@
     return topologyPolicy(distribution).initialOriginFetches(chunks, members, weight);
   }
 
-  /** Grants for the `direct` distribution, in which each box downloads all chunks from the origin. */
+  /** Grants for the `direct` distribution, in which each box fetches all chunks from the origin. */
   private _nextDirectGrants(live: readonly RolloutBox[]): PendingGrants | 'over-budget' | undefined {
     const all = Array.from({ length: this._options.index.chunkCount }, (_none, index) => index);
     const chunks = new Map<string, number[]>();
--- a/src/rollout/rolloutCoordinator.ts
+++ b/src/rollout/rolloutCoordinator.ts
@@ -1,4 +1,4 @@
-/** Brings the boxes of one configuration to the wanted version, while this entry holds the lease. */
+/** Brings the boxes of one configuration to its target version, while this entry holds the lease. */
 import { randomUUID } from 'node:crypto';
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
@@ -41,7 +41,7 @@
 /** How long a box may be unreachable before a `together` switch goes on without it. */
 const UNREACHABLE_MILLISECONDS = 10_000;
 
-/** Exists for one epoch of the lease. `step` is called repeatedly and does whatever is needed next. */
+/** Coordinates for one epoch of the lease. `step` is called repeatedly and does whatever is needed next. */
 export class RolloutCoordinator {
   private readonly _services: CoordinatorServices;
   private readonly _name: ConfigurationName;
@@ -61,7 +61,7 @@
     this._ledger = new LedgerAssigner(services, name, epoch);
   }
 
-  /** Compares the wanted with the current state and does what is needed next. */
+  /** Compares the specified with the current state and does what is needed next. */
   async step(): Promise<void> {
     const wanted = this._services.specifications.find(this._name);
     if (wanted?.withdrawn) return await this._withdraw();
@@ -88,7 +88,7 @@
     return configurationKey('rollout', this._name);
   }
 
-  /** Returns the record of the current rollout; starts a new rollout when another version is wanted. */
+  /** Returns the record of the current rollout; starts a new rollout when the target version has changed. */
   private async _currentRecord(
     specification: Specification,
     revision: number,
--- a/src/rollout/rolloutRecord.ts
+++ b/src/rollout/rolloutRecord.ts
@@ -1,4 +1,4 @@
-/** The rollout object of a configuration: the decisions that the next coordinator needs. */
+/** The rollout object of a configuration: the state that a coordinator needs to take over from another one. */
 import { z } from 'zod';
 import {
   countSchema,
@@ -19,7 +19,7 @@
   manifestDigest: digestSchema,
   totalBytes: countSchema,
   phase: rolloutPhaseSchema,
-  /** Bytes that each agent incarnation (`box/incarnation`) has been allowed to download from the origin. */
+  /** Bytes that each agent incarnation (`box/incarnation`) has been allowed to fetch from the origin. */
   granted: z.record(z.string(), countSchema),
   /** Why the rollout cannot continue, or ''. */
   heldBack: z.string(),
--- a/src/rollout/rolloutView.ts
+++ b/src/rollout/rolloutView.ts
@@ -1,4 +1,4 @@
-/** Combines the boxes that a specification names with their platform state and the reports of their agents. */
+/** Combines the boxes of a specification with their state on the platform and the reports of their agents. */
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import type { Specification } from '../configuration/template.js';
 import type { AgentLink } from '../membership/agentLink.js';
--- a/src/rollout/specifications.ts
+++ b/src/rollout/specifications.ts
@@ -9,7 +9,7 @@
 import type { Specification } from '../configuration/template.js';
 import { configurationSchema, templateSchema } from '../configuration/template.js';
 
-/** A configuration that exists or that has been withdrawn, that is deleted. */
+/** A configuration as its operator wants it: with a specification, or withdrawn, which means deleted. */
 export interface WantedConfiguration {
   name: ConfigurationName;
   /** Undefined when the configuration has been withdrawn or is invalid. */
--- a/src/weights/agentPeers.ts
+++ b/src/weights/agentPeers.ts
@@ -20,18 +20,19 @@
 const REDIAL_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 2_000 };
 /**
  * How long the first connection to a peer may take before the peer counts as unreachable. Agents that start together
- * connect within 0.2 s. Without this time, other agents fetched the peer's chunks from the origin as well, in 1 of 12
- * starts of four boxes on a busy machine.
+ * connect within 0.2 s. Without this time, in 1 of 12 starts of four boxes on a busy machine, other agents fetched
+ * the peer's chunks from the origin as well.
  */
 const FIRST_CONNECTION_TIMEOUT_MILLISECONDS = 500;
 
-/** Connects an agent to its peers. It dials the peers whose box sorts after its own; the others dial it. */
+/** Connects an agent to its peers. An agent dials the peers whose box names sort after its own; the others dial it. */
 export class AgentPeers {
   private readonly _options: ControlOptions;
   private readonly _random: Random;
   private readonly _logger: Logger;
   private readonly _listener: AgentPeersListener;
-  private readonly _wanted = new Map<string, Member>();
+  /** The peers to connect to, by box. */
+  private readonly _members = new Map<string, Member>();
   private readonly _connections = new Map<string, ControlConnection>();
   private readonly _dialing = new Set<string>();
   /** Timeouts of the first connections, by box; a peer with one does not count as unreachable yet. */
@@ -70,9 +71,9 @@
 
   /** Replaces the peers to connect to. Does not close connections to former peers. */
   setPeers(members: readonly Member[]): void {
-    const added = members.filter(({ box }) => !this._wanted.has(box));
-    this._wanted.clear();
-    for (const member of members) this._wanted.set(member.box, member);
+    const added = members.filter(({ box }) => !this._members.has(box));
+    this._members.clear();
+    for (const member of members) this._members.set(member.box, member);
     for (const { box } of added) this._awaitFirstConnection(box);
     for (const member of members) this._dial(member);
   }
@@ -100,7 +101,7 @@
     this._connections.delete(box);
     this._logger.state('peer.down', { peer: box, reason });
     this._listener.onPeerDown(box);
-    const member = this._wanted.get(box);
+    const member = this._members.get(box);
     if (member) this._dial(member);
   }
 
@@ -128,7 +129,7 @@
 
   private async _dialUntilConnected(member: Member): Promise<void> {
     const backoff = new Backoff(REDIAL_BACKOFF, this._random);
-    while (this._wanted.has(member.box) && !this._stopped.signal.aborted) {
+    while (this._members.has(member.box) && !this._stopped.signal.aborted) {
       try {
         this.attach(await ControlConnection.connect(member.address, member.controlPort, this._options));
         return;
--- a/src/weights/chunkPicker.ts
+++ b/src/weights/chunkPicker.ts
@@ -17,7 +17,7 @@
   box: string;
   /** See Topology.importers. */
   importers: (chunk: number) => readonly string[] | undefined;
-  /** How long a gateway waits for each connected gateway before it in the order of importers. */
+  /** See TransferBounds.importStepMilliseconds. */
   importStepMilliseconds: number;
   /** Most concurrent fetches from one peer. */
   fetchesPerPeer: number;
@@ -25,8 +25,8 @@
 
 /**
  * Picks the rarest chunk first. A chunk that a neighbour in the own data centre holds is never fetched from another
- * data centre. A chunk that only other data centres hold is fetched before all others, and by one gateway; the next in
- * the order of `importers` takes over if that gateway does not fetch it in time.
+ * data centre. A chunk that only other data centres hold is fetched before all others, and by one gateway; if that
+ * gateway does not fetch it in time, the next one in the order of `importers` does.
  */
 export class ChunkPicker {
   private readonly _options: ChunkPickerOptions;
--- a/src/weights/chunkSource.ts
+++ b/src/weights/chunkSource.ts
@@ -15,7 +15,7 @@
   incoming: RateLimiter;
   /** Most concurrent fetches from peers. They share the incoming link. */
   fetchesAtOnce: number;
-  /** How long a gateway leaves a chunk of another data centre to each connected gateway before it in the order. */
+  /** How long a gateway leaves a chunk to each connected gateway before it in the order of Topology.importers. */
   importStepMilliseconds: number;
 }
 
--- a/src/weights/exchangeTopology.ts
+++ b/src/weights/exchangeTopology.ts
@@ -12,8 +12,8 @@
 /** Boxes that fetch from the origin at the same time, in all data centres together, for a rollout of weight 1. */
 const ORIGIN_FETCHERS = 9;
 /**
- * A box sends each chunk that it has fetched from the origin once to each data centre; with fewer such boxes,
- * their outgoing links would be too slow.
+ * A box that has fetched a chunk from the origin sends it once to each data centre. With fewer such boxes, their
+ * outgoing links would be too slow.
  */
 const MINIMUM_ORIGIN_FETCHERS_PER_DATA_CENTRE = 2;
 /** In data centres of up to this many boxes, all boxes are neighbours. */
--- a/src/weights/originFetcher.ts
+++ b/src/weights/originFetcher.ts
@@ -34,7 +34,7 @@
 
 /**
  * Backoff while the origin is unreachable. It is short because a version may be needed urgently once the origin is
- * back: after the deadline of the older version nothing can be served. At most a dozen boxes retry like this.
+ * back: after the version deadline, boxes without the version cannot serve. At most a dozen boxes retry like this.
  */
 export const ORIGIN_RETRY_BACKOFF = { firstMilliseconds: 50, longestMilliseconds: 400 };
 
--- a/src/weights/rolloutExchange.ts
+++ b/src/weights/rolloutExchange.ts
@@ -12,7 +12,7 @@
 import type { TransferCounts } from './transferCounts.js';
 
 const FETCHES_PER_PEER = 1;
-/** Interval at which to retry reserving memory for the version. */
+/** Interval of attempts to reserve memory for the version. */
 const MEMORY_RETRY_MILLISECONDS = 500;
 /** Interval at which all held chunks are announced to neighbours in other data centres. */
 const CROSS_DATA_CENTRE_REFRESH_MILLISECONDS = 2_000;
@@ -81,12 +81,12 @@
     return this._peerFetcher.fetching;
   }
 
-  /** Granted chunks whose fetch from the origin has not ended, in order. */
+  /** Granted chunks whose origin fetch has not ended, in order. */
   get openDraws(): readonly number[] {
     return this._originFetcher.open;
   }
 
-  /** Chunks whose fetch from the origin failed after bytes were received; each needs a new grant. */
+  /** Chunks whose origin fetch failed after bytes were received; each needs a new grant. */
   get failedDraws(): number[] {
     return this._originFetcher.failed;
   }
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Drops chunks whose fetch from the origin has not begun, so that the coordinator can grant them to another box. */
+  /** Drops chunks whose origin fetch has not begun, so that the coordinator can grant them to another box. */
   dropPendingOriginFetches(): void {
     this._originFetcher.dropPending();
   }
@@ -150,7 +150,7 @@
     this._originFetcher.grant(chunks, urgent);
   }
 
-  /** Drops fetches from the origin that other boxes do now; see {@link OriginFetcher.keepOnly}. */
+  /** Drops origin fetches that are now assigned to other boxes; see {@link OriginFetcher.keepOnly}. */
   keepOnlyOriginFetches(chunks: readonly number[]): void {
     this._originFetcher.keepOnly(chunks);
   }
--- a/src/weights/swarmMessageHandler.ts
+++ b/src/weights/swarmMessageHandler.ts
@@ -3,7 +3,7 @@
 import type { RolloutExchange } from './rolloutExchange.js';
 import { LRUCache } from 'lru-cache';
 
-/** Most joins to keep of rollouts whose plan has not reached this box yet. */
+/** Most joins that are kept for rollouts whose plan has not reached this box yet. */
 const MAXIMUM_EARLY_JOINS = 4_096;
 
 /** Passes messages between agents to the exchange of their rollout. Keeps joins that arrive before the plan. */
--- a/src/weights/topology.ts
+++ b/src/weights/topology.ts
@@ -12,7 +12,7 @@
   readonly neighbours: readonly Neighbour[];
   /**
    * The boxes of the own data centre that may fetch a chunk from another data centre. Each takes over if those before
-   * it don't fetch the chunk. Undefined if every box may fetch from every neighbour.
+   * it do not fetch the chunk in time. Undefined if every box may fetch from every neighbour.
    */
   importers(chunk: number): readonly string[] | undefined;
 }
