--- a/src/staging/scarceChunks.ts
+++ b/src/staging/scarceChunks.ts
@@ -2,7 +2,7 @@
 
 /**
  * How long a chunk may be known at one box only. A box with a working link uploads the five or six chunks that it
- * downloads from the origin to all data centres within a second.
+ * fetches from the origin to all data centres within a second.
  */
 const MAX_SOLE_HOLDER_MILLISECONDS = 1_200;
 
