--- a/src/staging/boxStatus.ts
+++ b/src/staging/boxStatus.ts
@@ -19,7 +19,7 @@
   };
 }
 
-function servingState({ switchStage, servedVersion }: VersionReconciler): ServingState {
-  if (switchStage === 'switching' || switchStage === 'preparing') return switchStage;
+function servingState({ switchPhase, servedVersion }: VersionReconciler): ServingState {
+  if (switchPhase === 'switching' || switchPhase === 'preparing') return switchPhase;
   return servedVersion > 0 ? 'serving' : 'empty';
 }
--- a/src/staging/peerMessages.ts
+++ b/src/staging/peerMessages.ts
@@ -1,21 +1,21 @@
-/** Passes messages of other agents to the exchanges, and keeps the switch stage that each box last reported. */
+/** Passes messages of other agents to the exchanges, and keeps the switch phase that each box last reported. */
 import type { Message } from '../protocol/message.js';
 import type { Clock } from '../utils/clock.js';
 import type { AgentPeersListener } from '../weights/agentPeers.js';
 import type { RolloutExchange } from '../weights/rolloutExchange.js';
 import { SwarmMessageHandler } from '../weights/swarmMessageHandler.js';
-import type { SwitchPeer, SwitchStage } from './switchTurn.js';
+import type { SwitchPeer, SwitchPhase } from './switchTurn.js';
 
-interface ReportedStage {
+interface ReportedPhase {
   version: number;
-  stage: SwitchStage;
+  phase: SwitchPhase;
   since: number;
 }
 
 export class PeerMessages implements AgentPeersListener {
   private readonly _swarm: SwarmMessageHandler;
   /** The last reports of connected boxes. */
-  private readonly _stages = new Map<string, ReportedStage>();
+  private readonly _phases = new Map<string, ReportedPhase>();
   private readonly _clock: Clock;
   private readonly _onUp: (box: string) => void;
   private _peers = new Set<string>();
@@ -28,21 +28,21 @@
   }
 
   /**
-   * Sets the boxes that {@link PeerMessages.stages} returns. Reports of the others are kept while they are connected,
-   * since a box that leaves the list and comes back on the same connection does not report its stage again.
+   * Sets the boxes that {@link PeerMessages.phases} returns. Reports of the others are kept while they are connected,
+   * since a box that leaves the list and comes back on the same connection does not report its phase again.
    */
   setPeers(boxes: readonly string[]): void {
     this._peers = new Set(boxes);
   }
 
-  /** Returns the stages of the connected boxes of the service with respect to `version`. */
-  stages(version: number): SwitchPeer[] {
+  /** Returns the phases of the connected boxes of the service with respect to `version`. */
+  phases(version: number): SwitchPeer[] {
     const now = this._clock.now();
-    const peers = [...this._stages].filter(([box]) => this._peers.has(box));
+    const peers = [...this._phases].filter(([box]) => this._peers.has(box));
     return peers.map(([box, known]) => ({
       box,
-      stage: stageTowards(version, known),
-      stageMilliseconds: now - known.since,
+      phase: phaseTowards(version, known),
+      phaseMilliseconds: now - known.since,
     }));
   }
 
@@ -57,13 +57,13 @@
   }
 
   onPeerDown(box: string): void {
-    this._stages.delete(box);
+    this._phases.delete(box);
     this._swarm.onPeerDown(box);
   }
 
   onPeerMessage(box: string, message: Message): void {
     if (message.type === 'switch-state') {
-      this._stages.set(box, { version: message.version, stage: message.state, since: this._clock.now() });
+      this._phases.set(box, { version: message.version, phase: message.state, since: this._clock.now() });
       return;
     }
     this._swarm.onPeerMessage(box, message);
@@ -71,11 +71,11 @@
 }
 
 /**
- * Returns the stage of a box with respect to `version`. A box that reports an older version counts as staging, and
+ * Returns the phase of a box with respect to `version`. A box that reports an older version counts as staging, and
  * one that reports a newer version as serving, unless it is preparing or switching just now.
  */
-function stageTowards(version: number, known: ReportedStage): SwitchStage {
-  const isSwitching = known.stage === 'preparing' || known.stage === 'switching';
-  if (isSwitching || known.version === version) return known.stage;
+function phaseTowards(version: number, known: ReportedPhase): SwitchPhase {
+  const isSwitching = known.phase === 'preparing' || known.phase === 'switching';
+  if (isSwitching || known.version === version) return known.phase;
   return known.version > version ? 'serving' : 'staging';
 }
--- a/src/staging/pollInterval.ts
+++ b/src/staging/pollInterval.ts
@@ -1,6 +1,6 @@
 /** How often an agent polls the status of its backend server. Pure functions. */
 import type { LocalBackendStatus } from './localBackend.js';
-import type { SwitchStage } from './switchTurn.js';
+import type { SwitchPhase } from './switchTurn.js';
 
 /** Usual interval. The load that the agent sends to the entries, which choose a server by it, may be this old. */
 export const POLL_MILLISECONDS = 120;
@@ -16,8 +16,8 @@
 const IDLE_POLL_MILLISECONDS = 360;
 
 /** Returns the milliseconds between two polls; `status` is the last status of the backend server. */
-export function pollInterval(stage: SwitchStage, status: LocalBackendStatus | undefined): number {
-  if (stage === 'preparing' || stage === 'switching') return SWITCHING_POLL_MILLISECONDS;
+export function pollInterval(phase: SwitchPhase, status: LocalBackendStatus | undefined): number {
+  if (phase === 'preparing' || phase === 'switching') return SWITCHING_POLL_MILLISECONDS;
   const isIdle = status !== undefined && status.running + status.queued === 0;
-  return stage === 'serving' && isIdle ? IDLE_POLL_MILLISECONDS : POLL_MILLISECONDS;
+  return phase === 'serving' && isIdle ? IDLE_POLL_MILLISECONDS : POLL_MILLISECONDS;
 }
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -238,7 +238,7 @@
       versionMilliseconds: settings.versionMilliseconds,
       members: () => this._switchMembers,
       peers: (version) => this._switchPeers(version),
-      onChange: () => this._onStageChange(),
+      onChange: () => this._onStateChange(),
     });
   }
 
@@ -297,21 +297,21 @@
     }
   }
 
-  /** Sends the stage of this box to the other boxes and its status to the entries if they have changed. */
-  private _onStageChange(): void {
+  /** Sends the switch state of this box to the other boxes and its status to the entries if they have changed. */
+  private _onStateChange(): void {
     this._statusSender.onChange();
-    this._switchStates.onStageChange();
+    this._switchStates.onChange();
   }
 
-  /** Returns the stages of the other boxes of the switch group with respect to `version`. */
+  /** Returns the phases of the other boxes of the switch group with respect to `version`. */
   private _switchPeers(version: number): SwitchPeer[] {
     const boxes = new Set(this._switchMembers.map((member) => member.box));
-    return this._peerMessages.stages(version).filter((peer) => boxes.has(peer.box));
+    return this._peerMessages.phases(version).filter((peer) => boxes.has(peer.box));
   }
 
   private _switchState(): SwitchState {
-    const { nextVersion, switchStage } = this._reconciler;
-    return { type: 'switch-state', version: nextVersion, state: switchStage };
+    const { nextVersion, switchPhase } = this._reconciler;
+    return { type: 'switch-state', version: nextVersion, state: switchPhase };
   }
 
   private _status(): BoxStatus {
--- a/src/staging/switchStateBroadcaster.ts
+++ b/src/staging/switchStateBroadcaster.ts
@@ -27,7 +27,7 @@
   }
 
   /** Sends the state if it has changed since the last call. */
-  onStageChange(): void {
+  onChange(): void {
     const state = this._options.state();
     const text = JSON.stringify(state);
     if (text === this._lastSent) return;
--- a/src/staging/switchTurn.ts
+++ b/src/staging/switchTurn.ts
@@ -2,17 +2,17 @@
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 
 /**
- * Stage of a box with respect to a version: `staged` once the version is complete or nearly so, `preparing` while
+ * Phase of a box on its way to serving a version: `staged` once the version is complete or nearly so, `preparing` while
  * entries send the box fewer requests, `switching` while they send it none.
  */
-export type SwitchStage = 'staging' | 'staged' | 'preparing' | 'switching' | 'serving';
+export type SwitchPhase = 'staging' | 'staged' | 'preparing' | 'switching' | 'serving';
 
-/** Another box of the service, and the stage that it last reported. */
+/** Another box of the service, and the phase that it last reported. */
 export interface SwitchPeer {
   box: string;
-  stage: SwitchStage;
-  /** Milliseconds for which it has been at this stage. */
-  stageMilliseconds: number;
+  phase: SwitchPhase;
+  /** Milliseconds for which it has been in this phase. */
+  phaseMilliseconds: number;
 }
 
 /** Input of {@link maySwitch}. */
@@ -54,10 +54,10 @@
   const spareMilliseconds = leftMilliseconds - FORCED_START_MILLISECONDS;
   if (spareMilliseconds <= 0) return true;
   const switching = peers.filter(isSwitching);
-  const waiting = peers.filter((peer) => peer.stage === 'staged' || peer.stage === 'staging').length + 1;
+  const waiting = peers.filter((peer) => peer.phase === 'staged' || peer.phase === 'staging').length + 1;
   if (switching.length >= concurrentSwitches(waiting, spareMilliseconds, peers.length + 1)) return false;
   const rank = order.indexOf(box);
-  const before = peers.filter((peer) => peer.stage === 'staged' && order.indexOf(peer.box) < rank);
+  const before = peers.filter((peer) => peer.phase === 'staged' && order.indexOf(peer.box) < rank);
   const gap = Math.min(MAX_GAP_MILLISECONDS, spareMilliseconds / waiting);
   const minimumMilliseconds = before.length > 0 ? gap + MISSED_TURN_MILLISECONDS : gap;
   return [...switching, ...before].every((peer) => turnAge(peer) >= minimumMilliseconds);
@@ -71,12 +71,12 @@
 }
 
 function isSwitching(peer: SwitchPeer): boolean {
-  return turnAge(peer) < STUCK_MILLISECONDS && (peer.stage === 'preparing' || peer.stage === 'switching');
+  return turnAge(peer) < STUCK_MILLISECONDS && (peer.phase === 'preparing' || peer.phase === 'switching');
 }
 
 /** Returns the milliseconds since the peer began its turn, or since it began to wait for its turn. */
-function turnAge({ stage, stageMilliseconds }: SwitchPeer): number {
-  return stage === 'switching' ? stageMilliseconds + PREPARING_MILLISECONDS : stageMilliseconds;
+function turnAge({ phase, phaseMilliseconds }: SwitchPeer): number {
+  return phase === 'switching' ? phaseMilliseconds + PREPARING_MILLISECONDS : phaseMilliseconds;
 }
 
 /** State of a server between the notice to the entries that it is about to switch and the order to load. */
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -12,7 +12,7 @@
 import { CONNECTION_REFUSED } from './localBackend.js';
 import type { StageQueue } from './stageQueue.js';
 import type { StagingArea } from './stagingArea.js';
-import type { SwitchPeer, SwitchStage } from './switchTurn.js';
+import type { SwitchPeer, SwitchPhase } from './switchTurn.js';
 import { PREPARING_MILLISECONDS, maySwitch, mayOrder } from './switchTurn.js';
 import type { VersionStage } from './versionStage.js';
 
@@ -26,9 +26,9 @@
   log: EventLog;
   versionMilliseconds: number;
   members: () => readonly Member[];
-  /** Returns the stages of the other boxes with respect to `version`. */
+  /** Returns the phases of the other boxes with respect to `version`. */
   peers: (version: number) => SwitchPeer[];
-  /** Called when the stage of this box or the status of its backend server may have changed. */
+  /** Called when the phase of this box or the status of its backend server may have changed. */
   onChange: () => void;
 }
 
@@ -83,7 +83,7 @@
     return this._nextStage?.version ?? Math.max(this.servedVersion, this._options.stages.targetVersion);
   }
 
-  get switchStage(): SwitchStage {
+  get switchPhase(): SwitchPhase {
     if (this._switchingTo > 0) return 'switching';
     const next = this._nextStage;
     if (next && next.version === this._preparingFor) return 'preparing';
@@ -131,7 +131,7 @@
         this._onUnreachable(error);
         await pause(RETRY_MILLISECONDS, this._stopped.signal);
       }
-      const isFarFromSwitching = this.switchStage === 'serving' || this.switchStage === 'staging';
+      const isFarFromSwitching = this.switchPhase === 'serving' || this.switchPhase === 'staging';
       const wait = isFarFromSwitching ? POLL_MILLISECONDS : SWITCHING_POLL_MILLISECONDS;
       await pause(wait, this._stopped.signal);
     }
@@ -139,7 +139,7 @@
 
   /** A box that waits for its turn checks its peers often, but polls its server only as often as usual. */
   private _isPollDue(): boolean {
-    const interval = pollInterval(this.switchStage, this._status);
+    const interval = pollInterval(this.switchPhase, this._status);
     return this._options.clock.now() - this._polledAt >= interval;
   }
 
--- a/tests/peerMessages.spec.ts
+++ b/tests/peerMessages.spec.ts
@@ -18,7 +18,7 @@
 afterEach(async () => await fixture.stop());
 
 function boxesOf(messages: PeerMessages): string[] {
-  return messages.stages(2).map(({ box }) => box);
+  return messages.phases(2).map(({ box }) => box);
 }
 
 function peerMessages(): PeerMessages {
--- a/tests/stagingDecisions.spec.ts
+++ b/tests/stagingDecisions.spec.ts
@@ -127,14 +127,14 @@
 
 function peers(
   count: number,
-  stage: SwitchPeer['stage'],
+  phase: SwitchPeer['phase'],
   first = 1,
-  stageMilliseconds = 1_000,
+  phaseMilliseconds = 1_000,
 ): SwitchPeer[] {
   return Array.from({ length: count }, (_unused, index) => ({
     box: `box-${first + index}`,
-    stage,
-    stageMilliseconds,
+    phase,
+    phaseMilliseconds,
   }));
 }
 
