--- a/src/configuration/changeHandler.ts
+++ b/src/configuration/changeHandler.ts
@@ -4,7 +4,7 @@
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
-import type { ReplicatedRecord } from '../protocol/records.js';
+import type { ReplicatedRecord } from '../protocol/replicationMessages.js';
 import type { FieldProblem } from './resolveSpecification.js';
 import type { Replica } from './replica.js';
 import type { ConditionalWriteOutcome, ConditionalWriter } from './conditionalWriter.js';
--- a/src/configuration/conditionalWriter.ts
+++ b/src/configuration/conditionalWriter.ts
@@ -1,6 +1,6 @@
 /** Conditional writes that determine whether they took effect, also when the answer was lost. */
 import type { ObjectApi, WriteOutcome } from '../external/objectApi.js';
-import type { ReplicatedRecord } from '../protocol/records.js';
+import type { ReplicatedRecord } from '../protocol/replicationMessages.js';
 import { pause } from '../utils/timers.js';
 import type { Replica } from './replica.js';
 
--- a/src/configuration/replica.ts
+++ b/src/configuration/replica.ts
@@ -1,7 +1,7 @@
 /** An entry's copy of the objects in the object API: the highest known revision of each, including deletions. */
 import { EventEmitter } from 'node:events';
-import { DIGEST_BUCKETS } from '../protocol/records.js';
-import type { ReplicatedRecord } from '../protocol/records.js';
+import { DIGEST_BUCKETS } from '../protocol/replicationMessages.js';
+import type { ReplicatedRecord } from '../protocol/replicationMessages.js';
 import { placementHash } from '../utils/hash.js';
 
 interface ReplicaEvents {
--- a/src/membership/replicator.ts
+++ b/src/membership/replicator.ts
@@ -4,7 +4,7 @@
 import type { ControlConnection, ControlOptions } from '../protocol/controlConnection.js';
 import { ControlConnection as Connection } from '../protocol/controlConnection.js';
 import type { Message } from '../protocol/message.js';
-import type { ReplicatedRecord } from '../protocol/records.js';
+import type { ReplicatedRecord } from '../protocol/replicationMessages.js';
 import type { Logger } from '../telemetry/logger.js';
 import type { Clock } from '../utils/clock.js';
 import type { Random } from '../utils/random.js';
--- a/src/protocol/message.ts
+++ b/src/protocol/message.ts
@@ -23,7 +23,7 @@
   entryStateSchema,
   recordsMessageSchema,
   revisionQuerySchema,
-} from './records.js';
+} from './replicationMessages.js';
 import { loadMessageSchema, reportMessageSchema, subscribeMessageSchema } from './reportMessages.js';
 import {
   activateMessageSchema,
--- a/tests/outerNames.spec.ts
+++ b/tests/outerNames.spec.ts
@@ -10,7 +10,7 @@
 import { challengeSchema, helloSchema, welcomeSchema } from '../src/protocol/handshake.js';
 import { manifestSchema } from '../src/protocol/manifest.js';
 import { messageSchema } from '../src/protocol/message.js';
-import { recordSchema } from '../src/protocol/records.js';
+import { recordSchema } from '../src/protocol/replicationMessages.js';
 import { OWN_HEADER_NAMES } from '../src/serving/headerNames.js';
 import { agentSettingsSchema } from '../src/settings/agentSettings.js';
 import { entrySettingsSchema } from '../src/settings/entrySettings.js';
--- a/tests/replica.spec.ts
+++ b/tests/replica.spec.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 import fc from 'fast-check';
 import { Replica } from '../src/configuration/replica.js';
-import type { ReplicatedRecord } from '../src/protocol/records.js';
+import type { ReplicatedRecord } from '../src/protocol/replicationMessages.js';
 
 function record(revision: number, deleted = false, key = 'configuration/a/b'): ReplicatedRecord {
   return { key, revision, value: deleted ? null : { revision }, deleted };
