--- a/src/staging/originFetchSchedule.ts
+++ b/src/staging/originFetchSchedule.ts
@@ -82,22 +82,22 @@
 export class OriginFetchProgress {
   private readonly _startedAt: number;
   private readonly _lastFinishedAt = new Map<string, number>();
-  private _unavailable: ReadonlySet<number>;
+  private _unseen: ReadonlySet<number>;
 
-  /** `chunks` is the number of chunks; all of them start as unavailable. */
+  /** `chunks` is the number of chunks; all of them start as unseen. */
   constructor(chunks: number, startedAt: number) {
-    this._unavailable = new Set(Array.from({ length: chunks }, (_unused, chunk) => chunk));
+    this._unseen = new Set(Array.from({ length: chunks }, (_unused, chunk) => chunk));
     this._startedAt = startedAt;
   }
 
-  /** Updates the unavailable chunks: those that neither this box nor a neighbour has yet. */
-  update(order: readonly string[], unavailable: readonly number[], now: number): void {
-    const still = new Set(unavailable);
-    for (const chunk of this._unavailable) {
+  /** Updates the unseen chunks: those that neither this box nor a neighbour has yet. */
+  update(order: readonly string[], unseen: readonly number[], now: number): void {
+    const still = new Set(unseen);
+    for (const chunk of this._unseen) {
       const fetcher = originFetcherOf(order, chunk, 0);
       if (!still.has(chunk) && fetcher !== undefined) this._lastFinishedAt.set(fetcher, now);
     }
-    this._unavailable = still;
+    this._unseen = still;
   }
 
   /** Returns the milliseconds for which the first box assigned to `chunk` has finished no chunk. */
