--- a/src/staging/localBackend.ts
+++ b/src/staging/localBackend.ts
@@ -30,7 +30,7 @@
   putChunk(model: string, chunk: number, data: Buffer): Promise<void>;
   /** Returns a staged chunk; undefined if there is none. */
   getChunk(model: string, chunk: number): Promise<Buffer | undefined>;
-  /** Returns the numbers of the staged chunks, also if they do not make up a complete version. */
+  /** Returns the numbers of the staged chunks, even if they do not make up a complete version. */
   stagedChunks(model: string): Promise<number[]>;
   /** Orders the backend server to load the staged chunks as `version`; refused if its revision is not `revision`. */
   startVersion(model: string, version: number, revision: number): Promise<OrderOutcome>;
--- a/src/staging/manifestReader.ts
+++ b/src/staging/manifestReader.ts
@@ -28,7 +28,7 @@
 const RETRY = { firstMilliseconds: 60, longestMilliseconds: 500 };
 const PEER_TIMEOUT_MILLISECONDS = 800;
 const MAX_PEERS_ASKED = 3;
-/** Rounds in which a box that is no origin fetcher asks only other agents, before it asks the origin too. */
+/** Rounds in which a box that is not an origin fetcher asks only other agents, before it asks the origin too. */
 const PEER_ONLY_ROUNDS = 5;
 
 export class ManifestReader {
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -199,14 +199,14 @@
     this._linkRate.record(this._options.clock.now(), receivedBytes, this.exchange.fetching);
   }
 
-  /** Starts origin fetches of the chunks that neither this box nor a neighbour has, and that this box is assigned. */
+  /** Starts the origin fetches that this box is to do now: of chunks that neither it nor a neighbour has. */
   private _fetchMissingFromOrigin(): void {
     if (!this._options.mayFetchFromOrigin()) return;
     this._refetchScarce();
     const now = this._options.clock.now();
     const isNew = this._startedAt - this.announcedAt < NEW_VERSION_AGE_MILLISECONDS;
     if (!isNew && now - this._startedAt < LATE_JOIN_WAIT_MILLISECONDS) return;
-    const order = this._withoutLostPeers(this._originFetchOrder);
+    const order = this._withLostPeersReplaced(this._originFetchOrder);
     const unavailable = this.exchange.unavailableChunks();
     this._progress.update(order, unavailable, now);
     const { box } = this._options.services;
@@ -229,7 +229,7 @@
   private _refetchScarce(): void {
     const now = this._options.clock.now();
     const { box } = this._options.services;
-    const order = this._withoutLostPeers(this._localOriginFetchOrder);
+    const order = this._withLostPeersReplaced(this._localOriginFetchOrder);
     const due = this._scarce
       .update(this.exchange.soleHolders(), now)
       .filter(({ chunk, holder, overdueMilliseconds }) => {
@@ -256,10 +256,10 @@
   }
 
   /**
-   * Returns the order without lost peers. If most peers seem lost, they are probably not connected yet, and the
-   * order stays as it is.
+   * Returns the order with the lost peers replaced. If most peers seem lost, they are probably not connected yet, and
+   * the order stays as it is.
    */
-  private _withoutLostPeers(order: readonly string[]): readonly string[] {
+  private _withLostPeersReplaced(order: readonly string[]): readonly string[] {
     const { peers } = this._options.services;
     const lost = new Set([...this._peers].filter((box) => peers.isUnreachable(box)));
     const reachable = this._peers.size - lost.size + 1;
--- a/src/staging/worthFinishing.ts
+++ b/src/staging/worthFinishing.ts
@@ -16,7 +16,7 @@
   missingMilliseconds: number;
   /** Share of the chunks of the version that are at some box already, from 0 to 1. */
   availableShare: number;
-  /** The same of the newer version. */
+  /** The same for the newer version. */
   newerAvailableShare: number;
 }
 
