--- a/src/protocol/recordMessages.ts
+++ b/src/protocol/recordMessages.ts
@@ -8,14 +8,14 @@
 const revisionsSchema = z.record(z.string(), countSchema);
 
 /**
- * A record. Its value is sent as JSON text, and absent where there is none, because JSON is encoded and decoded
- * up to ten times as fast as nested CBOR items. In a process that has just started, a configuration of 1,850 routes
- * takes 4 ms to encode and 10 ms to decode; as CBOR it took 51 ms and 32 ms. All entries do this on each change, and
- * their event loops are blocked meanwhile.
+ * A record. `json` is its value, if it has one. It is sent as JSON text because JSON is encoded and decoded up to ten
+ * times as fast as nested CBOR items: in a process that has just started, a configuration of 1,850 routes takes 4 ms to
+ * encode and 10 ms to decode; as CBOR it took 51 ms and 32 ms. All entries do this on each change, and it blocks their
+ * event loops.
  */
 const objectSchema = z.object({ name: z.string(), revision: countSchema, json: z.string().optional() });
 
-/** Subscribes to an entry's copies of the records: to how current they are and, if `wantsChanges`, to their changes. */
+/** Subscribes to record-stamp messages about an entry's copies and, if `wantsChanges`, to changes of the records. */
 export const recordSubscribeSchema = z.object({
   type: z.literal('record-subscribe'),
   wantsChanges: z.boolean(),
@@ -36,8 +36,9 @@
 export type RecordChanges = z.infer<typeof recordChangesSchema>;
 
 /**
- * Records that the sender keeps in force although the store has been rolled back to an older state. Either side sends
- * them when the other retains fewer, so that an entry that has just started does not apply the older state.
+ * Records that the sender keeps in force although the store has been rolled back to an older state. Each side of a
+ * connection sends them if the other retains fewer, so that an entry that has just started does not apply the older
+ * state.
  */
 export const recordsRetainedSchema = z.object({
   type: z.literal('records-retained'),
--- a/src/rollout/rolloutCoordinator.ts
+++ b/src/rollout/rolloutCoordinator.ts
@@ -1,4 +1,4 @@
-/** Brings the boxes of one configuration to the wanted version, while this entry holds the lease. */
+/** Brings the boxes of one configuration to its target version, while this entry holds the lease. */
 import { randomUUID } from 'node:crypto';
 import type { ConfigurationName } from '../configuration/recordKeys.js';
 import { configurationKey, shortName } from '../configuration/recordKeys.js';
@@ -16,7 +16,7 @@
 import type { Clock } from '../utils/clock.js';
 import { errorText } from '../utils/stepError.js';
 import { ManifestIndex } from '../weights/manifestIndex.js';
-import { DrawGranter } from './drawGranter.js';
+import { OriginFetchGranter } from './originFetchGranter.js';
 import { LedgerAssigner } from './ledgerAssigner.js';
 import { PlanSender } from './planSender.js';
 import type { RolloutRecord } from './rolloutRecord.js';
@@ -41,14 +41,14 @@
 /** How long a box may be unreachable before a `together` switch goes on without it. */
 const UNREACHABLE_MILLISECONDS = 10_000;
 
-/** Exists for one epoch of the lease. `step` is called repeatedly and does whatever is needed next. */
+/** Coordinates for one epoch of the lease. `step` is called repeatedly and does whatever is needed next. */
 export class RolloutCoordinator {
   private readonly _services: CoordinatorServices;
   private readonly _name: ConfigurationName;
   private readonly _epoch: () => number | undefined;
   private readonly _plans: PlanSender;
   private readonly _ledger: LedgerAssigner;
-  private _granter: DrawGranter | undefined;
+  private _granter: OriginFetchGranter | undefined;
   private _index: ManifestIndex | undefined;
   private _activating = new Set<string>();
 
@@ -61,7 +61,7 @@
     this._ledger = new LedgerAssigner(services, name, epoch);
   }
 
-  /** Compares the wanted with the current state and does what is needed next. */
+  /** Compares the specified with the current state and does what is needed next. */
   async step(): Promise<void> {
     const wanted = this._services.specifications.find(this._name);
     if (wanted?.withdrawn) return await this._withdraw();
@@ -88,7 +88,7 @@
     return configurationKey('rollout', this._name);
   }
 
-  /** Returns the record of the current rollout; starts a new rollout when another version is wanted. */
+  /** Returns the record of the current rollout; starts a new rollout when the target version has changed. */
   private async _currentRecord(
     specification: Specification,
     revision: number,
@@ -166,9 +166,9 @@
     record: RolloutRecord,
     index: ManifestIndex,
     specification: Specification,
-  ): DrawGranter {
+  ): OriginFetchGranter {
     if (this._granter?.rollout !== record.rollout) {
-      this._granter = new DrawGranter({
+      this._granter = new OriginFetchGranter({
         name: this._name,
         epoch: this._epoch,
         rollout: record.rollout,
@@ -184,7 +184,7 @@
 
   /** Writes grants to the rollout object before they are sent, so that the next coordinator counts them. */
   private async _grant(
-    granter: DrawGranter,
+    granter: OriginFetchGranter,
     boxes: readonly RolloutBox[],
     record: RolloutRecord,
   ): Promise<void> {
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -30,7 +30,7 @@
 import { boxStatus } from './boxStatus.js';
 import { ChunkServer } from './chunkServer.js';
 import { ConnectedEntries } from './connectedEntries.js';
-import { downloadOrder, initialDownloaders } from './downloadSchedule.js';
+import { originFetchOrder, initialOriginFetchers } from './originFetchSchedule.js';
 import { HeardVersions } from './heardVersions.js';
 import type { LocalBackend } from './localBackend.js';
 import { receiveRate, sendRate } from './weightRates.js';
@@ -51,20 +51,20 @@
 /** What an agent needs besides its settings. */
 export interface StagingDependencies {
   backend: LocalBackend;
-  /** Returns the models with an announced version, as the platform lists them; rejects if these cannot be read. */
-  namedModels: () => Promise<readonly string[]>;
+  /** Returns the models of which the platform lists an announced version; rejects if the list cannot be read. */
+  announcedModels: () => Promise<readonly string[]>;
   /** Creates a client of the origin at an address (host:port). */
   originAt: (address: string) => Origin;
   log: EventLog;
   exchangeLogger: Logger;
 }
 
-/** Few, so that the incoming link stays free for requests to the backend server. */
+/** Concurrent fetches from peers: few, so that the incoming link stays free for requests to the backend server. */
 const FETCHES_AT_ONCE = 3;
-/** Longer than a chunk takes on a working link, and several times shorter than on a throttled one. */
+/** Time of a gateway's turn to import a chunk: a fetch takes less on a working link, much more on a throttled one. */
 const IMPORT_STEP_MILLISECONDS = 600;
 const STALL_MILLISECONDS = 1_500;
-/** Bytes that an upload writes at once, so that an event of a stream waits some tens of milliseconds at most. */
+/** Bytes that an upload writes at a time: few, so that an event of a stream waits some tens of milliseconds at most. */
 const BLOCK_BYTES = 8 * 1024;
 const METRICS_PATH = '/metrics';
 const STATUS_INTERVAL_MILLISECONDS = 250;
@@ -92,7 +92,7 @@
   });
   /** All boxes of the service, including this one. */
   private _members: Member[] = [];
-  /** The boxes that take turns at switching, including this one. */
+  /** The switch group: the boxes that take turns at switching, including this one. */
   private _switchMembers: readonly Member[] = [];
   private _origin: WatchedOrigin | undefined;
   private _originAddress = '';
@@ -120,7 +120,7 @@
     const uploads = new UploadQueue(new RateLimiter(sendRate(settings)), STALL_MILLISECONDS, BLOCK_BYTES);
     this._stagedChunks = new StagedChunks({
       backend: deps.backend,
-      models: deps.namedModels,
+      models: deps.announcedModels,
       clock: this._clock,
       log: deps.log,
     });
@@ -163,7 +163,7 @@
     this._log.state('agent.started', { address, controlPort, chunkPort });
   }
 
-  /** Logs the request. Settings apply from start to stop, so a reload changes and interrupts nothing. */
+  /** Logs the request. Settings are read once at the start, so a reload changes and interrupts nothing. */
   reload(): void {
     this._log.state('agent.reload', { applied: 'nothing that holds while the process runs' });
   }
@@ -197,7 +197,7 @@
         origin: () => this._origin,
         box: settings.box,
         peers: () => this._members.filter((member) => member.box !== settings.box),
-        downloaders: (rollout) => initialDownloaders(downloadOrder(rollout, this._members)),
+        originFetchers: (rollout) => initialOriginFetchers(originFetchOrder(rollout, this._members)),
         token,
         random,
         log: deps.log,
@@ -238,7 +238,7 @@
       versionMilliseconds: settings.versionMilliseconds,
       members: () => this._switchMembers,
       peers: (version) => this._switchPeers(version),
-      onChange: () => this._onStageChange(),
+      onChange: () => this._onStateChange(),
     });
   }
 
@@ -297,21 +297,21 @@
     }
   }
 
-  /** Sends the stage of this box to the other boxes and its status to the entries if they have changed. */
-  private _onStageChange(): void {
+  /** Sends the switch state of this box to the other boxes and its status to the entries if they have changed. */
+  private _onStateChange(): void {
     this._statusSender.onChange();
-    this._switchStates.onStageChange();
+    this._switchStates.onChange();
   }
 
-  /** Returns the stages of the other boxes of the group with respect to `version`. */
+  /** Returns the phases of the other boxes of the switch group with respect to `version`. */
   private _switchPeers(version: number): SwitchPeer[] {
     const boxes = new Set(this._switchMembers.map((member) => member.box));
-    return this._peerMessages.stages(version).filter((peer) => boxes.has(peer.box));
+    return this._peerMessages.phases(version).filter((peer) => boxes.has(peer.box));
   }
 
   private _switchState(): SwitchState {
-    const { nextVersion, switchStage } = this._reconciler;
-    return { type: 'switch-state', version: nextVersion, state: switchStage };
+    const { nextVersion, switchPhase } = this._reconciler;
+    return { type: 'switch-state', version: nextVersion, state: switchPhase };
   }
 
   private _status(): BoxStatus {
--- a/src/staging/switchTurn.ts
+++ b/src/staging/switchTurn.ts
@@ -2,17 +2,17 @@
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 
 /**
- * Stage of a box with respect to a version: `staged` once the version is complete or nearly so, `preparing` while
+ * Phase of a box on its way to serving a version: `staged` once the version is complete or nearly so, `preparing` while
  * entries send the box fewer requests, `switching` while they send it none.
  */
-export type SwitchStage = 'staging' | 'staged' | 'preparing' | 'switching' | 'serving';
+export type SwitchPhase = 'staging' | 'staged' | 'preparing' | 'switching' | 'serving';
 
-/** Another box of the service, and the stage that it last reported. */
+/** Another box of the service, and the phase that it last reported. */
 export interface SwitchPeer {
   box: string;
-  stage: SwitchStage;
-  /** Milliseconds for which it has been at this stage. */
-  stageMilliseconds: number;
+  phase: SwitchPhase;
+  /** Milliseconds for which it has been in this phase. */
+  phaseMilliseconds: number;
 }
 
 /** Input of {@link maySwitch}. */
@@ -22,17 +22,17 @@
   peers: readonly SwitchPeer[];
   /** All boxes in the order in which they switch. */
   order: readonly string[];
-  /** Milliseconds until the deadline after which no request may begin on an older version. */
+  /** Milliseconds until the version deadline, after which no request may begin on an older version. */
   leftMilliseconds: number;
 }
 
 /** How long a box prepares. About half of its streams end in this time and need not be handed over. */
 export const PREPARING_MILLISECONDS = 450;
-/** Time from the start of the preparation until the box serves the new version, on the users' bench. */
+/** Time from the start of the preparation until the box serves the new version, in the users' benchmark. */
 const TURN_MILLISECONDS = 1_100;
 /**
- * Time before the deadline at which a box begins whatever the others do, so that it is nearly back in service when
- * entries stop sending requests to the older version.
+ * Time before the version deadline at which a box begins whatever the others do, so that it will soon serve the new
+ * version when entries stop sending requests to the older one.
  */
 const FORCED_START_MILLISECONDS = LAST_SEND_MARGIN_MILLISECONDS + 300;
 /** Largest share of the boxes that switch at the same time while there is time left. */
@@ -54,13 +54,13 @@
   const spareMilliseconds = leftMilliseconds - FORCED_START_MILLISECONDS;
   if (spareMilliseconds <= 0) return true;
   const switching = peers.filter(isSwitching);
-  const waiting = peers.filter((peer) => peer.stage === 'staged' || peer.stage === 'staging').length + 1;
+  const waiting = peers.filter((peer) => peer.phase === 'staged' || peer.phase === 'staging').length + 1;
   if (switching.length >= concurrentSwitches(waiting, spareMilliseconds, peers.length + 1)) return false;
   const rank = order.indexOf(box);
-  const before = peers.filter((peer) => peer.stage === 'staged' && order.indexOf(peer.box) < rank);
+  const before = peers.filter((peer) => peer.phase === 'staged' && order.indexOf(peer.box) < rank);
   const gap = Math.min(MAX_GAP_MILLISECONDS, spareMilliseconds / waiting);
-  const least = before.length > 0 ? gap + MISSED_TURN_MILLISECONDS : gap;
-  return [...switching, ...before].every((peer) => inTurnFor(peer) >= least);
+  const minimumMilliseconds = before.length > 0 ? gap + MISSED_TURN_MILLISECONDS : gap;
+  return [...switching, ...before].every((peer) => turnAge(peer) >= minimumMilliseconds);
 }
 
 /** Returns how many boxes have to switch at the same time so that all waiting boxes switch in time. */
@@ -71,15 +71,15 @@
 }
 
 function isSwitching(peer: SwitchPeer): boolean {
-  return inTurnFor(peer) < STUCK_MILLISECONDS && (peer.stage === 'preparing' || peer.stage === 'switching');
+  return turnAge(peer) < STUCK_MILLISECONDS && (peer.phase === 'preparing' || peer.phase === 'switching');
 }
 
-/** Milliseconds since the peer began its turn, or since it started to wait for it. */
-function inTurnFor({ stage, stageMilliseconds }: SwitchPeer): number {
-  return stage === 'switching' ? stageMilliseconds + PREPARING_MILLISECONDS : stageMilliseconds;
+/** Returns the milliseconds since the peer began its turn, or since it began to wait for its turn. */
+function turnAge({ phase, phaseMilliseconds }: SwitchPeer): number {
+  return phase === 'switching' ? phaseMilliseconds + PREPARING_MILLISECONDS : phaseMilliseconds;
 }
 
-/** A server whose entries have been notified that it is about to switch. */
+/** State of a server between the notice to the entries that it is about to switch and the order to load. */
 export interface SwitchNotice {
   /** Milliseconds since the entries were notified. */
   noticeMilliseconds: number;
@@ -93,8 +93,8 @@
  */
 const MIN_NOTICE_MILLISECONDS = 100;
 /**
- * Time until all but a few of the requests that were sent before the notice arrived have begun. Waiting longer
- * would shorten the service too much.
+ * Time until all but a few of the requests that were sent before the notice arrived have begun. Waiting longer would
+ * keep the box out of service for too long.
  */
 const MAX_NOTICE_MILLISECONDS = 300;
 
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -1,18 +1,18 @@
-/** Brings the backend server of this box to the wanted versions, and retries until it serves the newest one. */
+/** Brings the backend server of this box to the target version, and retries until the server serves it. */
 import type { Member } from '../protocol/rolloutMessages.js';
 import { LAST_SEND_MARGIN_MILLISECONDS } from '../protocol/versionMargins.js';
 import type { EventLog } from '../telemetry/eventLog.js';
 import type { Clock } from '../utils/clock.js';
 import { errorCode, errorText } from '../utils/stepError.js';
 import { pause } from '../utils/timers.js';
-import { hasRestarted, isUnchanged, restartLogFields } from './backendRun.js';
-import { switchOrder } from './downloadSchedule.js';
+import { hasRestarted, isUnchanged, restartLogFields } from './backendIncarnation.js';
+import { switchOrder } from './originFetchSchedule.js';
 import { POLL_MILLISECONDS, SWITCHING_POLL_MILLISECONDS, pollInterval } from './pollInterval.js';
 import type { LocalBackend, LocalBackendStatus } from './localBackend.js';
 import { CONNECTION_REFUSED } from './localBackend.js';
 import type { StageQueue } from './stageQueue.js';
 import type { StagingArea } from './stagingArea.js';
-import type { SwitchPeer, SwitchStage } from './switchTurn.js';
+import type { SwitchPeer, SwitchPhase } from './switchTurn.js';
 import { PREPARING_MILLISECONDS, maySwitch, mayOrder } from './switchTurn.js';
 import type { VersionStage } from './versionStage.js';
 
@@ -26,9 +26,9 @@
   log: EventLog;
   versionMilliseconds: number;
   members: () => readonly Member[];
-  /** Returns the stages of the other boxes with respect to `version`. */
+  /** Returns the phases of the other boxes with respect to `version`. */
   peers: (version: number) => SwitchPeer[];
-  /** Called when the stage of this box or the status of its backend server may have changed. */
+  /** Called when the phase of this box or the status of its backend server may have changed. */
   onChange: () => void;
 }
 
@@ -45,10 +45,10 @@
   private readonly _stopped = new AbortController();
   private _status: LocalBackendStatus | undefined;
   /**
-   * Monotonic milliseconds since which reads are known to come from the present run of the backend server; infinite
-   * if it reports no start time, since a restart that lost all staged chunks may then have gone unnoticed.
+   * Monotonic milliseconds since which chunks are known to be read from the current incarnation of the backend server;
+   * infinite if the server reports no start time, since a restart that lost all staged chunks may then go unnoticed.
    */
-  private _runSeenAt = Number.POSITIVE_INFINITY;
+  private _incarnationSeenAt = Number.POSITIVE_INFINITY;
   /** Whether nothing listens at the address of the backend server. */
   private _isGone = false;
   private _switchingTo = 0;
@@ -78,17 +78,17 @@
     return this.status?.versions.get(model) ?? 0;
   }
 
-  /** The version that this box is to serve next; if there is none, the one in service or wanted. */
+  /** The version that this box is to serve next; if there is none, the newer of the served and the target version. */
   get nextVersion(): number {
-    return this._nextStage?.version ?? Math.max(this.servedVersion, this._options.stages.wantedVersion);
+    return this._nextStage?.version ?? Math.max(this.servedVersion, this._options.stages.targetVersion);
   }
 
-  get switchStage(): SwitchStage {
+  get switchPhase(): SwitchPhase {
     if (this._switchingTo > 0) return 'switching';
     const next = this._nextStage;
     if (next && next.version === this._preparingFor) return 'preparing';
     if (next) return this._isNearlyComplete(next) ? 'staged' : 'staging';
-    return this.servedVersion >= this._options.stages.wantedVersion ? 'serving' : 'staging';
+    return this.servedVersion >= this._options.stages.targetVersion ? 'serving' : 'staging';
   }
 
   start(): void {
@@ -131,15 +131,15 @@
         this._onUnreachable(error);
         await pause(RETRY_MILLISECONDS, this._stopped.signal);
       }
-      const isFarFromSwitching = this.switchStage === 'serving' || this.switchStage === 'staging';
+      const isFarFromSwitching = this.switchPhase === 'serving' || this.switchPhase === 'staging';
       const wait = isFarFromSwitching ? POLL_MILLISECONDS : SWITCHING_POLL_MILLISECONDS;
       await pause(wait, this._stopped.signal);
     }
   }
 
-  /** A box that waits for its turn checks its peers often, but polls its server as seldom as a serving one. */
+  /** A box that waits for its turn checks its peers often, but polls its server only as often as usual. */
   private _isPollDue(): boolean {
-    const interval = pollInterval(this.switchStage, this._status);
+    const interval = pollInterval(this.switchPhase, this._status);
     return this._options.clock.now() - this._polledAt >= interval;
   }
 
@@ -175,8 +175,8 @@
     const former = this._status;
     const isRestarted = former !== undefined && hasRestarted(former, status);
     if (isRestarted) this._onRestart(former, status);
-    if (status.startedAt === 0) this._runSeenAt = Number.POSITIVE_INFINITY;
-    else if (isRestarted || former === undefined) this._runSeenAt = this._options.clock.now();
+    if (status.startedAt === 0) this._incarnationSeenAt = Number.POSITIVE_INFINITY;
+    else if (isRestarted || former === undefined) this._incarnationSeenAt = this._options.clock.now();
   }
 
   /** Resets the turn and the order. Staged chunks are read back before each order anyway. */
@@ -229,7 +229,7 @@
     return this._leftMilliseconds(stage) <= LAST_SEND_MARGIN_MILLISECONDS;
   }
 
-  /** Milliseconds until the deadline after which no request may begin on a version older than that of `stage`. */
+  /** Milliseconds until the version deadline, after which no request may begin on a version older than this stage's. */
   private _leftMilliseconds(stage: VersionStage): number {
     const { clock, versionMilliseconds } = this._options;
     return stage.announcedAt + versionMilliseconds - clock.now();
@@ -258,7 +258,7 @@
     const isEmpty = this.servedVersion === 0;
     if (isEmpty) onChange();
     const verifyStartedAt = clock.now();
-    const isVerified = await stage.verify(this._runSeenAt);
+    const isVerified = await stage.verify(this._incarnationSeenAt);
     const verifyMilliseconds = Math.round(clock.now() - verifyStartedAt);
     if (!isVerified) {
       this._switchingTo = 0;
@@ -286,9 +286,9 @@
   }
 
   /**
-   * Whether the chunks that were read back are still valid: since before the reading, the server has neither
+   * Whether the chunks that were read back are still staged: since before the reading, the server has neither
    * restarted nor accepted an order. The order has to carry the revision from before the reading, since a later one
-   * would not exclude a change in between.
+   * would not rule out a change in between.
    */
   private _isReadingValid(status: LocalBackendStatus): boolean {
     const before = this._status!;
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -1,6 +1,6 @@
 /**
- * One version that this box loads: its exchange of chunks with other boxes, its downloads from the origin and its
- * staging at the backend server.
+ * One version that this box loads: the exchange of its chunks with other boxes, the origin fetches and the staging at
+ * the backend server.
  */
 import type { Manifest } from '../protocol/manifest.js';
 import type { Member, PlanMessage } from '../protocol/rolloutMessages.js';
@@ -11,7 +11,12 @@
 import type { ExchangeServices } from '../weights/exchangeServices.js';
 import { RolloutExchange } from '../weights/rolloutExchange.js';
 import { ChunkStager } from './chunkStager.js';
-import { DownloadProgress, downloadOrder, downloaderOf, replaceLostDownloaders } from './downloadSchedule.js';
+import {
+  OriginFetchProgress,
+  originFetchOrder,
+  originFetcherOf,
+  replaceLostOriginFetchers,
+} from './originFetchSchedule.js';
 import { LinkRate } from './linkRate.js';
 import { ScarceChunks } from './scarceChunks.js';
 import type { StagedChunks } from './stagedChunks.js';
@@ -33,19 +38,16 @@
   announcedAt: number;
   /** Rate at which the box may receive chunks. */
   bytesPerSecond: number;
-  /**
-   * Whether this version may fetch from other boxes, and whether it may download from the origin. An older version
-   * comes first.
-   */
-  mayFetch: () => boolean;
-  mayDownload: () => boolean;
+  /** Whether chunks may be fetched from other boxes now: not while an older version is being fetched from them. */
+  mayFetchFromPeers: () => boolean;
+  /** Whether chunks may be fetched from the origin now: not while an older version has open origin fetches. */
+  mayFetchFromOrigin: () => boolean;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 const TICK_INTERVAL_MILLISECONDS = 100;
 /**
- * How long a box that joins late waits for the other boxes to report their chunks before it downloads from the
- * origin.
+ * How long a box that joins late waits for the other boxes to report their chunks before it fetches from the origin.
  */
 const LATE_JOIN_WAIT_MILLISECONDS = 400;
 /** A version announced within this time is at no box yet, so that a box need not wait for reports of others. */
@@ -69,13 +71,13 @@
   private readonly _startedAt: number;
   private readonly _linkRate: LinkRate;
   private _members: readonly Member[];
-  /** Boxes in the order in which they download, in all data centres and in this one. */
-  private _downloadOrder: readonly string[] = [];
-  private _localDownloadOrder: readonly string[] = [];
+  /** Boxes in the order in which they fetch from the origin, in all data centres and in this one. */
+  private _originFetchOrder: readonly string[] = [];
+  private _localOriginFetchOrder: readonly string[] = [];
   private _peers: ReadonlySet<string> = new Set();
-  private readonly _progress: DownloadProgress;
+  private readonly _progress: OriginFetchProgress;
   private readonly _scarce = new ScarceChunks();
-  private readonly _downloadedAgain = new Set<number>();
+  private readonly _refetchedChunks = new Set<number>();
   private _tickTimer: NodeJS.Timeout | undefined;
   /** Monotonic milliseconds at which the version became complete; infinite before. */
   private _completedAt = Number.POSITIVE_INFINITY;
@@ -89,15 +91,15 @@
     this._startedAt = options.clock.now();
     this._linkRate = new LinkRate(options.bytesPerSecond, this._startedAt);
     this.index = new ManifestIndex(options.manifest);
-    this._progress = new DownloadProgress(this.index.chunkCount, this._startedAt);
+    this._progress = new OriginFetchProgress(this.index.chunkCount, this._startedAt);
     this._stager = new ChunkStager({ ...options, index: this.index });
     this.exchange = new RolloutExchange(
-      { ...options.services, mayFetch: options.mayFetch },
+      { ...options.services, mayFetchFromPeers: options.mayFetchFromPeers },
       this._plan(),
       this.index,
       () => this._onChange(),
     );
-    this._updateDownloadOrders();
+    this._updateOriginFetchOrders();
   }
 
   get complete(): boolean {
@@ -141,7 +143,7 @@
     return await this._stager.acquireStagingArea();
   }
 
-  /** Starts the exchange. With `adopt`, takes over chunks that an earlier run of this process staged. */
+  /** Starts the exchange. With `adopt`, takes over chunks that an earlier incarnation of the agent staged. */
   async start(adopt: boolean): Promise<void> {
     this.exchange.start();
     if (adopt) await this._adopt();
@@ -151,7 +153,7 @@
 
   updateMembers(members: readonly Member[]): void {
     this._members = members;
-    this._updateDownloadOrders();
+    this._updateOriginFetchOrders();
     this.exchange.updateMembers(this._plan());
   }
 
@@ -161,8 +163,8 @@
   }
 
   /** Whether all staged chunks match the manifest; see {@link ChunkStager.verify}. */
-  async verify(runSeenAt: number): Promise<boolean> {
-    return await this._stager.verify((chunk) => this.chunk(chunk), runSeenAt);
+  async verify(incarnationSeenAt: number): Promise<boolean> {
+    return await this._stager.verify((chunk) => this.chunk(chunk), incarnationSeenAt);
   }
 
   /** Stops all transfers and releases the chunks. */
@@ -188,7 +190,7 @@
   private _tick(): void {
     if (this.complete) return clearInterval(this._tickTimer);
     this._recordLinkRate();
-    this._downloadMissing();
+    this._fetchMissingFromOrigin();
   }
 
   private _recordLinkRate(): void {
@@ -197,20 +199,20 @@
     this._linkRate.record(this._options.clock.now(), receivedBytes, this.exchange.fetching);
   }
 
-  /** Starts downloading the chunks that neither this box nor a neighbour has, and that are assigned to this box. */
-  private _downloadMissing(): void {
-    if (!this._options.mayDownload()) return;
-    this._downloadScarce();
+  /** Starts the origin fetches that this box is to do now: of chunks that neither it nor a neighbour has. */
+  private _fetchMissingFromOrigin(): void {
+    if (!this._options.mayFetchFromOrigin()) return;
+    this._refetchScarce();
     const now = this._options.clock.now();
     const isNew = this._startedAt - this.announcedAt < NEW_VERSION_AGE_MILLISECONDS;
     if (!isNew && now - this._startedAt < LATE_JOIN_WAIT_MILLISECONDS) return;
-    const order = this._withoutLostPeers(this._downloadOrder);
-    const unseen = this.exchange.unavailableChunks();
-    this._progress.update(order, unseen, now);
+    const order = this._withLostPeersReplaced(this._originFetchOrder);
+    const unavailable = this.exchange.unavailableChunks();
+    this._progress.update(order, unavailable, now);
     const { box } = this._options.services;
-    const due = unseen.filter(
+    const due = unavailable.filter(
       (chunk) =>
-        downloaderOf(order, chunk, this._progress.millisecondsWithoutProgress(order, chunk, now)) === box,
+        originFetcherOf(order, chunk, this._progress.millisecondsWithoutProgress(order, chunk, now)) === box,
     );
     this.exchange.keepOnlyOriginFetches(due);
     const open = new Set(this.exchange.openDraws);
@@ -220,46 +222,49 @@
     this.exchange.grant(added);
   }
 
-  /** Downloads chunks again that only one box with a slow link has. In each data centre one box does so. */
-  private _downloadScarce(): void {
+  /**
+   * Fetches chunks again from the origin that have stayed at a single box, whose link must be slow. In each data centre
+   * one box does so.
+   */
+  private _refetchScarce(): void {
     const now = this._options.clock.now();
     const { box } = this._options.services;
-    const order = this._withoutLostPeers(this._localDownloadOrder);
+    const order = this._withLostPeersReplaced(this._localOriginFetchOrder);
     const due = this._scarce
       .update(this.exchange.soleHolders(), now)
       .filter(({ chunk, holder, overdueMilliseconds }) => {
         const others = order.filter((candidate) => candidate !== holder);
-        return downloaderOf(others, chunk, overdueMilliseconds) === box;
+        return originFetcherOf(others, chunk, overdueMilliseconds) === box;
       })
       .map(({ chunk }) => chunk)
-      .filter((chunk) => !this._downloadedAgain.has(chunk));
+      .filter((chunk) => !this._refetchedChunks.has(chunk));
     if (due.length === 0) return;
-    for (const chunk of due) this._downloadedAgain.add(chunk);
+    for (const chunk of due) this._refetchedChunks.add(chunk);
     this._options.log.decision('draws.of-scarce-chunks', { version: this.version, chunks: due.length });
     this.exchange.grant(due, true);
   }
 
-  /** Computes the orders of the downloaders, which hold until the members change. */
-  private _updateDownloadOrders(): void {
+  /** Computes the orders of the origin fetchers, which hold until the members change. */
+  private _updateOriginFetchOrders(): void {
     const { box } = this._options.services;
     const own = this._members.find((member) => member.box === box);
     const local = this._members.filter((member) => member.dataCentre === own?.dataCentre);
-    this._downloadOrder = downloadOrder(this.exchange.rollout, this._members);
-    this._localDownloadOrder = downloadOrder(this.exchange.rollout, local);
+    this._originFetchOrder = originFetchOrder(this.exchange.rollout, this._members);
+    this._localOriginFetchOrder = originFetchOrder(this.exchange.rollout, local);
     const peers = connectedPeers(box, this._members);
     this._peers = new Set(peers.map((member) => member.box));
   }
 
   /**
-   * Returns the order without lost peers. If most peers seem lost, they are probably not connected yet, and the
-   * order stays as it is.
+   * Returns the order with the lost peers replaced. If most peers seem lost, they are probably not connected yet, and
+   * the order stays as it is.
    */
-  private _withoutLostPeers(order: readonly string[]): readonly string[] {
+  private _withLostPeersReplaced(order: readonly string[]): readonly string[] {
     const { peers } = this._options.services;
     const lost = new Set([...this._peers].filter((box) => peers.isUnreachable(box)));
     const reachable = this._peers.size - lost.size + 1;
     if (reachable * 2 <= this._peers.size + 1) return order;
-    return replaceLostDownloaders(order, lost);
+    return replaceLostOriginFetchers(order, lost);
   }
 
   private _onChange(): void {
