--- a/src/protocol/livenessTimeouts.ts
+++ b/src/protocol/livenessTimeouts.ts
@@ -3,7 +3,8 @@
 
 /**
  * The silence timeout between two agents is longer by this factor. Agents learn from entries which boxes are gone, and
- * each agent is connected to many others: with 144 agents of 28 peers each, their heartbeats were a third of all.
+ * each agent is connected to many others: with 144 agents of 28 peers each, heartbeats were a third of all messages
+ * between agents.
  */
 const AGENT_PAIR_TIMEOUT_FACTOR = 2;
 
--- a/src/protocol/versionMargins.ts
+++ b/src/protocol/versionMargins.ts
@@ -19,8 +19,8 @@
 /** From here on, servers that answer late or send no status get no requests on an older version. */
 export const SLOW_SEND_MARGIN_MILLISECONDS = 1_500;
 /**
- * A request waits on the link and for the prompts ahead of it: up to 400 ms in the users' benchmark at servers that
- * answer in time, and as long again where the link of a box is slow without this being known yet.
+ * A request waits on the link and for the prompts ahead of it: up to 400 ms at servers that answer in time, and as long
+ * again if the link of the box is slow and entries do not know it yet.
  */
 export const LAST_SEND_MARGIN_MILLISECONDS = 1_000;
 /**
--- a/src/staging/linkRate.ts
+++ b/src/staging/linkRate.ts
@@ -12,8 +12,8 @@
 /** Half-life of the weight of received bytes, so that a link that becomes slow or fast again is detected soon. */
 const HALF_LIFE_MILLISECONDS = 1_000;
 /**
- * How long a link that was slow still counts as slow after the last chunk. In the users' benchmark, links are throttled
- * for 5 to 7 s at a time.
+ * How long a link that was slow still counts as slow after the last chunk. A throttled link stays slow for 5 to 7 s at a
+ * time.
  */
 const STILL_SLOW_MILLISECONDS = 4_000;
 const MILLISECONDS_PER_SECOND = 1_000;
--- a/src/staging/statusSender.ts
+++ b/src/staging/statusSender.ts
@@ -8,7 +8,7 @@
  * Shortest time between two statuses in which only the load differs, multiplied by the number of entries that
  * receive them, so that the traffic of an agent does not grow with the number of entries. Entries of other data
  * centres, which send fewer requests to this box, receive statuses less often. With 15 entries and 13 servers, 4 ms
- * instead of 10 ms raised the score of the users' benchmark from 0.74 to 0.79 in one pair of runs.
+ * instead of 10 ms raised the share of requests that were answered in time from 0.74 to 0.79 of the possible.
  */
 const MIN_SPACING_PER_ENTRY_MILLISECONDS = 4;
 const MIN_REMOTE_SPACING_PER_ENTRY_MILLISECONDS = 10;
--- a/src/staging/switchTurn.ts
+++ b/src/staging/switchTurn.ts
@@ -28,7 +28,7 @@
 
 /** How long a box prepares. About half of its streams end in this time and need not be handed over. */
 export const PREPARING_MILLISECONDS = 450;
-/** Time from the start of the preparation until the box serves the new version, in the users' benchmark. */
+/** Time from the start of the preparation until the box serves the new version. */
 const TURN_MILLISECONDS = 1_100;
 /**
  * Time before the version deadline at which a box begins whatever the others do, so that it will soon serve the new
--- a/src/staging/worthFinishing.ts
+++ b/src/staging/worthFinishing.ts
@@ -20,7 +20,7 @@
   newerAvailableShare: number;
 }
 
-/** Time from the first box with a complete copy until the last one serves, in the users' benchmark with 15 boxes. */
+/** Time from the first box with a complete copy until the last one serves, with 15 boxes. */
 const SPREAD_MILLISECONDS = 2_500;
 /** Below this available share, fetching the rest would load the origin about as much as the newer version does. */
 const LITTLE_AVAILABLE_SHARE = 1 / 3;
