--- a/src/crashes/suspicionGate.ts
+++ b/src/crashes/suspicionGate.ts
@@ -26,14 +26,14 @@
  */
 const TRIAL_MARGIN_MILLISECONDS = 500;
 
-/** Makes the names of gates unique: callers may use a request id twice, or send none. */
+/** Makes the ids of trials unique: callers may use a request id twice, or send none. */
 let gatesCreated = 0;
 
 export class SuspicionGate {
   private readonly _tracker: SuspicionTracker;
   private readonly _request: GatedRequest;
   private readonly _clock: Clock;
-  private readonly _name: string;
+  private readonly _trialIdPrefix: string;
   /** Number of trials that the request has claimed. */
   private _trialsClaimed = 0;
   private _isWaiting = false;
@@ -46,12 +46,12 @@
     this._tracker = tracker;
     this._request = request;
     this._clock = clock;
-    this._name = `${request.exchange.requestId.slice(0, MAX_ID_LENGTH)}/${gatesCreated++}`;
+    this._trialIdPrefix = `${request.exchange.requestId.slice(0, MAX_ID_LENGTH)}/${gatesCreated++}`;
   }
 
   /** Id of the trial that the request claimed last, unique among all requests. */
   get id(): string {
-    return `${this._name}.${this._trialsClaimed}`;
+    return `${this._trialIdPrefix}.${this._trialsClaimed}`;
   }
 
   /** Whether the request may run now, without waiting. */
@@ -84,7 +84,7 @@
     const trial = hadTrial ? this.id : '';
     const serverProcess = server.startedAt > 0 ? `${server.id}@${server.startedAt}` : server.id;
     this._hasState = true;
-    // once it has its answer, the caller may retry at another entry, which has to know of the exit by then
+    // Once it has its answer, the caller may retry at another entry, which has to know of the exit by then.
     await this._tracker.recordServerExit(this._request.fingerprint(), { server: serverProcess, trial });
     if (this._isReleased) this.release();
     return true;
--- a/src/crashes/suspicionRestorer.ts
+++ b/src/crashes/suspicionRestorer.ts
@@ -42,7 +42,7 @@
   private async _restore(known: KnownSuspicions): Promise<void> {
     const { suspected, cleared } = known;
     this._queueSuspected(known);
-    // the copies are replaced right after this event: only then do cleared suspicions show up again
+    // The copies are replaced right after this event: only then do cleared suspicions show up again.
     await Promise.resolve();
     this._queueCleared(known);
     this._options.log.state('suspicions.restoring', { suspected: suspected.size, cleared: cleared.size });
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -279,7 +279,7 @@
 
   private async _remove(fingerprint: string, stale: Suspicion): Promise<void> {
     this._options.log.decision('suspicion.forgotten', { fingerprint, ends: stale.ends.length });
-    // a suspicion that has changed in the meantime stays
+    // A suspicion that has changed in the meantime stays.
     const change = (suspicion: Suspicion | undefined): Suspicion | undefined =>
       isDeepStrictEqual(suspicion, stale) ? undefined : suspicion;
     await this._writer.write(fingerprint, change);
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -41,8 +41,8 @@
 const MAX_CONCURRENT_WRITES = 8;
 const RETRY = { firstMilliseconds: 40, longestMilliseconds: 500 };
 /**
- * Age at which a change is given up. If the store is unavailable for longer, later suspicions make up for the lost
- * ones.
+ * Age at which a change is given up. If the store is unavailable for longer, a request that goes on crashing servers
+ * becomes suspected again.
  */
 const GIVE_UP_MILLISECONDS = 30_000;
 
@@ -96,7 +96,7 @@
       this._add(fingerprint, apply, done);
       if (this._writing.has(fingerprint)) return;
       this._writing.add(fingerprint);
-      // changes of the same event loop turn share one write
+      // Changes of the same event loop turn share one write.
       setImmediate(() => void this._writeAll(fingerprint));
     });
   }
--- a/src/records/recordRelay.ts
+++ b/src/records/recordRelay.ts
@@ -75,7 +75,7 @@
   }
 
   private _onChange(replica: RecordReplica, change: ReplicaChange): void {
-    // listeners retain and release records by themselves
+    // Listeners retain and release records by themselves.
     if (change.cause === 'retained') return;
     this._broadcast(true, change.whole ? fullMessage(replica) : changesMessage(replica, change));
     this._broadcast(true, this._state.stamp(true));
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -201,7 +201,7 @@
       const stored = gone ? undefined : object;
       const inForce = this._retained ? this._retained.resolve(name, stored, via) : stored;
       urgency = moreUrgent(urgency, this._setInForce(name, inForce));
-      // listeners retain and release records by themselves, so they need the changes that a retained record hides
+      // Listeners retain and release records by themselves, so they need the changes that a retained record hides.
       if (wasRetained) urgency = moreUrgent(urgency, this._classify(storedBefore, stored));
     }
     return urgency;
--- a/src/records/retainedExchange.ts
+++ b/src/records/retainedExchange.ts
@@ -3,7 +3,7 @@
 export type RetainedStep = 'send' | 'request' | 'nothing';
 
 /**
- * Used once for each connection. Acts on each difference only once, because the other side may have a reason to
+ * One instance per connection. It acts on each difference only once, because the other side may have a reason to
  * retain fewer records.
  */
 export class RetainedExchange {
--- a/src/records/sourceChoice.ts
+++ b/src/records/sourceChoice.ts
@@ -42,7 +42,7 @@
   const working = candidates.filter(({ address }) => !hasFailed(address));
   const chosen = working.slice(0, READER_COUNT);
   const sources = chosen.filter(({ address }) => address !== own.address);
-  // when all have failed, no entry reaches the store, and each checks by itself whether it is back
+  // When all have failed, no entry reaches the store, and each checks by itself whether it is back.
   const reads = chosen.length === 0 || sources.length < chosen.length;
   return { reads, sources };
 }
--- a/src/serving/agentSelection.ts
+++ b/src/serving/agentSelection.ts
@@ -1,4 +1,4 @@
-/** Selects the agents that an entry connects to, so that its cost does not grow with the fleet. Pure. */
+/** Selects the agents that an entry connects to: few, so that its cost does not grow with the number of boxes. Pure. */
 import type { AgentAddress } from '../protocol/boxMessages.js';
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import { orderAcrossDataCentres } from '../utils/dataCentreOrder.js';
@@ -11,7 +11,7 @@
  * a server reports its load to 8 entries, and each entry sends to its servers often enough to keep connections open.
  */
 const MAX_OWN_DATA_CENTRE_AGENTS = 12;
-/** Number of agents in other data centres whose servers get requests when the own data centre is full. */
+/** Number of agents in other data centres whose servers get requests when those of the own data centre are full. */
 const OTHER_DATA_CENTRE_AGENTS = 4;
 /**
  * Number of agents that tell entries which other entries exist: enough for redundancy, while more would repeat the
--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -35,8 +35,8 @@
 }
 
 /** Whether the server ran the request successfully, which shows that the request does not crash servers. */
-export function isSuccessfulRun(verdict: AnswerClass, status: number): boolean {
-  return verdict === 'answered' && status < REDIRECTION;
+export function isSuccessfulRun(answerClass: AnswerClass, status: number): boolean {
+  return answerClass === 'answered' && status < REDIRECTION;
 }
 
 /**
--- a/src/serving/answerHead.ts
+++ b/src/serving/answerHead.ts
@@ -17,6 +17,6 @@
 ): void {
   const version = Number(headers[names.version]);
   if (model !== '' && version > 0) server.noteVersion(model, version);
-  // the answer to a misdirected request may come from another server
+  // The answer to a misdirected request may come from another server.
   if (status !== MISDIRECTED_REQUEST) server.backpressure.applySignals(readSignals(status, headers, names));
 }
--- a/src/serving/backendCall.ts
+++ b/src/serving/backendCall.ts
@@ -116,7 +116,7 @@
     this._connection.client.dispatch(options, {
       onRequestStart: (controller) => {
         this._controller = controller;
-        // while the connection was being established the server may have announced a pause or that it is leaving
+        // While the connection was being established the server may have announced a pause or that it is leaving.
         if (this.server.backpressure.isClosed) this._aborted ??= 'server-closed';
         if (this._aborted) controller.abort(new CallAborted(this._aborted));
         else this._sent = true;
--- a/src/serving/backendConnections.ts
+++ b/src/serving/backendConnections.ts
@@ -29,8 +29,8 @@
       keepAliveTimeoutThreshold: IDLE_MARGIN_MILLISECONDS,
       connect: (options, callback) =>
         connect(options, (...result) => {
-          // registered before the client's own listener, because the client reports an answer without a declared
-          // length as complete after a reset
+          // Registered before the client's own listener, because the client reports an answer without a declared
+          // length as complete after a reset.
           result[1]?.once('error', () => (this._broken = true));
           this._socket = result[1] ?? undefined;
           callback(...result);
--- a/src/serving/callerServer.ts
+++ b/src/serving/callerServer.ts
@@ -46,7 +46,7 @@
 
   /** Stops accepting connections and closes idle ones; a connection just opened may still send its first request. */
   async stopListening(): Promise<void> {
-    // lets the event loop accept pending connections first; the system would reset them when the socket is closed
+    // Lets the event loop accept pending connections first; the system would reset them when the socket is closed.
     await afterPoll();
     this._server.close();
   }
--- a/src/serving/forwardedRequest.ts
+++ b/src/serving/forwardedRequest.ts
@@ -74,7 +74,7 @@
     if (exchange.ended) return this._onCallerDisconnect();
     exchange.onCallerDisconnect(() => this._onCallerDisconnect());
     this._timeout = setTimeout(() => this._onTimeout(), Math.max(0, this._attempts.remainingMilliseconds));
-    // of the non-repeatable requests only streams are watched: the head of a stream shows whether it has begun
+    // Of the non-repeatable requests only streams are watched: the head of a stream shows whether it has begun.
     if (this._attempts.repeatable || this._relay) this._stopWatching = watchInterval.add(() => this._watch());
     this._attempt();
   }
--- a/src/serving/outgoingRequest.ts
+++ b/src/serving/outgoingRequest.ts
@@ -27,8 +27,8 @@
   own.push(names.expectedServer, server.record.id);
   if (lastEventId !== '') own.push(names.lastEventId, lastEventId);
   const version = server.version(model);
-  // a server that has switched to a newer version meanwhile rejects the request, which tells this entry that its view
-  // of the server is out of date
+  // A server that has switched to a newer version meanwhile rejects the request, which tells this entry that its view
+  // of the server is out of date.
   if (model !== '' && newestVersion > version) own.push(names.expectedVersion, String(version));
   return { method, path, headers: [...headers, ...own], body, promptSize };
 }
--- a/src/serving/requestAttempts.ts
+++ b/src/serving/requestAttempts.ts
@@ -14,7 +14,7 @@
 const MIN_ATTEMPT_MILLISECONDS = 40;
 /** Limit on servers that could not be reached, since these do not count as attempts. */
 const MAX_UNREACHABLE = 4;
-/** A server that has not run a begun stream is tried again after this time; serverHealth avoids it until then. */
+/** A server that has not run a begun stream is tried again after this time; `ServerHealth` avoids it until then. */
 const SAME_SERVER_RETRY_MILLISECONDS = 150;
 /**
  * Minimum interval between sends of a begun stream beyond the attempts of its route. Servers get free slots every few
@@ -69,8 +69,8 @@
     const { service, model } = this._request;
     const { gate, pool } = this._context;
     const preferredVersion = gate.preferredMinVersion(model);
-    // a stream handed over to an older version shortly before the version deadline would have to move again, and
-    // might begin too late
+    // A stream handed over to an older version shortly before the version deadline would have to move again, and
+    // might begin too late.
     const lowestForHandover = isHandover ? preferredVersion : 0;
     const found = pool.find({
       service,
@@ -137,7 +137,7 @@
    */
   takeRetry(isHandover = false): NoAttemptReason | undefined {
     const { route, retries } = this._request;
-    // a stream that is being handed over still runs on its first server, so that the limit for new requests suffices
+    // A stream that is being handed over still runs on its first server, so that the limit for new requests suffices.
     const isResumption = this._hasBegun() && !isHandover;
     const used = isResumption ? this._count - this._notRunCount : this._count;
     if (used >= route.attempts) return 'attempts used';
--- a/src/serving/retryAllowance.ts
+++ b/src/serving/retryAllowance.ts
@@ -59,7 +59,7 @@
   /** Takes permission for a retry; false when it is denied. `hasBegun` tells whether the answer has begun. */
   takeRetry(hasBegun: boolean): boolean {
     const current = this._current();
-    // the oldest slice is only partly within the window: all of its retries count, and none of its requests
+    // The oldest slice is only partly within the window: all of its retries count, and none of its requests.
     const whole = this._slices.filter(({ index }) => index > current.index - SLICES_PER_WINDOW);
     const requests = whole.reduce((sum, slice) => sum + slice.requests, 0);
     const retries = this._slices.reduce((sum, slice) => sum + slice.retries, 0);
--- a/src/serving/streamRelay.ts
+++ b/src/serving/streamRelay.ts
@@ -11,6 +11,7 @@
   private _splitter = new EventSplitter();
   private _lastEventId: string;
   private _begun = false;
+  /** When any server last sent a part of the answer, to measure the longest pause. */
   private _heardAt = 0;
   /** When the current server last sent bytes. */
   private _serverHeardAt = 0;
--- a/src/serving/trackedServer.ts
+++ b/src/serving/trackedServer.ts
@@ -22,7 +22,7 @@
  * by 180 ms on a link that is not slow.
  */
 export const SLOW_LINK_MILLISECONDS = 400;
-/** Number of pending prompts from which on another one has to wait long to be read. */
+/** With this many pending prompts or more, a new prompt waits long until it is read. */
 const MANY_PENDING_PROMPTS = 3;
 /** Time in which half of the prompts that were queued at the last report have been read. */
 const PENDING_HALF_LIFE_MILLISECONDS = 120;
--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -74,9 +74,9 @@
     const { index, model, log, stagingArea } = this._options;
     const readSince = Math.max(incarnationSeenAt, stagingArea.ownedSince);
     const all = Array.from({ length: index.chunkCount }, (_unused, chunk) => chunk);
-    let suspects = all.filter((chunk) => !this._wasReadRecently(chunk, readSince));
+    let unverified = all.filter((chunk) => !this._wasReadRecently(chunk, readSince));
     for (let round = 0; round < REPAIR_ROUNDS; round++) {
-      const corrupt = await this._corruptChunks(suspects);
+      const corrupt = await this._corruptChunks(unverified);
       if (corrupt.length === 0) return true;
       for (const chunk of corrupt) {
         const bytes = data(chunk);
@@ -84,7 +84,7 @@
         await this._write(chunk, bytes);
       }
       if (this._written.size > 0) log.state('chunks.laid-anew', { model, chunks: corrupt.length });
-      suspects = corrupt;
+      unverified = corrupt;
     }
     return false;
   }
@@ -103,9 +103,9 @@
     return verifiedAt > readSince && this._options.clock.now() - verifiedAt < RECENT_READ_MILLISECONDS;
   }
 
-  private async _corruptChunks(suspects: readonly number[]): Promise<number[]> {
+  private async _corruptChunks(unverified: readonly number[]): Promise<number[]> {
     const corrupt: number[] = [];
-    for (const chunk of suspects) {
+    for (const chunk of unverified) {
       const bytes = await this._options.stagingArea.read(this._options.model, chunk);
       if (!bytes || !this._matches(chunk, bytes)) corrupt.push(chunk);
     }
--- a/src/staging/serverNotices.ts
+++ b/src/staging/serverNotices.ts
@@ -68,8 +68,8 @@
  */
 function merged(known: RememberedNotice, reported: RememberedNotice): RememberedNotice {
   const newer = reported.heardAt > known.heardAt ? reported : known;
-  const isSameRun = reported.notice.startedAt === known.notice.startedAt;
-  const leaving = isSameRun ? known.notice.leaving || reported.notice.leaving : newer.notice.leaving;
+  const isSameIncarnation = reported.notice.startedAt === known.notice.startedAt;
+  const leaving = isSameIncarnation ? known.notice.leaving || reported.notice.leaving : newer.notice.leaving;
   return { notice: { ...newer.notice, leaving }, heardAt: newer.heardAt, forwardedAt: known.forwardedAt };
 }
 
--- a/src/staging/stageQueue.ts
+++ b/src/staging/stageQueue.ts
@@ -33,6 +33,7 @@
   private _stages: VersionStage[] = [];
   private _target: TargetVersion | undefined;
   private _manifestReading = new AbortController();
+  /** Whether no stage has been opened yet: only the first one adopts chunks of an earlier incarnation. */
   private _isFirst = true;
 
   constructor(options: StageQueueOptions) {
--- a/src/staging/versionReconciler.ts
+++ b/src/staging/versionReconciler.ts
@@ -37,7 +37,7 @@
 /** An order is repeated if it has had no effect for this long while the backend server is busy. */
 const BUSY_ORDER_TIMEOUT_MILLISECONDS = 6_000;
 const RETRY_MILLISECONDS = 100;
-/** A box that still lacks chunks after preparing for this long gives its turn up. */
+/** A box that still lacks chunks after preparing for this long gives up its turn. */
 const MAX_PREPARATION_MILLISECONDS = 1_500;
 
 export class VersionReconciler {
@@ -286,9 +286,9 @@
   }
 
   /**
-   * Whether the chunks that were read back are still staged: since before the reading, the server has neither
-   * restarted nor accepted an order. The order has to carry the revision from before the reading, since a later one
-   * would not rule out a change in between.
+   * Whether the chunks that were read back are still staged: the server has neither restarted nor accepted an order
+   * since before the reading. The order has to carry the revision from before the reading, since a later one would not
+   * rule out a change in between; that of `status` is then the same.
    */
   private _isReadingValid(status: LocalBackendStatus): boolean {
     const before = this._status!;
--- a/src/staging/versionStage.ts
+++ b/src/staging/versionStage.ts
@@ -71,8 +71,9 @@
   private readonly _startedAt: number;
   private readonly _linkRate: LinkRate;
   private _members: readonly Member[];
-  /** Boxes in the order in which they fetch from the origin, in all data centres and in this one. */
+  /** Boxes of all data centres in the order in which they fetch from the origin. */
   private _originFetchOrder: readonly string[] = [];
+  /** The same for the boxes of this data centre. */
   private _localOriginFetchOrder: readonly string[] = [];
   private _peers: ReadonlySet<string> = new Set();
   private readonly _progress: OriginFetchProgress;
