--- a/src/serving/callerExchange.ts
+++ b/src/serving/callerExchange.ts
@@ -12,7 +12,7 @@
   timeOut: 504,
 } as const;
 
-/** Hop-by-hop headers, which are not forwarded. */
+/** Headers that apply to a single connection or are set by this process, and are not forwarded. */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -139,7 +139,7 @@
   }
 }
 
-/** Returns the headers to forward, names and values alternating, without hop-by-hop headers and those in `drop`. */
+/** Returns the headers to forward, names and values alternating, without connection headers and those in `drop`. */
 export function forwardedHeaders(request: http.IncomingMessage, drop: ReadonlySet<string>): string[] {
   const connectionNamed = new Set(
     String(request.headers.connection ?? '')
--- a/src/serving/serverHealth.ts
+++ b/src/serving/serverHealth.ts
@@ -20,12 +20,12 @@
 const SILENT_AVOID_MILLISECONDS = 1_000;
 const DISPLACED_AVOID_MILLISECONDS = 1_500;
 const UNREACHABLE_AVOID_MILLISECONDS = 700;
-/** Consecutive failures after which a server is considered failing; healthy servers have single ones. */
+/** Consecutive failures after which a server is considered failing; a healthy server has only single failures. */
 const MIN_CONSECUTIVE_FAILURES = 2;
 /**
- * Backoff after that many consecutive failures; each further failure doubles it up to the maximum. After the
- * backoff, one request at a time is sent to the server. Without it, a server that reset every connection for 6 s
- * received 248 of 1,500 requests while the others were full.
+ * Backoff after `MIN_CONSECUTIVE_FAILURES`; each further failure doubles it up to the maximum. After the backoff, one
+ * request at a time is sent to the server. Without it, a server that reset every connection for 6 s received 248 of
+ * 1,500 requests while the others were full.
  */
 const FAILED_BACKOFF_MILLISECONDS = 500;
 const MAX_FAILED_BACKOFF_MILLISECONDS = 2_000;
--- a/src/staging/chunkStager.ts
+++ b/src/staging/chunkStager.ts
@@ -12,7 +12,7 @@
  * later corruption either, and when all processes started at once, it took 150 of the 1,300 ms until a server served.
  */
 const RECENT_READ_MILLISECONDS = 1_000;
-/** Most rounds in which corrupt chunks are written again and read back. */
+/** Maximum number of rounds in which corrupt chunks are written again and read back. */
 const REPAIR_ROUNDS = 3;
 
 /** Options of a {@link ChunkStager}. */
--- a/src/staging/connectedEntries.ts
+++ b/src/staging/connectedEntries.ts
@@ -9,7 +9,7 @@
 import { ServerNotices } from './serverNotices.js';
 import type { StatusAudience } from './statusSender.js';
 
-/** Entries that are asked for the list of agents: more than one, since any of them may be lost. */
+/** Maximum number of entries that are asked for the list of agents: several, since any of them may be lost. */
 const MAX_ASKED_ENTRIES = 3;
 /**
  * How long changes of the entry list are batched, multiplied by the number of entries that receive them: the cost
--- a/src/staging/heardVersions.ts
+++ b/src/staging/heardVersions.ts
@@ -5,7 +5,7 @@
 import type { HeardVersion } from '../protocol/boxMessages.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Versions kept for each model; more than an entry reports. */
+/** Maximum number of versions kept for each model; more than an entry reports. */
 const MAX_VERSIONS = 16;
 /** A report with an earlier time is forwarded only if it is earlier by more than this; less is message latency. */
 const MIN_DIFFERENCE_MILLISECONDS = 100;
--- a/src/staging/scarceChunks.ts
+++ b/src/staging/scarceChunks.ts
@@ -1,8 +1,8 @@
 /** Finds chunks that stay at a single box for too long, since its link is too slow to upload them in time. */
 
 /**
- * How long a chunk may be known at one box only. A box with a working link uploads the five or six chunks that it
- * fetches from the origin to all data centres within a second.
+ * How long a chunk may be known at one box only. A box fetches five or six chunks from the origin, and with a working
+ * link it uploads them to all data centres within a second.
  */
 const MAX_SOLE_HOLDER_MILLISECONDS = 1_200;
 
--- a/src/staging/serverNotices.ts
+++ b/src/staging/serverNotices.ts
@@ -6,7 +6,7 @@
 import type { ServerNotice } from '../protocol/boxMessages.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Servers whose notices are kept. */
+/** Maximum number of servers whose notices are kept. */
 const MAX_SERVERS = 200;
 /** Notices older than this are not sent. The server has ended by then, or has repeated the notice in its answers. */
 const MAX_AGE_MILLISECONDS = 600_000;
--- a/src/staging/stagedChunks.ts
+++ b/src/staging/stagedChunks.ts
@@ -23,7 +23,7 @@
   log: EventLog;
 }
 
-/** Chunks that are read concurrently, so that one is processed while the next one arrives. */
+/** Number of chunks read concurrently, so that one is processed while the next one arrives. */
 const READ_CONCURRENCY = 2;
 
 export class StagedChunks {
--- a/src/staging/stagingDaemon.ts
+++ b/src/staging/stagingDaemon.ts
@@ -59,7 +59,7 @@
   exchangeLogger: Logger;
 }
 
-/** Concurrent fetches from peers: few, so that the incoming link stays free for requests to the backend server. */
+/** Maximum concurrent fetches from peers: few, so that the incoming link stays free for requests to the server. */
 const FETCHES_AT_ONCE = 3;
 /** Time of a gateway's turn to import a chunk: a fetch takes less on a working link, much more on a throttled one. */
 const IMPORT_STEP_MILLISECONDS = 600;
