--- a/src/crashes/requestFingerprint.ts
+++ b/src/crashes/requestFingerprint.ts
@@ -1,4 +1,4 @@
-/** Recognizes repeated requests by a digest of their contents, because each retry has a new request id. */
+/** Recognises repeated requests by a digest of their contents, because each retry has a new request id. */
 import { createHash } from 'node:crypto';
 
 /** The parts that identify a request. Headers are left out because they may differ between retries. */
--- a/src/records/wireObject.ts
+++ b/src/records/wireObject.ts
@@ -5,7 +5,7 @@
 
 export type WireObject = RecordChanges['objects'][number];
 
-/** JSON texts of object values, so that each value is serialized once for all listeners. */
+/** JSON texts of object values, so that each value is serialised once for all listeners. */
 const jsonTexts = new WeakMap<StoredObject, string>();
 
 /** Converts an object for a message. */
--- a/src/requests/agentClient.ts
+++ b/src/requests/agentClient.ts
@@ -89,7 +89,7 @@
       const reason = neverSent ? 'backend-unreachable' : 'backend-lost';
       return unreachedResult(reason, neverSent ? 'not-run' : 'unknown');
     } finally {
-      // once an answer has begun it may complete over its own connection even if the box counts as lost
+      // Once an answer has begun it may complete over its own connection even if the box counts as lost.
       backend.lost.removeEventListener('abort', onLost);
     }
   }
--- a/src/requests/requestRouter.ts
+++ b/src/requests/requestRouter.ts
@@ -101,7 +101,7 @@
     const hasCallerKey = request.idempotencyKey !== '';
     const refuseUnsent = (reason: RefusalReason): RouteResult => {
       const refusal = refusalFor(reason);
-      // a request sent earlier with the same key may have run; only the owner of the slot can rule that out
+      // A request sent earlier with the same key may have run; only the owner of the slot can rule that out.
       return this._refuse(request, hasCallerKey ? { ...refusal, outcome: 'unknown' } : refusal);
     };
     if (this._options.isIsolated()) return refuseUnsent('isolated');
