--- a/src/staging/serverNotices.ts
+++ b/src/staging/serverNotices.ts
@@ -6,7 +6,7 @@
 import type { ServerNotice } from '../protocol/boxMessages.js';
 import type { Clock } from '../utils/clock.js';
 
-/** Servers whose notices are kept. */
+/** Maximum number of servers whose notices are kept. */
 const MAX_SERVERS = 200;
 /** Notices older than this are not sent. The server has ended by then, or has repeated the notice in its answers. */
 const MAX_AGE_MILLISECONDS = 600_000;
@@ -68,8 +68,8 @@
  */
 function merged(known: RememberedNotice, reported: RememberedNotice): RememberedNotice {
   const newer = reported.heardAt > known.heardAt ? reported : known;
-  const isSameRun = reported.notice.startedAt === known.notice.startedAt;
-  const leaving = isSameRun ? known.notice.leaving || reported.notice.leaving : newer.notice.leaving;
+  const isSameIncarnation = reported.notice.startedAt === known.notice.startedAt;
+  const leaving = isSameIncarnation ? known.notice.leaving || reported.notice.leaving : newer.notice.leaving;
   return { notice: { ...newer.notice, leaving }, heardAt: newer.heardAt, forwardedAt: known.forwardedAt };
 }
 
