--- a/soak/storeRollback.ts
+++ b/soak/storeRollback.ts
@@ -22,7 +22,7 @@
 export async function rollBackStore(fleet: SoakFleet, random: Random): Promise<void> {
   const rollbacks = 1 + random.integer(MAX_ROLLBACKS);
   for (let count = 0; count < rollbacks; count++) {
-    const copy = fleet.store.copy();
+    const copy = fleet.store.snapshot();
     fleet.configure();
     const others = random.integer(MAX_OTHER_WRITES);
     for (let write = 0; write < others; write++) fleet.store.put('other', 'object', write);
--- a/standins/platformStoreStandin.ts
+++ b/standins/platformStoreStandin.ts
@@ -29,7 +29,7 @@
 }
 
 /** A snapshot to which the store can be rolled back. */
-export interface StoreCopy {
+export interface StoreSnapshot {
   revision: number;
   objects: readonly StandinObject[];
 }
@@ -74,7 +74,7 @@
   }
 
   /** Returns a snapshot for a later rollback. */
-  copy(): StoreCopy {
+  snapshot(): StoreSnapshot {
     return { revision: this._revision, objects: [...this._objects] };
   }
 
@@ -82,7 +82,7 @@
    * Rolls back to an older snapshot: later writes are lost, and their revisions are assigned again. Closes all
    * connections.
    */
-  rollBackTo({ revision, objects }: StoreCopy, { keepsConnections = false } = {}): void {
+  rollBackTo({ revision, objects }: StoreSnapshot, { keepsConnections = false } = {}): void {
     this.era++;
     this._objects.splice(0, this._objects.length, ...objects);
     this._revision = revision;
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -49,7 +49,7 @@
   const after = await fixture.addAgents(6);
   for (const each of [own, lost]) each.select(after);
   expect([...subscribed].some((box) => !own.selection.directory.has(box))).toEqual(true);
-  await until(() => own.noted.steps().includes('agent.not-asked'));
+  await until(() => own.recording.steps().includes('agent.not-asked'));
   lost.close();
   await until(() => !own.listsEntry('b'));
 });
@@ -91,7 +91,7 @@
   own.unsubscribeFrom(own.selection.directory);
   own.select(agents);
   own.links.announceNow();
-  expect(own.noted.steps()).not.toInclude('agent.not-asked');
+  expect(own.recording.steps()).not.toInclude('agent.not-asked');
   expect(own.listsEntry('b')).toEqual(true);
 });
 
--- a/tests/storeGeneration.spec.ts
+++ b/tests/storeGeneration.spec.ts
@@ -32,7 +32,7 @@
 
 test('should report lost history to a watch of a former generation, even at a revision number that is assigned again', async () => {
   const { revision } = await store.list('servers', NEVER);
-  const copy = standin.copy();
+  const copy = standin.snapshot();
   standin.rollBackTo(copy);
   expect(await store.watch('servers', revision, 0, NEVER)).toEqual({ kind: 'history-lost' });
   const calls = standin.calls.length;
@@ -46,7 +46,7 @@
   standin.onCall = () => {
     standin.onCall = () => undefined;
     setImmediate(() => {
-      standin.rollBackTo(standin.copy(), { keepsConnections: true });
+      standin.rollBackTo(standin.snapshot(), { keepsConnections: true });
       standin.put('servers', 'b', 1);
     });
   };
@@ -88,7 +88,7 @@
 
 test('should detect a rollback by an answer that reports a busy store', async () => {
   const { revision } = await store.list('servers', NEVER);
-  standin.rollBackTo(standin.copy());
+  standin.rollBackTo(standin.snapshot());
   standin.faults = { status: 503 };
   await expect(store.list('servers', NEVER)).toBeRejected();
   expect(await store.watch('servers', revision, WAIT, NEVER)).toEqual({ kind: 'history-lost' });
@@ -96,7 +96,7 @@
 
 test('should not write to an object that it knows from a former generation', async () => {
   const { objects } = await store.list('servers', NEVER);
-  standin.rollBackTo(standin.copy());
+  standin.rollBackTo(standin.snapshot());
   await store.probe(WAIT, NEVER);
   const known = { kind: 'servers', name: 'a', revision: objects[0].revision };
   await expect(store.put(known, 2)).toBeRejectedWith('former generation');
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -6,7 +6,7 @@
 import { generationOf } from '../src/records/storeRevision.js';
 import type { RecordSource } from '../src/records/sourceChoice.js';
 import { PlatformStoreStandin } from '../standins/platformStoreStandin.js';
-import type { StoreCopy } from '../standins/platformStoreStandin.js';
+import type { StoreSnapshot } from '../standins/platformStoreStandin.js';
 import { freePort } from './fixtures/freePort.js';
 import { RecordEntry } from './fixtures/recordEntry.js';
 import { until } from './fixtures/until.js';
@@ -58,8 +58,8 @@
 }
 
 /** Takes a snapshot, then makes writes that a rollback to it loses. Returns the snapshot. */
-function copyThenWrite(): StoreCopy {
-  const copy = standin.copy();
+function copyThenWrite(): StoreSnapshot {
+  const copy = standin.snapshot();
   for (let count = 0; count < LOST_WRITES; count++) standin.put('other', 'object', count);
   return copy;
 }
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -25,18 +25,20 @@
   await gate.wait();
   void entry.recordServerExit('f', { server: 's-3', trial: gate.id });
   gate.release();
-  await until(() => fixture.held?.ends.length === 3 && fixture.held.trial === undefined);
+  await until(
+    () => fixture.storedSuspicion?.ends.length === 3 && fixture.storedSuspicion.trial === undefined,
+  );
   await fixture.sync();
 }
 
 test('should keep a request shut out after the store has lost its suspicion, and restore the suspicion', async () => {
   const entries = [fixture.entry('a'), fixture.entry('b')];
-  const copy = fixture.store.copy();
+  const copy = fixture.store.snapshot();
   await shutOut(entries[0]);
   fixture.store.rollBackTo(copy);
   await fixture.sync();
   expect(decisions(...entries)).toEqual(['shut-out', 'shut-out']);
-  await until(() => fixture.held?.ends.length === 3);
+  await until(() => fixture.storedSuspicion?.ends.length === 3);
   await fixture.sync();
   expect(decisions(...entries)).toEqual(['shut-out', 'shut-out']);
 });
@@ -44,12 +46,12 @@
 test('should restore a suspicion with one write, however many entries know it', async () => {
   const reader = fixture.entry('a');
   const others = ['b', 'c', 'd', 'e'].map((box) => fixture.entry(box, false));
-  const copy = fixture.store.copy();
+  const copy = fixture.store.snapshot();
   await shutOut(reader);
   fixture.store.rollBackTo(copy);
   await fixture.sync();
   const { writes } = fixture.store;
-  await until(() => fixture.held !== undefined);
+  await until(() => fixture.storedSuspicion !== undefined);
   await fixture.sync();
   expect(others.every((other) => other.counts.shutOut === 1)).toEqual(true);
   // longer than the wait of entries that don't read the store
@@ -59,29 +61,29 @@
 
 test('should restore a suspicion when the entries that read the store have just started', async () => {
   const [former, other] = [fixture.entry('a'), fixture.entry('b', false)];
-  const copy = fixture.store.copy();
+  const copy = fixture.store.snapshot();
   await shutOut(former);
   former.close();
   fixture.store.rollBackTo(copy);
   fixture.entry('a');
   await fixture.sync();
-  await until(() => fixture.held?.ends.length === 3);
+  await until(() => fixture.storedSuspicion?.ends.length === 3);
   expect(decisions(other)).toEqual(['shut-out']);
 });
 
 test('should not bring back a suspicion that was cleared', async () => {
   const entries = [fixture.entry('a'), fixture.entry('b')];
   fixture.reportTwoExits(entries[0], 's-1', 's-2');
-  await until(() => fixture.held !== undefined);
+  await until(() => fixture.storedSuspicion !== undefined);
   await fixture.sync();
-  const copy = fixture.store.copy();
+  const copy = fixture.store.snapshot();
   entries[0].recordSuccess('f');
-  await until(() => fixture.held === undefined);
+  await until(() => fixture.storedSuspicion === undefined);
   await fixture.sync();
   fixture.store.rollBackTo(copy);
   await fixture.sync();
   expect(decisions(...entries)).toEqual(['run', 'run']);
-  await until(() => fixture.held === undefined);
+  await until(() => fixture.storedSuspicion === undefined);
   await fixture.sync();
   expect(entries.map(({ isEmpty }) => isEmpty)).toEqual([true, true]);
 });
@@ -89,28 +91,28 @@
 test('should merge a lost suspicion with a newer one in the store', async () => {
   const entry = fixture.entry('a');
   fixture.reportTwoExits(entry, 's-1', 's-2');
-  await until(() => fixture.held !== undefined);
+  await until(() => fixture.storedSuspicion !== undefined);
   await fixture.sync();
-  const copy = fixture.store.copy();
+  const copy = fixture.store.snapshot();
   await shutOut(entry);
   fixture.store.rollBackTo(copy);
   fixture.store.change(KIND, 'f', { ends: [{ server: 's-4', trial: 'another' }] });
   await fixture.sync();
-  await until(() => fixture.held?.ends.length === 4);
-  const servers = fixture.held?.ends.map(({ server }) => server).sort();
+  await until(() => fixture.storedSuspicion?.ends.length === 4);
+  const servers = fixture.storedSuspicion?.ends.map(({ server }) => server).sort();
   expect(servers).toEqual(['s-1', 's-2', 's-3', 's-4']);
 });
 
 test('should overwrite an object older than the copy after the second conflict with it', async () => {
   const entry = fixture.entry('a');
   fixture.reportTwoExits(entry, 's-1', 's-2');
-  await until(() => fixture.held !== undefined);
-  const copy = fixture.store.copy();
+  await until(() => fixture.storedSuspicion !== undefined);
+  const copy = fixture.store.snapshot();
   await shutOut(entry);
   fixture.store.rollBackTo(copy, { startsGeneration: false });
   const { writes } = fixture.store;
   fixture.store.maxWrites = writes + 20;
   void entry.recordServerExit('f', { server: 's-4', trial: '' });
-  await until(() => fixture.held?.ends.length === 4);
+  await until(() => fixture.storedSuspicion?.ends.length === 4);
   expect(fixture.store.writes - writes).toEqual(3);
 });
--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -34,7 +34,7 @@
 }
 
 function held(): Suspicion | undefined {
-  return fixture.held;
+  return fixture.storedSuspicion;
 }
 
 function gate(tracker: SuspicionTracker, id: string): SuspicionGate {
