--- a/soak/faultKinds.ts
+++ b/soak/faultKinds.ts
@@ -1,6 +1,7 @@
 /**
- * The kinds of faults and planned operations that a soak draws from. What a seed draws depends on the order of its
- * kinds: add new kinds at the end, and leave them out where a test needs the sequence of before.
+ * The kinds of faults and planned operations from which a soak selects at random. The sequence that a seed selects
+ * depends on the number and order of the kinds. So add a new kind at the end, and exclude it from tests that need the
+ * sequence that their seed selected without it.
  */
 
 /** Planned operations, which must not fail any request. */
--- a/soak/fleetOptions.ts
+++ b/soak/fleetOptions.ts
@@ -42,7 +42,7 @@
   /** A request has reached a server, which may still reject it. */
   onArrival(arrival: Arrival): void;
   /** A server has sent a limit, a drain notice or a Retry-After in the headers of an answer. */
-  onSignals(spoken: SentSignals): void;
+  onSignals(signals: SentSignals): void;
   /** A server has activated a version that lacks chunks or has corrupted ones. */
   onIncompleteVersion(runner: string, version: number): void;
   /** The request with this body has crashed a server. */
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -9,14 +9,14 @@
 
   Options
     --minutes      no further seed starts after this time (default 3)
-    --seed         the first seed; the same seed draws the same faults (default: from the clock)
+    --seed         the first seed; the same seed selects the same faults (default: from the clock)
     --seeds        maximum number of seeds (default 1000)
     --seconds      duration of the faults of one seed (default 12)
     --entries      number of entry processes (default 3)
     --boxes        number of boxes with a model server and an agent (default 6)
     --callers      number of callers (default 10)
     --planned      only planned operations, which must not fail any request
-    --kinds        kinds of faults to draw from, separated by commas (default: all)
+    --kinds        kinds of faults to select from, separated by commas (default: all)
     --network      second octet of the loopback addresses (default 31)
     --verbose      print each fault
 `;
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -8,9 +8,9 @@
   | 'answer' // every caller gets the complete answer to its own request
   | 'once' // a request that must not be repeated runs at most once
   | 'not-run' // a refused request has not run
-  | 'asked' // only requests that a caller sent run
+  | 'asked' // servers run only requests that a caller sent
   | 'whole' // no server activates an incomplete version
-  | 'version' // no request starts on an older version after the time bound
+  | 'version' // no request starts on an older version after the version deadline
   | 'configuration' // a configuration is in force within the time bound and is not reverted
   | 'draining' // a draining server gets no new requests
   | 'limit' // a server gets no more requests than the limit that it announced
@@ -38,7 +38,7 @@
 /**
  * What a fault affects, which decides the checks that are suspended during it. `servers`: requests crash backend
  * servers, while entries keep their connections to the store and to each other. `processes`: entries or agents
- * exit, which delays no request in flight. `copy`: the store is restored from a copy that lacks the latest writes.
+ * exit, which delays no request in flight. `copy`: the store is rolled back to a snapshot that lacks the latest writes.
  * `all`: anything.
  */
 export type FaultScope = 'all' | 'servers' | 'processes' | 'copy';
@@ -92,7 +92,7 @@
   private readonly _faults: (FaultWindow & { scope: FaultScope })[] = [];
   private readonly _stops: EntryStop[] = [];
   private readonly _announcedVersions: VersionAnnouncement[] = [];
-  /** Keys of an entry and a configuration's time, once the entry has answered by that configuration. */
+  /** `entry configuredAt` for each entry and each configuration that the entry has been seen to apply. */
   private readonly _configured = new Set<string>();
   private readonly _drainingSince = new Map<string, number>();
   /** Requests that crash servers, by body. */
@@ -288,14 +288,14 @@
   }
 
   /**
-   * Whether faults excuse an entry that does not yet, at `at`, act on a record written at `since`. A record that
-   * all entries read (within `bound`) before the store was rolled back must still be obeyed afterwards, even if the
-   * copy lacks it.
+   * Whether faults excuse an entry that at the time `at` does not yet act on a record written at `since`. A record
+   * that all entries have read (within `bound`) before the store was rolled back must still be obeyed afterwards, even
+   * if the snapshot lacks it.
    */
   private _isExcused(since: number, at: number, bound: number): boolean {
     const others = this._faults.filter(({ scope }) => scope !== 'copy');
-    const copies = this._faults.filter(({ scope }) => scope === 'copy');
-    const isLost = copies.some(
+    const rollbacks = this._faults.filter(({ scope }) => scope === 'copy');
+    const isLost = rollbacks.some(
       ({ from, until }) =>
         since + bound + SLACK_MILLISECONDS >= from && since <= until + RECOVERY_MILLISECONDS,
     );
--- a/soak/soakCaller.ts
+++ b/soak/soakCaller.ts
@@ -40,7 +40,7 @@
 ];
 /** Statuses by which an entry promises that the request has not run. */
 const REFUSAL_STATUSES = new Set([408, 421, 429, 503]);
-/** Statuses that blame the request; callers here send only valid ones. */
+/** Statuses of invalid requests. Callers of a soak send only valid ones. */
 const DENIAL_STATUSES = new Set([400, 401, 403, 404]);
 const MAX_ATTEMPTS = 2;
 /** Share of requests that the caller aborts before the answer is complete. */
@@ -72,7 +72,7 @@
   async run(): Promise<void> {
     const { random, pauseMilliseconds } = this._options;
     while (!this._stopped) {
-      await this._request(this._drawKind());
+      await this._request(this._pickKind());
       await pause(random.fraction() * 2 * pauseMilliseconds);
     }
     this._agent.destroy();
@@ -82,12 +82,12 @@
     this._stopped = true;
   }
 
-  private _drawKind(): CallKind {
-    const drawn = this._options.random.integer(WEIGHTED_KINDS.length);
-    return WEIGHTED_KINDS[drawn];
+  private _pickKind(): CallKind {
+    const index = this._options.random.integer(WEIGHTED_KINDS.length);
+    return WEIGHTED_KINDS[index];
   }
 
-  /** Retries as the caller rules allow: a `once` request only if it was refused or never sent. */
+  /** Sends a request and retries it if callers may do so: a `once` request only if it was refused or never sent. */
   private async _request(kind: CallKind): Promise<void> {
     const { random, onCall } = this._options;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
--- a/soak/soakFleet.ts
+++ b/soak/soakFleet.ts
@@ -203,7 +203,7 @@
     for (const box of this.boxes) if (box.runner.isListening) this.publish(box, box.state);
   }
 
-  /** Removes the records of servers that have ended, since nobody renews them. */
+  /** Removes the records of servers that have ended and so no longer renew them. */
   removeStaleServers(): void {
     const running = new Set(this.boxes.map(({ runner }) => runner.id));
     for (const { name } of this.store.all('servers'))
@@ -239,7 +239,7 @@
       version: service === MODEL_SERVICE ? version : 0,
       onExecution: (execution) => this._options.listener.onExecution(execution),
       onArrival: (arrival) => this._options.listener.onArrival(arrival),
-      onSignals: (spoken) => this._options.listener.onSignals(spoken),
+      onSignals: (signals) => this._options.listener.onSignals(signals),
       onCrash: (runner, body) => void this._onCrash(runner, body),
       onIncompleteVersion: (runner, incomplete) =>
         this._options.listener.onIncompleteVersion(runner, incomplete),
--- a/soak/soakRun.ts
+++ b/soak/soakRun.ts
@@ -24,7 +24,7 @@
   plannedOnly: boolean;
   /** The second octet of its loopback addresses. */
   network: number;
-  /** Kinds of faults to draw from. Defaults to all kinds, or to all planned ones if `plannedOnly`. */
+  /** Kinds of faults to select from. Defaults to all kinds, or to all planned ones if `plannedOnly`. */
   kinds?: readonly FaultKind[];
   log: (line: string) => void;
 }
@@ -52,7 +52,7 @@
 const MEAN_FAULT_INTERVAL_MILLISECONDS = 900;
 /** Time after the last fault to reconnect, transfer versions and discover servers. */
 const SETTLE_MILLISECONDS = 6_000;
-/** Time after that in which requests must be served again. */
+/** Period at the end, after the time to settle, in which requests must be served again. */
 const RECOVERED_MILLISECONDS = 2_000;
 const MIN_SERVED_SHARE = 0.9;
 const CALLER_PAUSE_MILLISECONDS = 60;
@@ -76,7 +76,7 @@
       onCrash: (body) => checks.onCrash(body),
       onIncompleteVersion: (runner, version) => checks.onIncompleteVersion(runner, version),
       onArrival: (arrival) => signals.onArrival(arrival),
-      onSignals: (spoken) => signals.onSignals(spoken),
+      onSignals: (sent) => signals.onSignals(sent),
     },
   });
   try {
--- a/soak/storeRollback.ts
+++ b/soak/storeRollback.ts
@@ -1,9 +1,9 @@
-/** Rolls the store of a soak back to a copy, after which the operator and the servers write their records again. */
+/** Rolls the store of a soak back to a snapshot. The operator and the servers then write their records again. */
 import type { Random } from '../src/utils/random.js';
 import { pause } from '../src/utils/timers.js';
 import type { SoakFleet } from './soakFleet.js';
 
-/** The copy lacks the writes of up to this time. */
+/** Maximum time from the snapshot to the outage. The rollback loses the writes within it. */
 const MAX_LOST_MILLISECONDS = 1_500;
 const MIN_OUTAGE_MILLISECONDS = 200;
 const OUTAGE_SPREAD_MILLISECONDS = 1_000;
@@ -22,7 +22,7 @@
 export async function rollBackStore(fleet: SoakFleet, random: Random): Promise<void> {
   const rollbacks = 1 + random.integer(MAX_ROLLBACKS);
   for (let count = 0; count < rollbacks; count++) {
-    const copy = fleet.store.snapshot();
+    const snapshot = fleet.store.snapshot();
     fleet.configure();
     const others = random.integer(MAX_OTHER_WRITES);
     for (let write = 0; write < others; write++) fleet.store.put('other', 'object', write);
@@ -30,7 +30,7 @@
     fleet.store.faults = random.integer(2) === 0 ? { status: 503 } : { silent: true };
     fleet.store.cutConnections();
     await pause(MIN_OUTAGE_MILLISECONDS + random.integer(OUTAGE_SPREAD_MILLISECONDS));
-    fleet.store.rollBackTo(copy);
+    fleet.store.rollBackTo(snapshot);
     fleet.store.faults = {};
     await pause(random.integer(MAX_REWRITE_DELAY_MILLISECONDS));
     fleet.rewriteRecords();
--- a/standins/localFleet.ts
+++ b/standins/localFleet.ts
@@ -288,7 +288,7 @@
   }
 
   private async _waitUntilReady(): Promise<void> {
-    const wanted = this.entries().length;
+    const count = this.entries().length;
     for (const entry of this.entries()) {
       await this.until(
         `${entry.name} ready`,
@@ -296,7 +296,7 @@
       );
       await this.until(`${entry.name} connected`, async () => {
         const text = await (await fetch(`${entry.httpUrl}/metrics`)).text();
-        return Number(/^larklatch_entry_peers (\d+)$/m.exec(text)?.[1]) >= Math.min(wanted - 1, MIN_PEERS);
+        return Number(/^larklatch_entry_peers (\d+)$/m.exec(text)?.[1]) >= Math.min(count - 1, MIN_PEERS);
       });
     }
   }
--- a/standins/platformStoreStandin.ts
+++ b/standins/platformStoreStandin.ts
@@ -28,7 +28,7 @@
   gone: boolean;
 }
 
-/** A snapshot to which the store can be rolled back. */
+/** The objects and the revision of the store at one time, to which it can be rolled back. */
 export interface StoreSnapshot {
   revision: number;
   objects: readonly StandinObject[];
--- a/tests/storeGeneration.spec.ts
+++ b/tests/storeGeneration.spec.ts
@@ -32,8 +32,8 @@
 
 test('should report lost history to a watch of a former generation, even at a revision number that is assigned again', async () => {
   const { revision } = await store.list('servers', NEVER);
-  const copy = standin.snapshot();
-  standin.rollBackTo(copy);
+  const snapshot = standin.snapshot();
+  standin.rollBackTo(snapshot);
   expect(await store.watch('servers', revision, 0, NEVER)).toEqual({ kind: 'history-lost' });
   const calls = standin.calls.length;
   expect(await store.watch('servers', revision, WAIT, NEVER)).toEqual({ kind: 'history-lost' });
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -58,10 +58,10 @@
 }
 
 /** Takes a snapshot, then makes writes that a rollback to it loses. Returns the snapshot. */
-function copyThenWrite(): StoreSnapshot {
-  const copy = standin.snapshot();
+function snapshotThenWrite(): StoreSnapshot {
+  const snapshot = standin.snapshot();
   for (let count = 0; count < LOST_WRITES; count++) standin.put('other', 'object', count);
-  return copy;
+  return snapshot;
 }
 
 async function all(condition: (entry: RecordEntry) => boolean): Promise<void> {
@@ -98,39 +98,39 @@
 }
 
 test('should apply writes after a rollback', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
   await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   configure(3);
   publish('b');
   await all((entry) => versionAt(entry) === 3 && serversAt(entry).includes('b ready'));
 });
 
 test('should apply writes after a rollback during a pending watch', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   await all((entry) => entry.followers.isCurrent);
-  standin.rollBackTo(copy, { keepsConnections: true });
+  standin.rollBackTo(snapshot, { keepsConnections: true });
   configure(2);
   await all((entry) => versionAt(entry) === 2);
 });
 
 test('should apply writes after two rollbacks in a row', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
   await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
-  const second = copyThenWrite();
+  const second = snapshotThenWrite();
   standin.rollBackTo(second);
   configure(3);
   await all((entry) => versionAt(entry) === 3);
 });
 
 test('should apply writes after a rollback during which the readers of the store were cut off', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   for (const entry of entries.slice(0, 2)) entry.store.cut = true;
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await until(() => entries.slice(2).every(hasRolledBack));
   configure(2);
   await all((entry) => versionAt(entry) === 2);
@@ -140,10 +140,10 @@
 });
 
 test('should retain a configuration that the store has lost, also at an entry that starts later', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
   await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(versionAt)).toEqual(entries.map(() => 2));
   await restart(3);
@@ -153,10 +153,10 @@
 });
 
 test('should retain a version of weights that the store has lost, and apply the next one', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   name(2);
   await all((entry) => namedAt(entry) === 2);
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(namedAt)).toEqual(entries.map(() => 2));
   name(2);
@@ -166,10 +166,10 @@
 
 test('should not treat a draining server as ready again, until its next process', async () => {
   publish('b');
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   publish('b', { state: 'draining' });
   await all((entry) => serversAt(entry).includes('b draining'));
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready', 'b draining']));
   publish('b', { seq_no: 1 });
@@ -185,11 +185,11 @@
   publish('b');
   publish('c');
   await all((entry) => serversAt(entry).length === 3);
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   standin.remove('servers', 'b');
   standin.remove('servers', 'c');
   await all((entry) => serversAt(entry).join() === 'a ready');
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready']));
   standin.remove('servers', 'b');
@@ -200,26 +200,26 @@
 test('should not restore a server that was deleted between two rollbacks', async () => {
   publish('b');
   await all((entry) => serversAt(entry).length === 2);
-  standin.rollBackTo(copyThenWrite());
+  standin.rollBackTo(snapshotThenWrite());
   await all(hasRolledBack);
   const readers = entries.filter((entry) => entry.followers.isReading);
   await until(() => readers.every(({ lines }) => lines.some((line) => line.includes('store.rolled-back'))));
   // while an outage is recent, missing servers may only have expired; load on the test machine can cause one
   await all((entry) => hasRolledBack(entry) && !entry.followers.serversMayBeMissing);
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   standin.remove('servers', 'b');
   await all((entry) => serversAt(entry).join() === 'a ready');
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready']));
 });
 
 test('should keep a server whose entry the store has lost until the server would have renewed it', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   publish('b');
   publish('c');
   await all((entry) => serversAt(entry).length === 3);
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready', 'b ready', 'c ready']));
   publish('b');
@@ -227,10 +227,10 @@
 });
 
 test('should log a rollback, and the records that are retained and released after it', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
   await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   const [reader] = entries;
   const line = (step: string): string => reader.lines.find((one) => one.includes(`"${step}"`)) ?? '';
--- a/tests/suspicionRollback.spec.ts
+++ b/tests/suspicionRollback.spec.ts
@@ -33,9 +33,9 @@
 
 test('should keep a request shut out after the store has lost its suspicion, and restore the suspicion', async () => {
   const entries = [fixture.entry('a'), fixture.entry('b')];
-  const copy = fixture.store.snapshot();
+  const snapshot = fixture.store.snapshot();
   await shutOut(entries[0]);
-  fixture.store.rollBackTo(copy);
+  fixture.store.rollBackTo(snapshot);
   await fixture.sync();
   expect(decisions(...entries)).toEqual(['shut-out', 'shut-out']);
   await until(() => fixture.storedSuspicion?.ends.length === 3);
@@ -46,9 +46,9 @@
 test('should restore a suspicion with one write, however many entries know it', async () => {
   const reader = fixture.entry('a');
   const others = ['b', 'c', 'd', 'e'].map((box) => fixture.entry(box, false));
-  const copy = fixture.store.snapshot();
+  const snapshot = fixture.store.snapshot();
   await shutOut(reader);
-  fixture.store.rollBackTo(copy);
+  fixture.store.rollBackTo(snapshot);
   await fixture.sync();
   const { writes } = fixture.store;
   await until(() => fixture.storedSuspicion !== undefined);
@@ -61,10 +61,10 @@
 
 test('should restore a suspicion when the entries that read the store have just started', async () => {
   const [former, other] = [fixture.entry('a'), fixture.entry('b', false)];
-  const copy = fixture.store.snapshot();
+  const snapshot = fixture.store.snapshot();
   await shutOut(former);
   former.close();
-  fixture.store.rollBackTo(copy);
+  fixture.store.rollBackTo(snapshot);
   fixture.entry('a');
   await fixture.sync();
   await until(() => fixture.storedSuspicion?.ends.length === 3);
@@ -76,11 +76,11 @@
   fixture.reportTwoExits(entries[0], 's-1', 's-2');
   await until(() => fixture.storedSuspicion !== undefined);
   await fixture.sync();
-  const copy = fixture.store.snapshot();
+  const snapshot = fixture.store.snapshot();
   entries[0].recordSuccess('f');
   await until(() => fixture.storedSuspicion === undefined);
   await fixture.sync();
-  fixture.store.rollBackTo(copy);
+  fixture.store.rollBackTo(snapshot);
   await fixture.sync();
   expect(decisions(...entries)).toEqual(['run', 'run']);
   await until(() => fixture.storedSuspicion === undefined);
@@ -93,9 +93,9 @@
   fixture.reportTwoExits(entry, 's-1', 's-2');
   await until(() => fixture.storedSuspicion !== undefined);
   await fixture.sync();
-  const copy = fixture.store.snapshot();
+  const snapshot = fixture.store.snapshot();
   await shutOut(entry);
-  fixture.store.rollBackTo(copy);
+  fixture.store.rollBackTo(snapshot);
   fixture.store.change(KIND, 'f', { ends: [{ server: 's-4', trial: 'another' }] });
   await fixture.sync();
   await until(() => fixture.storedSuspicion?.ends.length === 4);
@@ -107,9 +107,9 @@
   const entry = fixture.entry('a');
   fixture.reportTwoExits(entry, 's-1', 's-2');
   await until(() => fixture.storedSuspicion !== undefined);
-  const copy = fixture.store.snapshot();
+  const snapshot = fixture.store.snapshot();
   await shutOut(entry);
-  fixture.store.rollBackTo(copy, { startsGeneration: false });
+  fixture.store.rollBackTo(snapshot, { startsGeneration: false });
   const { writes } = fixture.store;
   fixture.store.maxWrites = writes + 20;
   void entry.recordServerExit('f', { server: 's-4', trial: '' });
