--- a/tests/crashingRequest.spec.ts
+++ b/tests/crashingRequest.spec.ts
@@ -1,8 +1,9 @@
 /**
- * Guards against a request that crashes every server that runs it. Its caller sent it again under a new id each
- * time, and since entries recognised requests by id alone, each try was sent to two more servers, by any entry. 119
- * servers crashed within 92 seconds; those of the try that settled the cause did so within 0.11 s of beginning to
- * run it. In the ten seconds on record 391 of 937 tries of all callers were refused, cut or failed.
+ * Guards against a request that crashes every server that runs it. Its caller sent it again and again, each time
+ * under a new id. Since entries recognised requests by id alone, any entry sent each of these to two more servers. 119
+ * servers crashed within 92 seconds. One of these requests revealed the cause: the servers that it was sent to crashed
+ * within 0.11 s after they had begun to run it. In the ten seconds that were recorded, 391 of the 937 requests of all
+ * callers were refused, cut or failed.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
--- a/tests/entryDirectory.spec.ts
+++ b/tests/entryDirectory.spec.ts
@@ -65,7 +65,7 @@
 });
 
 test('should not list an entry that falls silent while its connections stay open', async () => {
-  // A short time-out keeps the test short. An entry that loses its connections on a busy machine reconnects.
+  // A short timeout keeps the test short. An entry that loses its connections on a busy machine reconnects.
   const short = new DirectoryFixture(1_000);
   const [own, silent, live] = ['a', 'b', 'c'].map((box) => short.addEntry(box));
   const agents = await short.addAgents(4);
@@ -181,16 +181,16 @@
 });
 
 /** No response may list an entry that stopped longer ago than the contact time plus three seconds. */
-test('should list a stopped entry for much less than the bound, whichever agents fall silent', () => {
+test('should list a stopped entry for much less than the time allowed, whichever agents fall silent', () => {
   const GRACE_MILLISECONDS = 3_000;
   const NETWORK_MILLISECONDS = 500;
   const { contactMilliseconds, peerTimeoutMilliseconds } = gatewaySettingsSchema.shape;
-  const bound = contactMilliseconds.parse(undefined) + GRACE_MILLISECONDS;
+  const allowed = contactMilliseconds.parse(undefined) + GRACE_MILLISECONDS;
   const timeout = peerTimeoutMilliseconds.parse(undefined);
   expect(timeout).toEqual(PEER_TIMEOUT_MILLISECONDS);
   const reportDelay = maximumDetectionMilliseconds(timeout) + MAX_BATCH_DELAY_MILLISECONDS;
   const longest = reportDelay + Math.max(maximumDetectionMilliseconds(timeout), REMEMBERED_MILLISECONDS);
-  expect(longest + NETWORK_MILLISECONDS).toBeLessThan(bound);
+  expect(longest + NETWORK_MILLISECONDS).toBeLessThan(allowed);
 });
 
 test('should remember entries from when the latest of several agents was last heard', () => {
--- a/tests/fleetRollout.spec.ts
+++ b/tests/fleetRollout.spec.ts
@@ -31,7 +31,7 @@
   }
 }
 
-test('should deliver the exact bytes to every engine and draw each chunk once', async () => {
+test('should deliver the exact bytes to every engine and fetch each chunk from the origin once', async () => {
   const { fleet } = context;
   const before = await fleet.originBytes();
   const digest = await rollOut(fleet, 'v1');
@@ -40,7 +40,7 @@
   expect((await fleet.originBytes()) - before).toEqual(24 * CHUNK_BYTES);
 });
 
-test('should draw only the chunks that a version does not share with the previous one', async () => {
+test('should fetch from the origin only the chunks that a version does not share with the previous one', async () => {
   const { fleet } = context;
   const before = await fleet.originBytes();
   const digest = await rollOut(fleet, 'v2', { base: 'v1', changedShare: 0.25 });
@@ -140,7 +140,7 @@
   await expectServed('v8', digest);
 });
 
-test('should draw a corrupt chunk again within the budget and never serve it', async () => {
+test('should fetch a corrupt chunk from the origin again within the budget and never serve it', async () => {
   const { fleet } = context;
   await fleet.setFaults(fleet.originUrl, { corruptShare: 0.1 });
   const digest = await rollOut(fleet, 'v9', { chunkCount: LONG_CHUNK_COUNT });
@@ -149,7 +149,7 @@
   await expectServed('v9', digest);
 });
 
-test('should reassign the draws of a killed box', async () => {
+test('should reassign the origin fetches of a killed box', async () => {
   const { fleet } = context;
   const digest = await rollOut(fleet, 'v10', { chunkCount: LONG_CHUNK_COUNT });
   await untilInProgress('v10');
--- a/tests/foreignRecords.spec.ts
+++ b/tests/foreignRecords.spec.ts
@@ -38,8 +38,8 @@
   born: 1_700_000_000_000,
   models: [{ name: 'm', version: 1 }],
 };
-/** Required fields of a server's entry. */
-const NEEDED = Object.keys(GOOD).filter((field) => field !== 'born' && field !== 'models');
+/** Required fields of a server's record. */
+const REQUIRED_FIELDS = Object.keys(GOOD).filter((field) => field !== 'born' && field !== 'models');
 
 const oddValue = fc.oneof(
   fc.anything({ withBigInt: false, withDate: false, withMap: false, withSet: false }),
@@ -57,14 +57,14 @@
     '\u0000\ud800',
   ),
 );
-/** A valid entry with one field replaced by an arbitrary value. */
-const spoiltEntry = fc
+/** A valid record with one field replaced by an arbitrary value. */
+const invalidRecord = fc
   .tuple(fc.constantFrom(...Object.keys(GOOD)), oddValue)
-  .map(([field, value]) => ({ field, value, entry: { ...GOOD, [field]: value } }));
+  .map(([field, value]) => ({ field, value, record: { ...GOOD, [field]: value } }));
 
 const oddObject = fc.oneof(
   oddValue,
-  spoiltEntry.map(({ entry }) => entry),
+  invalidRecord.map(({ record }) => record),
 );
 const CONFIGURATION = {
   version: 3,
@@ -82,10 +82,10 @@
   tenants: [{ name: 'studio', api_keys: ['key'] }],
 };
 
-test('should reject an entry with an invalid field, or read a server whose fields are all valid', () => {
+test('should reject a record with an invalid field, or read a server whose fields are all valid', () => {
   fc.assert(
-    fc.property(spoiltEntry, ({ entry }) => {
-      const read = reader.server('i-1', entry);
+    fc.property(invalidRecord, ({ record }) => {
+      const read = reader.server('i-1', record);
       if (read.isErr()) return;
       const { address, slots, startedAt, dataCentre, service } = read.value;
       expect(/^[A-Za-z0-9.-]+:\d+$/.test(address)).toEqual(true);
@@ -97,8 +97,8 @@
   );
 });
 
-test('should reject an entry that lacks a required field', () => {
-  for (const field of NEEDED)
+test('should reject a record that lacks a required field', () => {
+  for (const field of REQUIRED_FIELDS)
     expect(reader.server('i-1', { ...GOOD, [field]: undefined }).isErr()).toEqual(true);
 });
 
@@ -175,7 +175,7 @@
   };
 }
 
-test('should keep serving from the valid entry while invalid objects arrive', async () => {
+test('should keep serving from the valid record while invalid objects arrive', async () => {
   const entry = await startEntry();
   try {
     const cases = fc.sample(fc.tuple(fc.constantFrom('servers', 'versions', 'config'), oddObject), {
--- a/tests/gatewayLinks.spec.ts
+++ b/tests/gatewayLinks.spec.ts
@@ -13,7 +13,7 @@
 
 afterEach(() => fixture.stop());
 
-/** Starts a gateway with `count` engines and a peer time-out long enough for a busy machine. */
+/** Starts a gateway with `count` engines and a peer timeout long enough for a busy machine. */
 async function startEngines(count: number): Promise<void> {
   const scripts = Array.from({ length: count }, () => answers({ status: 200 }));
   await fixture.startEngines(scripts, {}, { peerTimeoutMilliseconds: 5_000 });
--- a/tests/gatewayRequests.spec.ts
+++ b/tests/gatewayRequests.spec.ts
@@ -64,7 +64,7 @@
   ['is closed', closes, 502],
   ['ends early', halfAnswer, 502],
   ['belongs to another request', answers({ id: 'another' }), 502],
-  ['carries no proof', answers({ seal: null }), 502],
+  ['carries no seal', answers({ seal: null }), 502],
   ['is 503 without saying that it has not run', answers({ status: 503 }), 502],
   ['is 429 without saying that it has not run', answers({ status: 429 }), 502],
   ['is a failure of its own', answers({ status: 500 }), 500],
@@ -144,7 +144,7 @@
   await fixture.start([unframed(({ socket }) => void socket.end())], ONCE);
   const answer = await fixture.request({ method: 'POST' });
   expect([answer.status, answer.body]).toEqual([200, 'part']);
-  // a truncated answer could not be detected, so that it must not be forwarded with a known length
+  // a truncation could not be detected, so the answer must not be forwarded as one of known length
   expect(answer.headers['content-length']).toEqual(undefined);
   expect(answer.headers['transfer-encoding']).toEqual(undefined);
   expect(answer.headers.connection).toEqual('close');
@@ -261,8 +261,8 @@
   ['a stream that may run once', { kind: 'stream', resumable: false }],
   ['a repeatable request', { kind: 'repeatable' }],
 ] as const) {
-  test(`should take back a request that has not begun at the bound of an older version: ${what}`, async () => {
-    // bounds apply from the start of the gateway, so that the agent's message ends version 1 immediately
+  test(`should cancel a request that has not begun by the deadline of an older version: ${what}`, async () => {
+    // version deadlines apply from the start of the gateway, so the agent's message ends version 1 immediately
     const changes = { contactMilliseconds: 100 };
     const silent = (): void => undefined;
     await fixture.startEngines([silent], { routes: [routeFixture({ ...route, attempts: 1 })] }, changes);
--- a/tests/gatewayStreams.spec.ts
+++ b/tests/gatewayStreams.spec.ts
@@ -161,12 +161,12 @@
 });
 
 /**
- * Guards against a stream that begins on an older version after the bound. A stream that had not begun was not
- * taken back from its server while a handover was in progress. A handover may take 600 ms, but only 500 ms are
- * reserved for taking back: the first connection was closed 599 to 602 ms after the message about the version, when
- * 50 ms were due.
+ * Guards against a stream that begins on an older version after the version deadline. A stream that had not begun
+ * was not cancelled at its server while a handover was in progress. A handover may take 600 ms, but only 500 ms are
+ * reserved for cancelling: the first connection was closed 599 to 602 ms after the message about the version, instead
+ * of 50 ms after it.
  */
-test('should take back a stream that has not begun during its handover', async () => {
+test('should cancel a stream that has not begun during its handover', async () => {
   const sent: ArrivedRequest[] = [];
   const holds = (request: ArrivedRequest): void => void sent.push(request);
   const changes = { contactMilliseconds: 100, retrySlack: 10_000 };
--- a/tests/linkRate.spec.ts
+++ b/tests/linkRate.spec.ts
@@ -72,8 +72,8 @@
 /**
  * Guards against counting time without anything to fetch as slow. A version was announced and its origin was down
  * for six seconds, so that all boxes waited for chunks that no box had. All of them reported slow links, and all
- * streams of the service were refused for two seconds although every server had room. On that day 0.073 of the
- * streams were refused instead of 0.023, while no round trip to a box took over 400 ms.
+ * streams of the service were refused for two seconds although every server had room. Over the whole day a
+ * share of 0.073 of the streams was refused instead of 0.023, while no round trip to a box took over 400 ms.
  */
 test('should not call a link slow while there is nothing to fetch', () => {
   expect(new Transfer().run(6_000, 0, 0).isSlow).toEqual(false);
--- a/tests/requestAttempts.spec.ts
+++ b/tests/requestAttempts.spec.ts
@@ -13,7 +13,7 @@
 import { ManualClock } from '../src/utils/clock.js';
 import { routeFixture } from './fixtures/servingFixture.js';
 
-test('should not hand a stream over to a server of an older version close to the bound', () => {
+test('should not hand a stream over to a server of an older version close to the version deadline', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
@@ -36,7 +36,7 @@
   expect(needs.map(({ minVersionIfSlow }) => minVersionIfSlow)).toEqual([0, 2, 0]);
 });
 
-test('should take a request back earlier from a server with a slow link', () => {
+test('should cancel a request earlier at a server with a slow link', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
@@ -110,7 +110,7 @@
   return { attempts, needs, clock };
 }
 
-test('should not require a timely first answer for a stream that has begun, but keep to the bound of its version', () => {
+test('should not require a timely first answer for a stream that has begun, but keep to the deadline of its version', () => {
   const { attempts, needs, clock } = begunStream(FOUND);
   attempts.find();
   attempts.find(true);
--- a/tests/serverEligibility.spec.ts
+++ b/tests/serverEligibility.spec.ts
@@ -59,11 +59,11 @@
 });
 
 /**
- * Guards against a request that begins on an older version after the deadline, although the entry has taken it
- * back. If no other server was available, requests were sent to boxes with slow links until 1.5 s before the
- * deadline, without allowing for delays on the way. One was sent 5.4 s after version 2 was announced, over a link
- * reduced to a fifth of its bandwidth. It took 2.7 s to arrive, and the reset that took it back arrived after it,
- * so it began 0.28 s after the deadline.
+ * Guards against a request that begins on an older version after the deadline, although the entry has cancelled it.
+ * If no other server was available, requests were sent to boxes with slow links until 1.5 s before the deadline,
+ * without allowing for delays on the way. One was sent 5.4 s after version 2 was announced, over a link reduced to a
+ * fifth of its bandwidth. It took 2.7 s to arrive, and the reset that cancelled it arrived after it, so it began
+ * 0.28 s after the deadline.
  */
 test('should not use an older version close to the deadline if requests may be delayed', () => {
   const late: Partial<ServerRequirements> = { preferredVersion: 2 };
--- a/tests/serverRetryAfter.spec.ts
+++ b/tests/serverRetryAfter.spec.ts
@@ -90,7 +90,7 @@
   const answer = await fixture.request({ headers: { 'larklatch-deadline-milliseconds': '3000' } });
   expect(answer.status).toEqual(503);
   expect(fixture.arrivals).toEqual(2);
-  // The advice is at most about a third of the time-out of the caller, and no server accepts the request sooner.
+  // The advice is at most about a third of the caller's timeout, and no server accepts the request sooner.
   const seconds = Number(answer.headers['retry-after']);
   expect(seconds).toBeGreaterThan(0.75);
   expect(seconds).toBeLessThanOrEqual(0.96);
--- a/tests/serviceHost.spec.ts
+++ b/tests/serviceHost.spec.ts
@@ -196,7 +196,7 @@
   });
 }
 
-test('should retry a draw under the same grant when the origin refused it before sending bytes', async () => {
+test('should retry an origin fetch under the same grant when the origin refused it before sending bytes', async () => {
   const fixture = createFixture();
   fixture.origin.faults = ['refuse', 'refuse'];
   await stageAndLoad(fixture, 'v1');
@@ -283,7 +283,7 @@
   expect(fixture.host.report(0)).toEqual(undefined);
 });
 
-test('should report the required bytes when the staging memory is too small, and draw nothing', async () => {
+test('should report the required bytes when the staging memory is too small, and fetch nothing', async () => {
   const fixture = createFixture(CHUNK_BYTES);
   await fixture.plan('v1');
   fixture.grantAll('v1');
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -99,7 +99,7 @@
   expect(health.failing(5)).toEqual(false);
 });
 
-test('should keep the retries of this entry within its share of the bound', () => {
+test('should keep the retries of this entry within its share of the retry limit', () => {
   const clock = new ManualClock();
   const bound = { ratio: 0.2, windowMilliseconds: 10_000, slack: 100 };
   const allowance = new RetryAllowance(bound, clock, () => 5);
@@ -228,7 +228,7 @@
   expect(directory.addressesFor('north')).toEqual(['a:80']);
 });
 
-test('should advise callers to retry within their time-out, at different times', () => {
+test('should advise callers to retry within their timeout, at different times', () => {
   expect(computeRetryAfter('no server', 6_000, 0)).toEqual(960);
   expect(computeRetryAfter('all busy', 6_000, 0.999)).toEqual(1_919);
   expect(computeRetryAfter('time', -5, 0.5)).toEqual(0);
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -9,7 +9,7 @@
 import { CRASH_BODY } from '../standins/platformRunnerStandin.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-/** Kinds that the first test leaves out: its seed draws another sequence from another list. */
+/** Kinds that the first test excludes: with them its seed would select another sequence of faults. */
 const EXCLUDED_KINDS: readonly FaultKind[] = [
   'restart-server',
   'foreign-records',
@@ -94,7 +94,7 @@
   expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['asked', 'answer']);
 });
 
-test('should report an outdated version and a draining server in use after the bound, unless there was a fault', () => {
+test('should report an outdated version and a draining server in use after its deadline, unless there was a fault', () => {
   const promiseChecks = createChecks();
   promiseChecks.onVersionAnnounced(2);
   promiseChecks.onDraining('i-1');
--- a/tests/soakCrashing.spec.ts
+++ b/tests/soakCrashing.spec.ts
@@ -1,12 +1,12 @@
 /**
- * A short soak with a fixed seed, in which requests crash every server that runs them. Entries must go on
- * withholding these requests although restarts and lost writes may erase what they know about them.
+ * A short soak with a fixed seed, in which requests crash every server that runs them. Entries must continue to
+ * reject these requests, although they may lose what they know about them by restarts and lost writes.
  */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-test('should withhold requests that crash servers while entries restart and writes are lost', async () => {
+test('should reject requests that crash servers while entries restart and writes are lost', async () => {
   const report = await shortSoak({
     seed: 31,
     size: { entries: 3, modelBoxes: 6, plainServers: 2 },
--- a/tests/soakPower.spec.ts
+++ b/tests/soakPower.spec.ts
@@ -1,6 +1,6 @@
 /**
  * A short soak with a fixed seed, in which boxes lose power during transfers. Their dead connections stay open at
- * an origin that accepts few, which must not block later transfers.
+ * the origin, which accepts only few. This must not block later transfers.
  */
 import { test } from 'node:test';
 import { expect } from 'earl';
--- a/tests/soakRestarts.spec.ts
+++ b/tests/soakRestarts.spec.ts
@@ -4,7 +4,7 @@
 import { FAULT_KINDS } from '../soak/faultKinds.js';
 import { shortSoak } from './fixtures/shortSoak.js';
 
-/** Kinds of the last test: its seed draws another sequence from another list. */
+/** Kinds of the last test: with other kinds its seed would select another sequence of faults. */
 const KINDS_OF_SEED = FAULT_KINDS.filter(
   (kind) =>
     ![
--- a/tests/soakRollback.spec.ts
+++ b/tests/soakRollback.spec.ts
@@ -1,4 +1,4 @@
-/** Short soaks with fixed seeds, in which the store is rolled back to an older copy. */
+/** Short soaks with fixed seeds, in which the store is rolled back to an older snapshot. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { shortSoak } from './fixtures/shortSoak.js';
@@ -17,7 +17,7 @@
   expect(report.served).toBeGreaterThan(50);
 });
 
-test('should withhold requests that crash servers although a rollback removed their records', async () => {
+test('should reject requests that crash servers although a rollback removed the records about them', async () => {
   const report = await shortSoak({
     seed: 72,
     size: SIZE,
--- a/tests/stagedChunks.spec.ts
+++ b/tests/stagedChunks.spec.ts
@@ -1,4 +1,4 @@
-/** Chunks that an earlier run has staged are read once, before a version needs them, and not read back twice. */
+/** Chunks that an earlier run has staged are read once, before a version needs them, and not again when it does. */
 import { test } from 'node:test';
 import { expect } from 'earl';
 import { ChunkStager } from '../src/staging/chunkStager.js';
@@ -41,7 +41,7 @@
   return { clock, reads, stagedData, staged, stager };
 }
 
-test('should read the staged chunks before a version is wanted', async () => {
+test('should read the staged chunks before a version needs them', async () => {
   const { staged, reads } = fixture();
   staged.start();
   await until(() => reads.length === CHUNKS.length);
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -181,7 +181,7 @@
   await all((entry) => serversAt(entry).includes('b ready'));
 });
 
-test('should not restore a deleted server, until its entry would have expired', async () => {
+test('should not restore a deleted server, until its record would have expired', async () => {
   publish('b');
   publish('c');
   await all((entry) => serversAt(entry).length === 3);
@@ -193,7 +193,7 @@
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready']));
   standin.remove('servers', 'b');
-  // an entry that stays for longer than the expiry time is renewed by a running server
+  // a record that stays for longer than the expiry time is one that a running server renews
   await all((entry) => serversAt(entry).join() === 'a ready,c ready');
 });
 
@@ -214,7 +214,7 @@
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready']));
 });
 
-test('should keep a server whose entry the store has lost until the server would have renewed it', async () => {
+test('should keep a server whose record the store has lost until the server would have renewed it', async () => {
   const snapshot = snapshotThenWrite();
   publish('b');
   publish('c');
--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What entries that share a store decide about requests under which servers exit, with concurrent and failing writes.
+ * What entries that share a store decide about requests during which servers exit, with concurrent and failing writes.
  */
 import { afterEach, beforeEach, test } from 'node:test';
 import { expect } from 'earl';
--- a/tests/versionGate.spec.ts
+++ b/tests/versionGate.spec.ts
@@ -23,7 +23,7 @@
   expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
-test('should take back requests that have not begun on an older version just before the deadline', () => {
+test('should cancel requests that have not begun on an older version just before the deadline', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
@@ -66,7 +66,7 @@
   }
 });
 
-test('should not take back recent requests when a version becomes known during the start', () => {
+test('should not cancel recent requests when a version becomes known during the start', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   clock.advance(400);
@@ -98,7 +98,7 @@
   expect(gate.minVersionToSend('m')).toEqual(2);
 });
 
-test('should want the first version before any version is announced', () => {
+test('should have the first version as the target before any version is announced', () => {
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, new ManualClock());
   expect(gate.wanted('m').version).toEqual(1);
 });
@@ -161,7 +161,7 @@
   expect(gate.minVersionToBegin('m')).toEqual(2);
 });
 
-test('should take back requests sooner where the reset may be delayed', () => {
+test('should cancel requests sooner where the reset may be delayed', () => {
   const clock = new ManualClock();
   const gate = new VersionGate({ switchMilliseconds: 8_000, contactMilliseconds: 3_000 }, clock);
   gate.noteTarget('m', 2, 0);
