--- a/tests/foreignRecords.spec.ts
+++ b/tests/foreignRecords.spec.ts
@@ -189,7 +189,7 @@
         store.put(kind, `odd-${from + index}`, value);
       store.put('servers', 'odd-without-anything', null);
       expect(await entry.ask()).toEqual(200);
-      await settled();
+      await allReceived();
       expect(await entry.ask()).toEqual(200);
     }
     expect(entry.arrivals()).toEqual(2 * RUNNING_ROUNDS);
@@ -199,7 +199,7 @@
 });
 
 /** Waits until the entry has received all objects, by waiting for a later change of the same kind. */
-async function settled(): Promise<void> {
+async function allReceived(): Promise<void> {
   const calls = (): number => store.calls.filter((call) => call.includes('watch=')).length;
   const before = calls();
   store.put('servers', 'marker', { now: before });
--- a/tests/gatewayStreams.spec.ts
+++ b/tests/gatewayStreams.spec.ts
@@ -64,12 +64,12 @@
 }
 
 /** Sends the gateway the status messages by which the servers' agents report whether they are switching versions. */
-function tellState(states: readonly ('serving' | 'switching')[]): void {
+function reportStates(states: readonly ('serving' | 'switching')[]): void {
   states.forEach((state, index) => fixture.sendStatus(index, { state }));
 }
 
 /** Sends events at an interval, starting after the last event id of the request, up to `last`. */
-function streamsOn(intervalMilliseconds: number, last: number): Script {
+function streamsAtInterval(intervalMilliseconds: number, last: number): Script {
   return (request) => {
     request.socket.write(streamHead(request));
     let id = Number(request.headers.get('last-event-id') ?? 0);
@@ -85,11 +85,11 @@
 }
 
 test('should hand a stream over before its server switches versions, without gap, repeat or pause', async () => {
-  await fixture.startEngines([streamsOn(20, 150), streamsOn(20, 150)], STREAM);
+  await fixture.startEngines([streamsAtInterval(20, 150), streamsAtInterval(20, 150)], STREAM);
   const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends[0].arrived.length === 1 ? 0 : 1;
-  tellState(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
+  reportStates(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
   await until(() => fixture.backends[first].closed === 1);
   const answer = await asked;
   const ids = [...answer.body.matchAll(/id: (\d+)/g)].map((match) => Number(match[1]));
@@ -100,12 +100,12 @@
 
 test('should stay at the first server when the second server of a handover fails', async () => {
   let arrived = 0;
-  const script: Script = (request) => (arrived++ === 0 ? streamsOn(20, 150) : rejects)(request);
+  const script: Script = (request) => (arrived++ === 0 ? streamsAtInterval(20, 150) : rejects)(request);
   await fixture.startEngines([script, script], STREAM);
   const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
   const first = fixture.backends[0].arrived.length === 1 ? 0 : 1;
-  tellState(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
+  reportStates(first === 0 ? ['switching', 'serving'] : ['serving', 'switching']);
   const answer = await asked;
   expect([answer.whole, fixture.arrivals]).toEqual([true, 2]);
   expect(answer.body).toEqual(events(...Array.from({ length: 150 }, (_unused, index) => index + 1)));
@@ -114,14 +114,16 @@
 test('should wait for the handover when the first server disconnects during it', async () => {
   let arrived = 0;
   const script: Script = (request) => {
-    if (arrived++ > 0) return void setTimeout(() => streamsOn(5, 20)(request), 150);
+    if (arrived++ > 0) return void setTimeout(() => streamsAtInterval(5, 20)(request), 150);
     streams(events(1, 2))(request);
     void until(() => arrived === 2).then(() => request.socket.resetAndDestroy());
   };
   await fixture.startEngines([script, script], STREAM);
   const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
-  tellState(fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching']);
+  reportStates(
+    fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching'],
+  );
   const answer = await asked;
   expect([answer.whole, fixture.arrivals]).toEqual([true, 2]);
   expect(answer.body).toEqual(events(...Array.from({ length: 20 }, (_unused, index) => index + 1)));
@@ -138,7 +140,9 @@
   await fixture.startEngines([rejectsOnceHandedOver, rejectsOnceHandedOver], { routes });
   const asked = fixture.request();
   await until(() => fixture.arrivals === 1);
-  tellState(fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching']);
+  reportStates(
+    fixture.backends[0].arrived.length === 1 ? ['switching', 'serving'] : ['serving', 'switching'],
+  );
   const { status } = await asked;
   expect(fixture.arrivals).toEqual(2);
   expect([502, 504].includes(status)).toEqual(true);
--- a/tests/recordSources.spec.ts
+++ b/tests/recordSources.spec.ts
@@ -34,7 +34,7 @@
   const ranking = ports.map((port, index) => ({ box: `entry-${index}`, address: `127.0.0.1:${port}` }));
   entries = ranking.map((own) => new RecordEntry(own, [], ranking, store));
   await Promise.all(entries.map(async (entry, index) => await entry.start(ports[index])));
-  await until(() => entries.every((entry) => entry.held === 1 && entry.followers.isCurrent));
+  await until(() => entries.every((entry) => entry.configuration === 1 && entry.followers.isCurrent));
   // the other entries are current as soon as one reads; the second reader may start a tick later
   await until(() => entries.slice(0, READER_COUNT).every((entry) => entry.followers.isReading));
 }
@@ -50,7 +50,7 @@
   await until(() => strongCalls().filter((call) => call.includes('watch=')).length >= WATCHES);
   const before = strongCalls().length;
   standin.put('config', 'main', 2);
-  await until(() => entries.every((entry) => entry.held === 2));
+  await until(() => entries.every((entry) => entry.configuration === 2));
   await until(() => strongCalls().length - before >= WATCHES);
   expect(strongCalls().length - before).toEqual(WATCHES);
   expect(readers()).toEqual([true, true, false, false, false, false]);
@@ -61,7 +61,7 @@
   entries[0].store.cut = true;
   await until(() => entries[0].lines.some((line) => line.includes('store.lost')));
   standin.put('config', 'main', 2);
-  await until(() => entries.every((entry) => entry.held === 2 && entry.followers.isCurrent));
+  await until(() => entries.every((entry) => entry.configuration === 2 && entry.followers.isCurrent));
 });
 
 test('should read at others when both readers are cut off from the store', async () => {
@@ -70,7 +70,7 @@
   for (const reader of readers) reader.store.cut = true;
   await until(() => readers.every(({ lines }) => lines.some((line) => line.includes('store.lost'))));
   standin.put('config', 'main', 2);
-  await until(() => entries.every((entry) => entry.held === 2 && entry.followers.isCurrent));
+  await until(() => entries.every((entry) => entry.configuration === 2 && entry.followers.isCurrent));
   expect(entries.slice(2).some((entry) => entry.followers.isReading)).toEqual(true);
   expect(entries[4].lines.some((line) => line.includes('has lost the store'))).toEqual(true);
 });
@@ -79,7 +79,7 @@
   await startEntries(4);
   entries[0].store.watchesHang = true;
   standin.put('config', 'main', 2);
-  await until(() => entries.every((entry) => entry.held === 2));
+  await until(() => entries.every((entry) => entry.configuration === 2));
   await until(() => entries.every((entry) => entry.followers.isCurrent));
 });
 
@@ -88,17 +88,17 @@
   for (const entry of entries.slice(0, 2)) entry.stop();
   standin.put('config', 'main', 2);
   const left = entries.slice(2);
-  await until(() => left.every((entry) => entry.held === 2 && entry.followers.isCurrent));
+  await until(() => left.every((entry) => entry.configuration === 2 && entry.followers.isCurrent));
 });
 
 test('should not trust its copy while no entry reaches the store, and trust it again afterwards', async () => {
   await startEntries(3);
   standin.faults = { status: 503 };
   await until(() => entries.every((entry) => !entry.followers.isCurrent));
-  expect(entries.every((entry) => entry.held === 1)).toEqual(true);
+  expect(entries.every((entry) => entry.configuration === 1)).toEqual(true);
   standin.put('config', 'main', 2);
   standin.faults = {};
-  await until(() => entries.every((entry) => entry.held === 2 && entry.followers.isCurrent));
+  await until(() => entries.every((entry) => entry.configuration === 2 && entry.followers.isCurrent));
 });
 
 test('should copy the records of a seed when it starts while the store does not answer', async () => {
@@ -110,7 +110,7 @@
   const late = new RecordEntry(own, seeds, [own], store);
   entries.push(late);
   await late.start(port);
-  await until(() => late.held === 1);
+  await until(() => late.configuration === 1);
   expect(late.followers.configuration.revision).toBeGreaterThan(0);
 });
 
@@ -121,7 +121,7 @@
   const restarted = new RecordEntry(own, seeds, [own], store);
   entries.push(restarted);
   await restarted.start(port);
-  await until(() => restarted.held === 1);
+  await until(() => restarted.configuration === 1);
   expect(restarted.followers.isReading).toEqual(false);
   expect(restarted.followers.isCurrent).toEqual(false);
   await until(() => restarted.followers.isCurrent);
@@ -133,7 +133,7 @@
   const alone = new RecordEntry(own, [`127.0.0.1:${await silentPort()}`], [own], store);
   entries.push(alone);
   await alone.start(port);
-  await until(() => alone.held === 1 && alone.followers.isCurrent);
+  await until(() => alone.configuration === 1 && alone.followers.isCurrent);
 });
 
 /** Opens a port that accepts connections and never answers, like that of a frozen process. */
--- a/tests/stagingFleet.spec.ts
+++ b/tests/stagingFleet.spec.ts
@@ -175,13 +175,13 @@
   const unreachable = { box: '127-0-1-9', dataCentre: 'north', address: '127.0.1.9:1' };
   fixture.announce(2, [unreachable]);
   await until(() => fixture.allServe(2));
-  const draws = fixture.logLines
+  const fetches = fixture.logLines
     .filter((line) => line.includes('draws.begun'))
     .map((line) => JSON.parse(line) as { time: number; chunks: number });
-  const drawn = draws.reduce((sum, { chunks }) => sum + chunks, 0);
-  expect(drawn).toEqual(CHUNKS);
-  const ownDownloads = draws.filter(({ chunks }) => chunks === CHUNKS / 4).map(({ time }) => time);
-  const takenOver = draws.filter(({ chunks }) => chunks < CHUNKS / 4).map(({ time }) => time);
+  const fetched = fetches.reduce((sum, { chunks }) => sum + chunks, 0);
+  expect(fetched).toEqual(CHUNKS);
+  const ownDownloads = fetches.filter(({ chunks }) => chunks === CHUNKS / 4).map(({ time }) => time);
+  const takenOver = fetches.filter(({ chunks }) => chunks < CHUNKS / 4).map(({ time }) => time);
   expect(ownDownloads.length).toEqual(3);
   expect(Math.min(...takenOver) - Math.max(...ownDownloads) >= 250).toEqual(true);
 });
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -24,14 +24,14 @@
   standin = new PlatformStoreStandin();
   const address = new URL(await standin.listen()).host;
   configure(1);
-  name(1);
+  announce(1);
   publish('a');
   const ports = await Promise.all(Array.from({ length: ENTRIES }, () => freePort()));
   ranking = ports.map((port, index) => ({ box: `entry-${index}`, address: `127.0.0.1:${port}` }));
   entries = [];
   for (const own of ranking) entries.push(entryAt(own, address));
   await Promise.all(entries.map(async (entry, index) => await entry.start(ports[index])));
-  await all((entry) => entry.followers.isCurrent && versionAt(entry) === 1);
+  await all((entry) => entry.followers.isCurrent && configurationAt(entry) === 1);
 });
 
 afterEach(() => {
@@ -47,7 +47,7 @@
   standin.put('config', 'main', { version, routes: [], services: [] });
 }
 
-function name(version: number): void {
+function announce(version: number): void {
   standin.put('versions', 'm', { model: 'm', version });
 }
 
@@ -68,11 +68,11 @@
   await until(() => entries.every(condition));
 }
 
-function versionAt(entry: RecordEntry): number | undefined {
-  return (entry.held as { version: number } | undefined)?.version;
+function configurationAt(entry: RecordEntry): number | undefined {
+  return (entry.configuration as { version: number } | undefined)?.version;
 }
 
-function namedAt(entry: RecordEntry): number | undefined {
+function targetVersionAt(entry: RecordEntry): number | undefined {
   return (entry.followers.versions.objects.get('m')?.value as { version: number } | undefined)?.version;
 }
 
@@ -100,11 +100,11 @@
 test('should apply writes after a rollback', async () => {
   const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   standin.rollBackTo(snapshot);
   configure(3);
   publish('b');
-  await all((entry) => versionAt(entry) === 3 && serversAt(entry).includes('b ready'));
+  await all((entry) => configurationAt(entry) === 3 && serversAt(entry).includes('b ready'));
 });
 
 test('should apply writes after a rollback during a pending watch', async () => {
@@ -112,19 +112,19 @@
   await all((entry) => entry.followers.isCurrent);
   standin.rollBackTo(snapshot, { keepsConnections: true });
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
 });
 
 test('should apply writes after two rollbacks in a row', async () => {
   const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   const second = snapshotThenWrite();
   standin.rollBackTo(second);
   configure(3);
-  await all((entry) => versionAt(entry) === 3);
+  await all((entry) => configurationAt(entry) === 3);
 });
 
 test('should apply writes after a rollback during which the readers of the store were cut off', async () => {
@@ -133,35 +133,35 @@
   standin.rollBackTo(snapshot);
   await until(() => entries.slice(2).every(hasRolledBack));
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   for (const entry of entries) entry.store.cut = false;
   configure(3);
-  await all((entry) => versionAt(entry) === 3);
+  await all((entry) => configurationAt(entry) === 3);
 });
 
 test('should retain a configuration that the store has lost, also at an entry that starts later', async () => {
   const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   standin.rollBackTo(snapshot);
   await all(hasRolledBack);
-  expect(entries.map(versionAt)).toEqual(entries.map(() => 2));
+  expect(entries.map(configurationAt)).toEqual(entries.map(() => 2));
   await restart(3);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   await restart(0);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
 });
 
 test('should retain a version of weights that the store has lost, and apply the next one', async () => {
   const snapshot = snapshotThenWrite();
-  name(2);
-  await all((entry) => namedAt(entry) === 2);
+  announce(2);
+  await all((entry) => targetVersionAt(entry) === 2);
   standin.rollBackTo(snapshot);
   await all(hasRolledBack);
-  expect(entries.map(namedAt)).toEqual(entries.map(() => 2));
-  name(2);
-  name(3);
-  await all((entry) => namedAt(entry) === 3);
+  expect(entries.map(targetVersionAt)).toEqual(entries.map(() => 2));
+  announce(2);
+  announce(3);
+  await all((entry) => targetVersionAt(entry) === 3);
 });
 
 test('should not treat a draining server as ready again, until its next process', async () => {
@@ -229,7 +229,7 @@
 test('should log a rollback, and the records that are retained and released after it', async () => {
   const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   const [reader] = entries;
--- a/tests/streamResumption.spec.ts
+++ b/tests/streamResumption.spec.ts
@@ -178,11 +178,11 @@
 });
 
 test('should let a begun stream wait while no server can be reached', async () => {
-  const breaksOffAlone: Script = (request) => {
+  const closesOtherAndDisconnects: Script = (request) => {
     fixture.backends.find((backend) => backend.arrived.length === 0)!.close();
     disconnects(request);
   };
-  const script = inTurn(breaksOffAlone, resumes);
+  const script = inTurn(closesOtherAndDisconnects, resumes);
   await fixture.start([script, script], STREAM, UNLIMITED_RETRIES);
   const asked = fixture.request();
   await until(() => logged('request.waiting', 'no server'));
--- a/tests/switchGroup.spec.ts
+++ b/tests/switchGroup.spec.ts
@@ -37,8 +37,8 @@
     const peers = new Map(
       all.map(({ box }) => [box, new Set(connectedPeers(box, all).map((peer) => peer.box))]),
     );
-    for (const [box, named] of peers) {
-      for (const peer of named) expect(peers.get(peer)!.has(box)).toEqual(true);
+    for (const [box, connected] of peers) {
+      for (const peer of connected) expect(peers.get(peer)!.has(box)).toEqual(true);
     }
   }
 });
