--- a/tests/gatewayRequests.spec.ts
+++ b/tests/gatewayRequests.spec.ts
@@ -67,7 +67,7 @@
   ['carries no seal', answers({ seal: null }), 502],
   ['is 503 without saying that it has not run', answers({ status: 503 }), 502],
   ['is 429 without saying that it has not run', answers({ status: 429 }), 502],
-  ['is a failure of its own', answers({ status: 500 }), 500],
+  ['is a failure of the server itself', answers({ status: 500 }), 500],
   ['says that it has not run', rejects, 503],
   ['comes from another server', answers({ status: 421, seal: null }), 503],
 ] as const) {
--- a/tests/signalChecks.spec.ts
+++ b/tests/signalChecks.spec.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * In this context the id of a request is `entry time`: the entry that it was sent to and when, which is also its
- * arrival.
+ * Returns a context in which the id of a request is `entry time`: the entry that it was sent to, and the time, at
+ * which it also reached the server.
  */
 function context(changes: Partial<SignalContext> = {}): SignalContext {
   return {
--- a/tests/soak.spec.ts
+++ b/tests/soak.spec.ts
@@ -94,7 +94,7 @@
   expect(promiseChecks.breaches.map(({ promise }) => promise)).toEqual(['asked', 'answer']);
 });
 
-test('should report an outdated version and a draining server in use after its deadline, unless there was a fault', () => {
+test('should report an old version and a draining server that are used for too long, unless there was a fault', () => {
   const promiseChecks = createChecks();
   promiseChecks.onVersionAnnounced(2);
   promiseChecks.onDraining('i-1');
--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -164,7 +164,7 @@
   await all((entry) => targetVersionAt(entry) === 3);
 });
 
-test('should not treat a draining server as ready again, until its next process', async () => {
+test('should not treat a draining server as ready again, until its next incarnation', async () => {
   publish('b');
   const snapshot = snapshotThenWrite();
   publish('b', { state: 'draining' });
