--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench [-- PART ...]`: runs the given parts, or all, and prints each result as a line of JSON. Parts: decisions,
- * rollout, share, requests, control, costs.
+ * `npm run bench [-- PART ...]`: runs the given parts, or all, and prints each result as a line of JSON. Parts:
+ * decisions, rollout, share, requests, control, costs.
  */
 import { benchControl } from './controlBench.js';
 import { benchCosts } from './costBench.js';
--- a/soak/promiseChecks.ts
+++ b/soak/promiseChecks.ts
@@ -38,10 +38,10 @@
 /**
  * What a fault affects, which decides the checks that are suspended during it. `servers`: requests crash backend
  * servers, while entries keep their connections to the store and to each other. `processes`: entries or agents
- * exit, which delays no request in flight. `copy`: the store is rolled back to a snapshot that lacks the latest writes.
- * `all`: anything.
+ * exit, which delays no request in flight. `rollback`: the store is rolled back to a snapshot that lacks the latest
+ * writes. `all`: anything.
  */
-export type FaultScope = 'all' | 'servers' | 'processes' | 'copy';
+export type FaultScope = 'all' | 'servers' | 'processes' | 'rollback';
 
 /** The period of a planned stop of an entry. */
 interface EntryStop extends FaultWindow {
@@ -258,7 +258,7 @@
     request.runs++;
     const knownSince = request.crashes[CRASHES_UNTIL_KNOWN - 1];
     if (knownSince === undefined || at - knownSince < RECOVERY_MILLISECONDS + SLACK_MILLISECONDS) return;
-    const faults = this._faults.filter(({ scope }) => scope !== 'servers' && scope !== 'copy');
+    const faults = this._faults.filter(({ scope }) => scope !== 'servers' && scope !== 'rollback');
     if (this._overlapsFault(knownSince, at, faults)) return;
     request.lateRuns++;
     if (request.lateRuns > MAX_LATE_RUNS)
@@ -293,8 +293,8 @@
    * if the snapshot lacks it.
    */
   private _isExcused(since: number, at: number, bound: number): boolean {
-    const others = this._faults.filter(({ scope }) => scope !== 'copy');
-    const rollbacks = this._faults.filter(({ scope }) => scope === 'copy');
+    const others = this._faults.filter(({ scope }) => scope !== 'rollback');
+    const rollbacks = this._faults.filter(({ scope }) => scope === 'rollback');
     const isLost = rollbacks.some(
       ({ from, until }) =>
         since + bound + SLACK_MILLISECONDS >= from && since <= until + RECOVERY_MILLISECONDS,
--- a/soak/soakFaults.ts
+++ b/soak/soakFaults.ts
@@ -314,6 +314,6 @@
 
 function faultScope(kind: FaultKind): FaultScope {
   if (kind === 'crashing-request') return 'servers';
-  if (kind === 'roll-back-store') return 'copy';
+  if (kind === 'roll-back-store') return 'rollback';
   return PROCESS_KILL_KINDS.includes(kind) ? 'processes' : 'all';
 }
