--- a/tests/retainedRecords.spec.ts
+++ b/tests/retainedRecords.spec.ts
@@ -51,15 +51,15 @@
   replica.releaseRetained(Number.NEGATIVE_INFINITY, clock.now());
 }
 
-/** The store had `a` and `b`, removed `b`, and is rolled back to a snapshot with both. */
-function rollBackWithGone(): void {
+/** Updates the replica as when the store has `a` and `b`, deletes `b` and is rolled back to a snapshot with both. */
+function rollBackAfterDeletion(): void {
   replica.applyListing(listing(at(0, 5), object('a', at(0, 1)), object('b', at(0, 2))));
   remove('b', at(0, 6));
   replica.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
 }
 
 test('should not restore a deleted object that a later listing lacks too', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   expect(names()).toEqual(['a']);
   replica.applyListing(listing(at(1, 4), object('a', at(1, 1))));
   expireRetained();
@@ -67,13 +67,13 @@
 });
 
 test('should restore a deleted object once its retention has expired and the store still has it', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   expireRetained();
   expect(names()).toEqual(['a', 'b']);
 });
 
 test('should restore a deleted object once it is written again', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   replica.applyChanges(at(1, 4), [{ object: object('b', at(1, 4)), gone: false }]);
   expect(names()).toEqual(['a', 'b']);
 });
@@ -106,7 +106,7 @@
 });
 
 test('should retain across a second rollback what another entry sent after the first', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   const other = replicaOf();
   other.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
   other.adoptRetained(replica.revision, replica.retained);
@@ -116,7 +116,7 @@
 });
 
 test('should adopt the records of another entry once it has a copy of their generation', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   const other = replicaOf();
   other.adoptRetained(replica.revision, replica.retained);
   other.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
@@ -124,7 +124,7 @@
 });
 
 test('should not adopt a record whose retention has expired', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   clock.advance(RETAINED);
   const other = replicaOf();
   other.applyListing(listing(at(1, 3), object('a', at(1, 1)), object('b', at(1, 2))));
@@ -133,12 +133,12 @@
 });
 
 test('should provide what the store has, not what is retained', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   expect(replica.stored.map(({ name }) => name).sort()).toEqual(['a', 'b']);
 });
 
 test('should report a change in the store that a retained record hides', () => {
-  rollBackWithGone();
+  rollBackAfterDeletion();
   const changedNames: string[] = [];
   replica.on('change', ({ changes }) => changedNames.push(...changes.map(({ object: { name } }) => name)));
   remove('b', at(1, 4));
--- a/tests/serverIncarnation.spec.ts
+++ b/tests/serverIncarnation.spec.ts
@@ -87,19 +87,19 @@
 function poolFixture() {
   const clock = new ManualClock();
   clock.advance(10_000);
-  const noted = createRecordingLog();
+  const recording = createRecordingLog();
   const pool = new ServerPool({
     dataCentre: 'north',
     clock,
     random: new SeededRandom(1),
-    log: noted.log,
+    log: recording.log,
     signals: servingSignals(clock),
     service: () => undefined,
     entries: () => 1,
     entriesInDataCentre: () => 1,
     isRouted: () => true,
   });
-  return { pool, steps: noted.steps, server: (): TrackedServer => pool.all()[0] };
+  return { pool, steps: recording.steps, server: (): TrackedServer => pool.all()[0] };
 }
 
 test('should drop the state of a server when its agent reports another start', () => {
@@ -146,10 +146,10 @@
 
 test('should not restore a version from an unchanged record after the agent reported its loss', () => {
   const { pool, server } = poolFixture();
-  const entry = record(0);
-  pool.update([entry]);
+  const unchanged = record(0);
+  pool.update([unchanged]);
   pool.noteStatus(HOST, status(undefined, 0));
-  pool.update([entry]);
+  pool.update([unchanged]);
   expect(server().version('m')).toEqual(0);
 });
 
--- a/tests/serverNotices.spec.ts
+++ b/tests/serverNotices.spec.ts
@@ -57,7 +57,7 @@
   expect(notices.merge([notice({ heardMilliseconds: 50 })])).toEqual([notice({ heardMilliseconds: 50 })]);
 });
 
-test('should keep at an agent that a server is leaving', () => {
+test('should remember at an agent that a server is leaving', () => {
   const notices = new ServerNotices(new ManualClock());
   notices.merge([notice({ leaving: true, heardMilliseconds: 500 })]);
   const later = notice({ limitPerSecond: 2 });
--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -148,9 +148,9 @@
   ['a full server', 503, { 'larklatch-not-run': '1' }, 'not-run'],
   ['a full server that may have run', 503, { 'larklatch-seal': 's' }, 'unclear'],
   ['another server at the address', 421, {}, 'not-run'],
-  ['a limit that may have run', 429, {}, 'unclear'],
+  ['a rejection for a limit after which the request may have run', 429, {}, 'unclear'],
 ] as const) {
-  test(`should judge ${what}`, () => {
+  test(`should classify ${what} as ${verdict}`, () => {
     expect(classifyAnswer(status, { ...headers }, OWN_HEADER_NAMES)).toEqual(verdict);
   });
 }
--- a/tests/suspicion.spec.ts
+++ b/tests/suspicion.spec.ts
@@ -13,7 +13,7 @@
 
 const END = { server: 's-1', trial: '' };
 
-test('should shut out after three server exits, one of them during a trial', () => {
+test('should shut a request out after three server exits, one of them during a trial', () => {
   const ends = (...trials: string[]): Suspicion => ({
     ends: trials.map((trial, index) => ({ server: `s-${index}`, trial })),
   });
