--- a/tests/suspicionTracker.spec.ts
+++ b/tests/suspicionTracker.spec.ts
@@ -33,7 +33,7 @@
   await fixture.syncAfterPause();
 }
 
-function held(): Suspicion | undefined {
+function storedSuspicion(): Suspicion | undefined {
   return fixture.storedSuspicion;
 }
 
@@ -74,9 +74,9 @@
   await until(
     () => a.runDecision('f', first.id) === 'run-as-trial' && b.runDecision('f', second.id) === 'held',
   );
-  expect(held()?.ends.length).toEqual(4);
+  expect(storedSuspicion()?.ends.length).toEqual(4);
   first.recordSuccess();
-  await until(() => held() === undefined);
+  await until(() => storedSuspicion() === undefined);
   await syncAfterPause();
   expect(await waiting).toEqual('granted');
 });
@@ -89,7 +89,7 @@
   const waiting = gate(b, 'q').wait();
   gate(b, 'earlier').recordSuccess();
   expect(await waiting).toEqual('granted');
-  await until(() => held() === undefined);
+  await until(() => storedSuspicion() === undefined);
   await syncAfterPause();
   expect([a.isEmpty, b.isEmpty]).toEqual([true, true]);
 });
@@ -102,7 +102,7 @@
   await syncAfterPause();
   const waiting = gate(b, 'q').wait();
   void a.recordServerExit('f', { server: 's-3', trial: first.id });
-  await until(() => held()?.ends.length === 3);
+  await until(() => storedSuspicion()?.ends.length === 3);
   await syncAfterPause();
   expect(await waiting).toEqual('ends servers');
   expect(a.runDecision('f', first.id)).toEqual('shut-out');
@@ -113,7 +113,7 @@
   reportTwoExits(a, 's-1', 's-2');
   reportTwoExits(b, 's-3', 's-4');
   await until(() => !(a.isEmpty || b.isEmpty));
-  await until(() => held()?.ends.length === 4);
+  await until(() => storedSuspicion()?.ends.length === 4);
 });
 
 test('should decide by its own knowledge while the store refuses writes, and write it later', async () => {
@@ -130,7 +130,7 @@
   void a.recordServerExit('f', { server: 's-3', trial: second.id });
   expect(a.runDecision('f', 'p')).toEqual('shut-out');
   store.refusesWrites = false;
-  await until(() => held()?.ends.length === 3);
+  await until(() => storedSuspicion()?.ends.length === 3);
 });
 
 test('should end the trial of an entry that has stopped or restarted', async () => {
@@ -174,7 +174,7 @@
   second.release();
   first.release();
   expect(await waiting).toEqual('time');
-  expect(held()?.trial?.request).not.toEqual(second.id);
+  expect(storedSuspicion()?.trial?.request).not.toEqual(second.id);
 });
 
 test('should allow one more trial after a long time, and none after that has failed', async () => {
@@ -224,8 +224,8 @@
   const next = gate(a, 'r');
   await next.wait();
   next.release();
-  await until(() => held() !== undefined);
-  expect(held()).toEqual({ ends: [END] });
+  await until(() => storedSuspicion() !== undefined);
+  expect(storedSuspicion()).toEqual({ ends: [END] });
 });
 
 test('should pause a request after two server exits, until other requests on these servers are suspected', async () => {
