--- a/tests/servingDecisions.spec.ts
+++ b/tests/servingDecisions.spec.ts
@@ -150,7 +150,7 @@
   ['another server at the address', 421, {}, 'not-run'],
   ['a rejection for a limit after which the request may have run', 429, {}, 'unclear'],
 ] as const) {
-  test(`should classify ${what} as ${verdict}`, () => {
+  test(`should classify ${what}`, () => {
     expect(classifyAnswer(status, { ...headers }, OWN_HEADER_NAMES)).toEqual(verdict);
   });
 }
