--- a/tests/storeRollback.spec.ts
+++ b/tests/storeRollback.spec.ts
@@ -6,7 +6,7 @@
 import { generationOf } from '../src/records/storeRevision.js';
 import type { RecordSource } from '../src/records/sourceChoice.js';
 import { PlatformStoreStandin } from '../standins/platformStoreStandin.js';
-import type { StoreCopy } from '../standins/platformStoreStandin.js';
+import type { StoreSnapshot } from '../standins/platformStoreStandin.js';
 import { freePort } from './fixtures/freePort.js';
 import { RecordEntry } from './fixtures/recordEntry.js';
 import { until } from './fixtures/until.js';
@@ -24,14 +24,14 @@
   standin = new PlatformStoreStandin();
   const address = new URL(await standin.listen()).host;
   configure(1);
-  name(1);
+  announce(1);
   publish('a');
   const ports = await Promise.all(Array.from({ length: ENTRIES }, () => freePort()));
   ranking = ports.map((port, index) => ({ box: `entry-${index}`, address: `127.0.0.1:${port}` }));
   entries = [];
   for (const own of ranking) entries.push(entryAt(own, address));
   await Promise.all(entries.map(async (entry, index) => await entry.start(ports[index])));
-  await all((entry) => entry.followers.isCurrent && versionAt(entry) === 1);
+  await all((entry) => entry.followers.isCurrent && configurationAt(entry) === 1);
 });
 
 afterEach(() => {
@@ -47,7 +47,7 @@
   standin.put('config', 'main', { version, routes: [], services: [] });
 }
 
-function name(version: number): void {
+function announce(version: number): void {
   standin.put('versions', 'm', { model: 'm', version });
 }
 
@@ -58,21 +58,21 @@
 }
 
 /** Takes a snapshot, then makes writes that a rollback to it loses. Returns the snapshot. */
-function copyThenWrite(): StoreCopy {
-  const copy = standin.copy();
+function snapshotThenWrite(): StoreSnapshot {
+  const snapshot = standin.snapshot();
   for (let count = 0; count < LOST_WRITES; count++) standin.put('other', 'object', count);
-  return copy;
+  return snapshot;
 }
 
 async function all(condition: (entry: RecordEntry) => boolean): Promise<void> {
   await until(() => entries.every(condition));
 }
 
-function versionAt(entry: RecordEntry): number | undefined {
-  return (entry.held as { version: number } | undefined)?.version;
+function configurationAt(entry: RecordEntry): number | undefined {
+  return (entry.configuration as { version: number } | undefined)?.version;
 }
 
-function namedAt(entry: RecordEntry): number | undefined {
+function targetVersionAt(entry: RecordEntry): number | undefined {
   return (entry.followers.versions.objects.get('m')?.value as { version: number } | undefined)?.version;
 }
 
@@ -98,78 +98,78 @@
 }
 
 test('should apply writes after a rollback', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  await all((entry) => configurationAt(entry) === 2);
+  standin.rollBackTo(snapshot);
   configure(3);
   publish('b');
-  await all((entry) => versionAt(entry) === 3 && serversAt(entry).includes('b ready'));
+  await all((entry) => configurationAt(entry) === 3 && serversAt(entry).includes('b ready'));
 });
 
 test('should apply writes after a rollback during a pending watch', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   await all((entry) => entry.followers.isCurrent);
-  standin.rollBackTo(copy, { keepsConnections: true });
+  standin.rollBackTo(snapshot, { keepsConnections: true });
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
 });
 
 test('should apply writes after two rollbacks in a row', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  await all((entry) => configurationAt(entry) === 2);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
-  const second = copyThenWrite();
+  const second = snapshotThenWrite();
   standin.rollBackTo(second);
   configure(3);
-  await all((entry) => versionAt(entry) === 3);
+  await all((entry) => configurationAt(entry) === 3);
 });
 
 test('should apply writes after a rollback during which the readers of the store were cut off', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   for (const entry of entries.slice(0, 2)) entry.store.cut = true;
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await until(() => entries.slice(2).every(hasRolledBack));
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   for (const entry of entries) entry.store.cut = false;
   configure(3);
-  await all((entry) => versionAt(entry) === 3);
+  await all((entry) => configurationAt(entry) === 3);
 });
 
 test('should retain a configuration that the store has lost, also at an entry that starts later', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  await all((entry) => configurationAt(entry) === 2);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
-  expect(entries.map(versionAt)).toEqual(entries.map(() => 2));
+  expect(entries.map(configurationAt)).toEqual(entries.map(() => 2));
   await restart(3);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
   await restart(0);
-  await all((entry) => versionAt(entry) === 2);
+  await all((entry) => configurationAt(entry) === 2);
 });
 
 test('should retain a version of weights that the store has lost, and apply the next one', async () => {
-  const copy = copyThenWrite();
-  name(2);
-  await all((entry) => namedAt(entry) === 2);
-  standin.rollBackTo(copy);
+  const snapshot = snapshotThenWrite();
+  announce(2);
+  await all((entry) => targetVersionAt(entry) === 2);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
-  expect(entries.map(namedAt)).toEqual(entries.map(() => 2));
-  name(2);
-  name(3);
-  await all((entry) => namedAt(entry) === 3);
+  expect(entries.map(targetVersionAt)).toEqual(entries.map(() => 2));
+  announce(2);
+  announce(3);
+  await all((entry) => targetVersionAt(entry) === 3);
 });
 
-test('should not treat a draining server as ready again, until its next process', async () => {
+test('should not treat a draining server as ready again, until its next incarnation', async () => {
   publish('b');
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   publish('b', { state: 'draining' });
   await all((entry) => serversAt(entry).includes('b draining'));
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready', 'b draining']));
   publish('b', { seq_no: 1 });
@@ -181,45 +181,45 @@
   await all((entry) => serversAt(entry).includes('b ready'));
 });
 
-test('should not restore a deleted server, until its entry would have expired', async () => {
+test('should not restore a deleted server, until its record would have expired', async () => {
   publish('b');
   publish('c');
   await all((entry) => serversAt(entry).length === 3);
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   standin.remove('servers', 'b');
   standin.remove('servers', 'c');
   await all((entry) => serversAt(entry).join() === 'a ready');
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready']));
   standin.remove('servers', 'b');
-  // an entry that stays for longer than the expiry time is renewed by a running server
+  // a record that stays for longer than the expiry time is one that a running server renews
   await all((entry) => serversAt(entry).join() === 'a ready,c ready');
 });
 
 test('should not restore a server that was deleted between two rollbacks', async () => {
   publish('b');
   await all((entry) => serversAt(entry).length === 2);
-  standin.rollBackTo(copyThenWrite());
+  standin.rollBackTo(snapshotThenWrite());
   await all(hasRolledBack);
   const readers = entries.filter((entry) => entry.followers.isReading);
   await until(() => readers.every(({ lines }) => lines.some((line) => line.includes('store.rolled-back'))));
   // while an outage is recent, missing servers may only have expired; load on the test machine can cause one
   await all((entry) => hasRolledBack(entry) && !entry.followers.serversMayBeMissing);
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   standin.remove('servers', 'b');
   await all((entry) => serversAt(entry).join() === 'a ready');
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready']));
 });
 
-test('should keep a server whose entry the store has lost until the server would have renewed it', async () => {
-  const copy = copyThenWrite();
+test('should keep a server whose record the store has lost until the server would have renewed it', async () => {
+  const snapshot = snapshotThenWrite();
   publish('b');
   publish('c');
   await all((entry) => serversAt(entry).length === 3);
-  standin.rollBackTo(copy);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   expect(entries.map(serversAt)).toEqual(entries.map(() => ['a ready', 'b ready', 'c ready']));
   publish('b');
@@ -227,10 +227,10 @@
 });
 
 test('should log a rollback, and the records that are retained and released after it', async () => {
-  const copy = copyThenWrite();
+  const snapshot = snapshotThenWrite();
   configure(2);
-  await all((entry) => versionAt(entry) === 2);
-  standin.rollBackTo(copy);
+  await all((entry) => configurationAt(entry) === 2);
+  standin.rollBackTo(snapshot);
   await all(hasRolledBack);
   const [reader] = entries;
   const line = (step: string): string => reader.lines.find((one) => one.includes(`"${step}"`)) ?? '';
