--- a/src/backpressure/answerSignals.ts
+++ b/src/backpressure/answerSignals.ts
@@ -1,4 +1,4 @@
-/** Parses the backpressure headers of a backend server's answer. Pure. */
+/** Parses the backpressure headers of a backend server's answer. Pure functions. */
 
 /** Header values by lower-case name. */
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
--- a/src/backpressure/limitShare.ts
+++ b/src/backpressure/limitShare.ts
@@ -1,4 +1,4 @@
-/** Computes this entry's share of a backend server's request limit. Pure. */
+/** Computes this entry's share of a backend server's request limit. Pure functions. */
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 
--- a/src/backpressure/probeSlot.ts
+++ b/src/backpressure/probeSlot.ts
@@ -1,4 +1,4 @@
-/** Schedules when an entry without a share of a limit may probe whether the limit still applies. Pure. */
+/** Schedules when an entry without a share of a limit may probe whether the limit still applies. Pure functions. */
 
 /** Length of an entry's time slot; it may send one probe within it. */
 const SLOT_MILLISECONDS = 2_000;
--- a/src/crashes/runDecision.ts
+++ b/src/crashes/runDecision.ts
@@ -1,4 +1,4 @@
-/** Decides whether a suspected request may run. Pure. */
+/** Decides whether a suspected request may run. Pure functions. */
 import type { Suspicion } from './suspicion.js';
 import { hasFailedTrial, isShutOut } from './suspicion.js';
 
--- a/src/crashes/serverExitChecker.ts
+++ b/src/crashes/serverExitChecker.ts
@@ -15,7 +15,7 @@
 
 /** No process listens at the address. */
 const CONNECTION_REFUSED = 'ECONNREFUSED';
-/** If the box doesn't answer within this time, the server doesn't count as exited. */
+/** If the box does not answer within this time, the server does not count as exited. */
 const CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 /**
--- a/src/crashes/successCredits.ts
+++ b/src/crashes/successCredits.ts
@@ -19,7 +19,7 @@
     this._credits.set(fingerprint, Math.min(MAX_CREDIT, (this._credits.get(fingerprint) ?? 0) + 1));
   }
 
-  /** Spends one credit; returns whether there was one, so that a server exit doesn't count against the request. */
+  /** Spends one credit; returns whether there was one, so that a server exit does not count against the request. */
   spend(fingerprint: string): boolean {
     const credit = this._credits.get(fingerprint) ?? 0;
     if (credit > 0) this._credits.set(fingerprint, credit - 1);
--- a/src/crashes/suspicion.ts
+++ b/src/crashes/suspicion.ts
@@ -1,4 +1,4 @@
-/** What is known of a request whose servers exited while they ran it, and what follows from that. Pure. */
+/** What is known of a request whose servers exited while they ran it, and what follows from that. Pure functions. */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import { z } from 'zod';
@@ -57,7 +57,7 @@
   return ends.some(({ trial }) => trial === request);
 }
 
-/** Starts a trial unless another one is running; the trial `expired` doesn't count as running. */
+/** Starts a trial unless another one is running; the trial `expired` does not count as running. */
 export function withTrial(suspicion: Suspicion, trial: Trial, expired?: string): Suspicion {
   const isRunning = suspicion.trial !== undefined && suspicion.trial.request !== expired;
   return isRunning ? suspicion : { ...suspicion, trial };
--- a/src/crashes/suspicionRestorer.ts
+++ b/src/crashes/suspicionRestorer.ts
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Entries that don't read the store wait until those that do must have written. */
+  /** Entries that do not read the store wait until those that do must have written. */
   private _waitMilliseconds(): number {
     const { isReading, random } = this._options;
     if (isReading()) return random.fraction() * RESTORE_MILLISECONDS;
--- a/src/crashes/suspicionTracker.ts
+++ b/src/crashes/suspicionTracker.ts
@@ -4,7 +4,7 @@
  *
  * When a server exits, all requests that it ran become suspected. A suspected request runs only once at a time in the
  * whole system, which is called its trial. It is cleared when it completes successfully at any entry, and shut out
- * when too many servers have exited under it: from then on entries refuse it. While the store doesn't answer, this
+ * when too many servers have exited under it: from then on entries refuse it. While the store does not answer, this
  * entry decides by what it knows, so that it refuses no request that may be harmless.
  */
 import { isDeepStrictEqual } from 'node:util';
@@ -58,7 +58,7 @@
  * request, who may be many and whose requests may be harmless, wait no longer than this for the end of a trial.
  */
 const MAX_TRIAL_MILLISECONDS = 3_000;
-/** A suspicion is removed when it hasn't changed for this time, because nobody has repeated the request. */
+/** A suspicion is removed when it has not changed for this time, because nobody has repeated the request. */
 const SUSPECTED_TTL_MILLISECONDS = 60_000;
 /** The same for a request that is shut out. */
 const SHUT_OUT_TTL_MILLISECONDS = 24 * 3_600_000;
@@ -180,7 +180,9 @@
     void this._writer.write(fingerprint, (suspicion) => suspicion && withoutTrial(suspicion, request));
   }
 
-  /** Records that the request completed successfully, which shows that it doesn't crash every server that runs it. */
+  /**
+   * Records that the request completed successfully, which shows that it does not crash every server that runs it.
+   */
   recordSuccess(fingerprint: string): void {
     this._successCredits.add(fingerprint);
     if (this.isEmpty || !this._writer.get(fingerprint)) return;
--- a/src/crashes/suspicionWriter.ts
+++ b/src/crashes/suspicionWriter.ts
@@ -1,6 +1,6 @@
 /**
  * Writes changes of suspicions to the store. No change is lost when another entry writes at the same time, or when
- * the store doesn't answer for a while.
+ * the store does not answer for a while.
  */
 import { isDeepStrictEqual } from 'node:util';
 import type { WritableStore, WriteAnswer } from '../records/writableStore.js';
@@ -37,7 +37,7 @@
   done: () => void;
 }
 
-/** With more, the other store calls of this process would have to wait while the store doesn't answer. */
+/** With more, the other store calls of this process would have to wait while the store does not answer. */
 const MAX_CONCURRENT_WRITES = 8;
 const RETRY = { firstMilliseconds: 40, longestMilliseconds: 500 };
 /**
--- a/src/records/kindFollower.ts
+++ b/src/records/kindFollower.ts
@@ -39,7 +39,7 @@
     this._stopped.abort();
   }
 
-  /** Whether the last call to the store succeeded. A pending watch doesn't change this. */
+  /** Whether the last call to the store succeeded. A pending watch does not change this. */
   get reachable(): boolean {
     return this._reachable;
   }
--- a/src/records/recordReplica.ts
+++ b/src/records/recordReplica.ts
@@ -13,7 +13,7 @@
  */
 export type ChangeUrgency = 'none' | 'minor' | 'urgent';
 
-/** Classifies a change of one object; undefined stands for an object that doesn't exist. */
+/** Classifies a change of one object; undefined stands for an object that does not exist. */
 export type ClassifyChange = (
   before: StoredObject | undefined,
   after: StoredObject | undefined,
@@ -142,7 +142,7 @@
 
   /**
    * Records that the copy is complete up to `revision`, and that its source's newest change is `newestChange`.
-   * Changes classified as `none` count too, although sources don't send them.
+   * Changes classified as `none` count too, although sources do not send them.
    */
   advanceRevision(revision: number, newestChange: number): void {
     if (!this._isOfThisGeneration(revision)) return;
--- a/src/records/recordSources.ts
+++ b/src/records/recordSources.ts
@@ -83,7 +83,7 @@
 
   /**
    * Loads what the store held some seconds ago, so that this entry can serve requests and find other entries at once,
-   * even if all seeds are gone. This doesn't confirm the copies.
+   * even if all seeds are gone. This does not confirm the copies.
    */
   private async _loadStaleCopies(): Promise<void> {
     const { state, store, log } = this._options;
@@ -216,7 +216,7 @@
 
   /**
    * Checks whether the copies have lacked for too long a change that another source has. If so, their own source
-   * doesn't work: this process lists the store again if it reads it, and otherwise changes its primary source.
+   * does not work: this process lists the store again if it reads it, and otherwise changes its primary source.
    */
   private _checkLag(): void {
     const { state, clock, reader } = this._options;
--- a/src/records/retainedRecords.ts
+++ b/src/records/retainedRecords.ts
@@ -38,7 +38,7 @@
   log: EventLog;
 }
 
-/** Number of deleted objects that are remembered, so that a rollback doesn't bring them back. */
+/** Number of deleted objects that are remembered, so that a rollback does not bring them back. */
 const MAX_DELETED = 2_000;
 
 export class RetainedRecords {
--- a/src/records/rollbackPolicy.ts
+++ b/src/records/rollbackPolicy.ts
@@ -2,7 +2,7 @@
 import type { StoredObject } from './watchableStore.js';
 
 /**
- * Each method returns a time in milliseconds: 0 if the record doesn't stay in force, infinite if it stays until the
+ * Each method returns a time in milliseconds: 0 if the record does not stay in force, infinite if it stays until the
  * store has the same record or a later one.
  */
 export interface RollbackPolicy {
--- a/src/records/sourceChoice.ts
+++ b/src/records/sourceChoice.ts
@@ -1,6 +1,6 @@
 /**
  * Chooses the sources of an entry's copies of the store's records, and whether the entry reads the store itself.
- * Pure.
+ * Pure functions.
  */
 
 /** An entry that can provide its copies to others. */
@@ -35,7 +35,7 @@
  */
 export const READER_COUNT = 2;
 
-/** The first candidates that haven't failed read the store; all other entries listen to them. */
+/** The first candidates that have not failed read the store; all other entries listen to them. */
 export function chooseSources(input: SourceChoiceInput): SourceChoice {
   const { own, hasFailed } = input;
   const candidates = candidatesOf(input);
--- a/src/records/storeReader.ts
+++ b/src/records/storeReader.ts
@@ -15,7 +15,7 @@
   log: EventLog;
 }
 
-/** While the store doesn't answer, it is only probed, because each call has a cost, answered or not. */
+/** While the store does not answer, it is only probed, because each call has a cost, answered or not. */
 export class StoreReader {
   private readonly _options: StoreReaderOptions;
   private readonly _probe: StoreProbe;
@@ -34,7 +34,7 @@
     return this._reading;
   }
 
-  /** Whether this process reads the store, and the store doesn't answer. */
+  /** Whether this process reads the store, and the store does not answer. */
   get isLost(): boolean {
     return this._reading && this._probe.isLost;
   }
--- a/src/requests/ledgerSlots.ts
+++ b/src/requests/ledgerSlots.ts
@@ -1,4 +1,4 @@
-/** The table that assigns each slot of a service's idempotency key space to an agent incarnation. Pure. */
+/** The table that assigns each slot of a service's idempotency key space to an agent incarnation. Pure functions. */
 import { z } from 'zod';
 import type { LedgerSlot } from '../protocol/rolloutMessages.js';
 import { countSchema, nameSchema } from '../protocol/index.js';
--- a/src/routing/agentSubset.ts
+++ b/src/routing/agentSubset.ts
@@ -1,4 +1,4 @@
-/** Selects the agents that an entry connects to when there are too many to connect to all of them. Pure. */
+/** Selects the agents that an entry connects to when there are too many to connect to all of them. Pure functions. */
 import { SeededRandom, shuffled } from '../utils/random.js';
 import { compareText } from '../utils/rendezvous.js';
 
--- a/src/routing/backendChoice.ts
+++ b/src/routing/backendChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the box for a request. Pure except for randomness. */
+/** Chooses the box for a request. Pure functions except for randomness. */
 import type { Random } from '../utils/random.js';
 import { rendezvousOrder } from '../utils/rendezvous.js';
 import type { Backend } from './backend.js';
--- a/src/routing/entryOrder.ts
+++ b/src/routing/entryOrder.ts
@@ -1,4 +1,4 @@
-/** Orders the entries whose addresses are returned to callers. Pure. */
+/** Orders the entries whose addresses are returned to callers. Pure functions. */
 import type { Box } from '../external/boxList.js';
 import { compareText, rendezvousOrder } from '../utils/rendezvous.js';
 
--- a/src/routing/versionPreference.ts
+++ b/src/routing/versionPreference.ts
@@ -1,4 +1,4 @@
-/** Selects the boxes that may serve a configuration while a rollout is in progress. Pure. */
+/** Selects the boxes that may serve a configuration while a rollout is in progress. Pure functions. */
 import type { Backend } from './backend.js';
 
 /** Share of the boxes that must have confirmed the activated rollout before the others get no more requests. */
--- a/src/serving/agentSelection.ts
+++ b/src/serving/agentSelection.ts
@@ -1,4 +1,7 @@
-/** Selects the agents that an entry connects to: few, so that its cost does not grow with the number of boxes. Pure. */
+/**
+ * Selects the agents that an entry connects to: few, so that its cost does not grow with the number of boxes.
+ * Pure functions.
+ */
 import type { AgentAddress } from '../protocol/boxMessages.js';
 import type { PlacedBox } from '../utils/dataCentreOrder.js';
 import { orderAcrossDataCentres } from '../utils/dataCentreOrder.js';
--- a/src/serving/answerClassification.ts
+++ b/src/serving/answerClassification.ts
@@ -1,4 +1,4 @@
-/** Classifies answers of backend servers, and decides when to stop waiting for one. Pure. */
+/** Classifies answers of backend servers, and decides when to stop waiting for one. Pure functions. */
 import { MISDIRECTED_REQUEST } from './answerHead.js';
 import type { AnswerHeaders } from './backendCall.js';
 import type { HeaderNames } from './headerNames.js';
--- a/src/serving/callerDrain.ts
+++ b/src/serving/callerDrain.ts
@@ -14,7 +14,7 @@
 
 /**
  * Share of the drain time for which new connections are accepted, since callers may use the address of the entry
- * for up to three times the advertised time.
+ * for up to three times the time that the directory's answer tells them to keep it.
  */
 const LISTEN_SHARE = 0.72;
 /** Share of the drain time after which all connections are closed. */
--- a/src/serving/directoryServer.ts
+++ b/src/serving/directoryServer.ts
@@ -5,7 +5,7 @@
 import { closeHttp, listenHttp } from '../utils/httpServer.js';
 import type { EntryDirectory } from './entryDirectory.js';
 
-/** Paths of the HTTP endpoints and the format of directory requests and responses. */
+/** Paths of the HTTP endpoints and the format of directory requests and answers. */
 export interface DirectoryPaths {
   ready: string;
   directory: string;
--- a/src/serving/entryDirectory.ts
+++ b/src/serving/entryDirectory.ts
@@ -29,7 +29,7 @@
   peerTimeoutMilliseconds: number;
 }
 
-/** Minimum number of entries in a directory response, if there are as many. */
+/** Minimum number of entries in an answer of the directory, if there are as many. */
 const MIN_ENTRIES = 2;
 const MAX_ENTRIES = 64;
 const RECORDS_KEY = 'record-sources';
--- a/src/serving/promptSize.ts
+++ b/src/serving/promptSize.ts
@@ -1,4 +1,4 @@
-/** Estimates the size of a prompt, which determines how long a server takes to read it. Pure. */
+/** Estimates the size of a prompt, which determines how long a server takes to read it. Pure functions. */
 
 /** Size of a prompt whose number of tokens is unknown. */
 const DEFAULT_SIZE = 1;
--- a/src/serving/retryAfter.ts
+++ b/src/serving/retryAfter.ts
@@ -1,4 +1,4 @@
-/** Computes when a refused caller should retry. Pure. */
+/** Computes when a refused caller should retry. Pure functions. */
 import { SHUT_OUT_MILLISECONDS } from '../crashes/runDecision.js';
 import type { NoAttemptReason } from './noAttemptReason.js';
 
@@ -10,8 +10,8 @@
 /**
  * Returns the milliseconds to wait before retrying a request that was refused for `reason` and has `leftMilliseconds`
  * left. `fraction` is a random number from 0 up to 1; no server accepts the request before `waitMilliseconds`. A
- * short wait would not help: load bursts, version switches and lost servers last for seconds, and a later answer is
- * worth as much as an early one.
+ * short wait would not help: load bursts, version switches and lost servers last for seconds, and an answer is as
+ * useful to the caller later, as long as it comes before the deadline.
  */
 export function computeRetryAfter(
   reason: NoAttemptReason,
--- a/src/serving/serverChoice.ts
+++ b/src/serving/serverChoice.ts
@@ -1,4 +1,4 @@
-/** Chooses the backend server with the lowest expected cost for a request. Pure except for randomness. */
+/** Chooses the backend server with the lowest expected cost for a request. Pure functions except for randomness. */
 import type { Random } from '../utils/random.js';
 import { shuffled } from '../utils/random.js';
 
--- a/src/serving/serverEligibility.ts
+++ b/src/serving/serverEligibility.ts
@@ -1,4 +1,4 @@
-/** Selects the backend servers whose model version allows them to take a request. Pure. */
+/** Selects the backend servers whose model version allows them to take a request. Pure functions. */
 import type { ServerRequirements } from './serverRequirements.js';
 import type { TrackedServer } from './trackedServer.js';
 
